--- a/tests/fabric_network.py
+++ b/tests/node_network.py
@@ -5,9 +5,9 @@
 
 from tests.cell_network import engine
 from verbenathread.clock import LoopClock
-from verbenathread.entry.fabric_node import FabricNode, NodeContext
-from verbenathread.entry.peers import bound_socket
-from verbenathread.entry.shared import SharedTree
+from verbenathread.entry.cell_node import FabricNode, NodeContext
+from verbenathread.entry.peer_server import bound_socket
+from verbenathread.entry.settings_store import SharedTree
 from verbenathread.exceptions import UnavailableError
 from verbenathread.membership.cell import PeerUnreachableError
 from verbenathread.scheduling.messages import EngineHold
--- a/tests/test_entry_fabric.py
+++ b/tests/test_entry_cell_node.py
@@ -9,13 +9,13 @@
 from grpclib.server import Server
 
 from tests.cell_network import engine, until
-from tests.fabric_network import FakeEngines, node_settings, tree_update
+from tests.node_network import FakeEngines, node_settings, tree_update
 from verbenathread.clock import LoopClock, SystemClock
+from verbenathread.entry.cell_node import FabricNode, NodeContext
 from verbenathread.entry.claims import ClaimsClient
-from verbenathread.entry.fabric import EntryFabric
-from verbenathread.entry.fabric_node import FabricNode, NodeContext
-from verbenathread.entry.peers import bound_socket
-from verbenathread.entry.shared import SharedTree
+from verbenathread.entry.node_thread import EntryFabric
+from verbenathread.entry.peer_server import bound_socket
+from verbenathread.entry.settings_store import SharedTree
 from verbenathread.exceptions import UnavailableError, UnknownOutcomeError
 from verbenathread.schema import control_pb2
 from verbenathread.types import (
--- a/tests/test_entry_ask_stream.py
+++ b/tests/test_entry_reservation_stream.py
@@ -8,8 +8,8 @@
 from grpclib.server import Server
 
 from tests.cell_network import until
-from verbenathread.entry.ask_stream import AskServer, AskStream
-from verbenathread.entry.peers import bound_socket
+from verbenathread.entry.peer_server import bound_socket
+from verbenathread.entry.reservation_stream import AskServer, AskStream
 from verbenathread.schema import peer_grpc, peer_pb2
 from verbenathread.types import Address
 
--- a/tests/test_entry_reservations.py
+++ b/tests/test_entry_reservations.py
@@ -4,9 +4,9 @@
 import unittest
 
 from tests.cell_network import until
-from tests.fabric_network import FabricNetwork
+from tests.node_network import FabricNetwork
 from tests.virtual_loop import run_virtual
-from verbenathread.entry import hold_messages
+from verbenathread.entry import reservation_messages
 from verbenathread.scheduling.ledger import START_WITHIN
 from verbenathread.scheduling.messages import Ask
 from verbenathread.types import RefusalReason, Reservation
@@ -335,4 +335,4 @@
 def _request(network, node_id):
     work = network.work(5000)
     ask = Ask(work, 'late', node_id, 5000)
-    return hold_messages.request_of('e1', ask, 1, work.arrival)
+    return reservation_messages.request_of('e1', ask, 1, work.arrival)
--- a/tools/cell_cost.py
+++ b/tools/cell_cost.py
@@ -19,11 +19,11 @@
 from grpclib.protocol import H2Protocol
 
 from tests.cell_network import engine
-from tests.fabric_network import FakeEngines, node_settings, tree_update
+from tests.node_network import FakeEngines, node_settings, tree_update
 from verbenathread.clock import SystemClock, seconds
-from verbenathread.entry.fabric_node import FabricNode, NodeContext
-from verbenathread.entry.peers import bound_socket
-from verbenathread.entry.shared import SharedTree
+from verbenathread.entry.cell_node import FabricNode, NodeContext
+from verbenathread.entry.peer_server import bound_socket
+from verbenathread.entry.settings_store import SharedTree
 from verbenathread.observability.logs import configure
 from verbenathread.types import Address, Reservation, Work
 
--- a/verbenathread/entry/fabric_node.py
+++ b/verbenathread/entry/cell_node.py
@@ -9,18 +9,18 @@
 from verbenathread.clock import Clock, seconds
 from verbenathread.entry.admissions import CellAdmissions
 from verbenathread.entry.claims import ClaimsClient
+from verbenathread.entry.control_session import ControlSession
 from verbenathread.entry.engine_owners import EngineOwners
 from verbenathread.entry.hold_outbox import HoldOutbox
 from verbenathread.entry.ledger_host import HoldReader, LedgerHost
 from verbenathread.entry.load_reports import LoadReports
-from verbenathread.entry.node_access import NodeAccess
+from verbenathread.entry.node_auth import NodeAccess
 from verbenathread.entry.node_reports import NodeReports
 from verbenathread.entry.peer_channels import PeerCalls, PeerChannels
-from verbenathread.entry.peers import PeerServer, PeerService
+from verbenathread.entry.peer_server import PeerServer, PeerService
 from verbenathread.entry.reservations import EngineReservations
-from verbenathread.entry.session import ControlSession
-from verbenathread.entry.shared import SharedTree
-from verbenathread.entry.tree_fetch import TreeFetch
+from verbenathread.entry.settings_fetcher import TreeFetch
+from verbenathread.entry.settings_store import SharedTree
 from verbenathread.membership.cell import Cell, NodeIdentity
 from verbenathread.observability.logs import get_logger
 from verbenathread.schema import peer_pb2, settings_pb2
--- a/verbenathread/entry/claims.py
+++ b/verbenathread/entry/claims.py
@@ -8,7 +8,7 @@
 from grpclib.client import Channel
 
 from verbenathread.clock import Clock, seconds
-from verbenathread.entry.session import FAULTS, control_channel
+from verbenathread.entry.control_session import FAULTS, control_channel
 from verbenathread.exceptions import (
     SettingsError,
     UnavailableError,
--- a/verbenathread/entry/session.py
+++ b/verbenathread/entry/control_session.py
@@ -12,7 +12,7 @@
 
 from verbenathread.clock import seconds
 from verbenathread.entry.background import Background
-from verbenathread.entry.shared import SharedTree
+from verbenathread.entry.settings_store import SharedTree
 from verbenathread.observability.logs import get_logger
 from verbenathread.rpc_channel import PeerChannel
 from verbenathread.schema import control_grpc, control_pb2
--- a/verbenathread/entry/daemon.py
+++ b/verbenathread/entry/daemon.py
@@ -134,7 +134,7 @@
 
 def _entry_fabric(settings: settings_pb2.NodeSettings) -> Fabric:
     # Loaded late: callers that bring a fabric of their own need no grpclib.
-    module = importlib.import_module('verbenathread.entry.fabric')
+    module = importlib.import_module('verbenathread.entry.node_thread')
     fabric: Fabric = module.EntryFabric(settings)
     return fabric
 
--- a/verbenathread/entry/ledger_host.py
+++ b/verbenathread/entry/ledger_host.py
@@ -10,7 +10,7 @@
 from typing import Any, Protocol
 
 from verbenathread.clock import Clock, seconds
-from verbenathread.entry import hold_messages
+from verbenathread.entry import reservation_messages
 from verbenathread.entry.owned_engine import ARRIVAL_MS, OwnedEngine
 from verbenathread.exceptions import UnavailableError
 from verbenathread.membership.cell import Cell
@@ -101,7 +101,7 @@
         """Answer an ask for memory, from this entry or a peer."""
         engine = self.engine(request.upstream_id)
         if engine is None:
-            return hold_messages.not_owner(
+            return reservation_messages.not_owner(
                 self._cell.identity.node_id, request.upstream_id
             )
         return await engine.reserve(request)
--- a/verbenathread/entry/node_reports.py
+++ b/verbenathread/entry/node_reports.py
@@ -1,7 +1,7 @@
 """What an entry reports of itself to control."""
 
 from verbenathread.clock import Clock
-from verbenathread.entry.shared import SharedTree
+from verbenathread.entry.settings_store import SharedTree
 from verbenathread.membership.cell import Cell
 from verbenathread.schema import control_pb2, settings_pb2
 from verbenathread.types import Millis, UpstreamRecord
--- a/verbenathread/entry/fabric.py
+++ b/verbenathread/entry/node_thread.py
@@ -1,6 +1,6 @@
 """The inter-process side of one entry, for worker threads that block.
 
-``start`` brings the parts of :mod:`verbenathread.entry.fabric_node` up on an
+``start`` brings the parts of :mod:`verbenathread.entry.cell_node` up on an
 event loop in a thread of its own; the ports hand each call over to it.
 """
 
@@ -16,11 +16,11 @@
     BlockingUpstreams,
 )
 from verbenathread.entry.callers_side import Ports
-from verbenathread.entry.fabric_node import FabricNode, NodeContext
+from verbenathread.entry.cell_node import FabricNode, NodeContext
 from verbenathread.entry.hold_reader import HttpHoldReader
 from verbenathread.entry.loop_thread import LoopThread
-from verbenathread.entry.peers import bound_socket
-from verbenathread.entry.shared import SharedTree
+from verbenathread.entry.peer_server import bound_socket
+from verbenathread.entry.settings_store import SharedTree
 from verbenathread.exceptions import SettingsError
 from verbenathread.scheduling.messages import EngineHold
 from verbenathread.schema import settings_pb2
--- a/verbenathread/entry/owned_engine.py
+++ b/verbenathread/entry/owned_engine.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable
 
 from verbenathread.clock import Clock, seconds
-from verbenathread.entry import hold_messages
+from verbenathread.entry import reservation_messages
 from verbenathread.scheduling.holds import reservation_id
 from verbenathread.scheduling.ledger import START_WITHIN, EngineLedger
 from verbenathread.scheduling.messages import Ask, EngineHold
@@ -100,7 +100,7 @@
         """Grant, refuse, or wait in the queue for as long as the call."""
         if not self._holds_lease():
             return self._not_owner()
-        ask = hold_messages.ask_of(request, self._clock)
+        ask = reservation_messages.ask_of(request, self._clock)
         if ask.group:
             self._renew(ask.attempt_id)
         outcome = self.ledger.ask(ask)
@@ -108,11 +108,11 @@
         if isinstance(outcome, Reservation):
             return self._granted(outcome, request)
         if isinstance(outcome, Refusal):
-            return hold_messages.refused(outcome)
+            return reservation_messages.refused(outcome)
         if not request.may_queue:
             self.ledger.cancel(ask.attempt_id)
             return peer_pb2.ReserveReply(
-                refusal=hold_messages.QUEUED,
+                refusal=reservation_messages.QUEUED,
                 message='The engine has no memory now.',
                 retry_after_ms=max(1, outcome.expected_wait),
             )
@@ -192,7 +192,7 @@
                 reply = await waiter.reply
             answered = True
         except TimeoutError:
-            return hold_messages.refused(
+            return reservation_messages.refused(
                 Refusal(
                     RefusalReason.DEADLINE,
                     'No memory came free within the time limit; retry later '
@@ -271,4 +271,6 @@
         self.pump()
 
     def _not_owner(self) -> peer_pb2.ReserveReply:
-        return hold_messages.not_owner(self._node_id, self.ledger.upstream_id)
+        return reservation_messages.not_owner(
+            self._node_id, self.ledger.upstream_id
+        )
--- a/verbenathread/entry/peer_channels.py
+++ b/verbenathread/entry/peer_channels.py
@@ -10,8 +10,8 @@
 from grpclib.exceptions import ProtocolError, StreamTerminatedError
 
 from verbenathread.clock import seconds
-from verbenathread.entry.ask_stream import AskStream
-from verbenathread.entry.node_access import NodeAccess
+from verbenathread.entry.node_auth import NodeAccess
+from verbenathread.entry.reservation_stream import AskStream
 from verbenathread.membership.cell import PeerUnreachableError
 from verbenathread.rpc_channel import PeerChannel
 from verbenathread.schema import peer_grpc, peer_pb2
--- a/verbenathread/entry/peers.py
+++ b/verbenathread/entry/peer_server.py
@@ -7,10 +7,10 @@
 import grpclib
 from grpclib.server import Server, Stream
 
-from verbenathread.entry.ask_stream import AskServer
 from verbenathread.entry.ledger_host import LedgerHost
-from verbenathread.entry.node_access import NodeAccess
-from verbenathread.entry.shared import SharedTree
+from verbenathread.entry.node_auth import NodeAccess
+from verbenathread.entry.reservation_stream import AskServer
+from verbenathread.entry.settings_store import SharedTree
 from verbenathread.exceptions import UnavailableError
 from verbenathread.membership.cell import Cell
 from verbenathread.schema import peer_grpc, peer_pb2
--- a/verbenathread/entry/reservations.py
+++ b/verbenathread/entry/reservations.py
@@ -11,12 +11,12 @@
 from typing import NamedTuple
 
 from verbenathread.clock import Clock, seconds
-from verbenathread.entry import hold_messages
+from verbenathread.entry import reservation_messages
 from verbenathread.entry.engine_owners import EngineOwners
 from verbenathread.entry.group_reservations import GroupReservation
 from verbenathread.entry.held_reservations import HeldReservations
 from verbenathread.entry.hold_outbox import HoldOutbox
-from verbenathread.entry.shared import SharedTree
+from verbenathread.entry.settings_store import SharedTree
 from verbenathread.membership.cell import Cell
 from verbenathread.scheduling.candidates import CandidateWalk, look_again_after
 from verbenathread.scheduling.groups import GroupClaim, group_size
@@ -229,7 +229,7 @@
             )
             if isinstance(outcome, Reservation):
                 return outcome
-            if outcome.refusal != hold_messages.QUEUED:
+            if outcome.refusal != reservation_messages.QUEUED:
                 refusals.append(outcome)
                 continue
             wait = outcome.retry_after_ms
@@ -360,17 +360,17 @@
     final = [
         refusal
         for refusal in refusals
-        if refusal.refusal != hold_messages.NOT_OWNER
+        if refusal.refusal != reservation_messages.NOT_OWNER
     ]
     if not final:
         return None
     soonest = min(final, key=lambda refusal: refusal.retry_after_ms)
-    return hold_messages.refusal_of(soonest)
+    return reservation_messages.refusal_of(soonest)
 
 
 def _final(outcome: Reservation | peer_pb2.ReserveReply) -> _Outcome | None:
     if isinstance(outcome, Reservation):
         return outcome
-    if outcome.refusal == hold_messages.NOT_OWNER:
+    if outcome.refusal == reservation_messages.NOT_OWNER:
         return None
-    return hold_messages.refusal_of(outcome)
+    return reservation_messages.refusal_of(outcome)
--- a/verbenathread/entry/tree_fetch.py
+++ b/verbenathread/entry/settings_fetcher.py
@@ -8,7 +8,7 @@
 
 from verbenathread.clock import seconds
 from verbenathread.entry.peer_channels import PeerCalls
-from verbenathread.entry.shared import SharedTree
+from verbenathread.entry.settings_store import SharedTree
 from verbenathread.exceptions import UnavailableError
 from verbenathread.schema import control_pb2, peer_pb2
 from verbenathread.types import NodeId
