--- a/tests/node_network.py
+++ b/tests/node_network.py
@@ -5,9 +5,9 @@
 
 from tests.cell_network import engine
 from verbenathread.clock import LoopClock
-from verbenathread.entry.cell_node import FabricNode, NodeContext
+from verbenathread.entry.cell_node import CellNode, NodeContext
 from verbenathread.entry.peer_server import bound_socket
-from verbenathread.entry.settings_store import SharedTree
+from verbenathread.entry.settings_store import SettingsStore
 from verbenathread.exceptions import UnavailableError
 from verbenathread.membership.cell import PeerUnreachableError
 from verbenathread.scheduling.messages import EngineHold
@@ -70,7 +70,7 @@
             self.holds_by_id[upstream_id].pop(reservation.attempt_id)
 
 
-class FabricNetwork:
+class NodeNetwork:
     """Entries by identifier; ``cut_ids`` reach nobody."""
 
     def __init__(self, size):
@@ -91,10 +91,10 @@
             LoopClock(),
             random.Random(node_id),
         )
-        shared = SharedTree()
+        shared = SettingsStore()
         if revision:
-            shared.take(tree_update(revision))
-        node = FabricNode(
+            shared.apply(tree_update(revision))
+        node = CellNode(
             context, shared, self.engines, _MemoryCalls(self, node_id)
         )
         self.node_by_id[node_id] = node
@@ -186,7 +186,7 @@
 
     async def fetch_tree(self, peer_id, request, limit):
         node = await self._reach(peer_id)
-        update = node.shared.newer_than(request.revision)
+        update = node.settings_store.update_since(request.revision)
         return peer_pb2.FetchTreeReply(
             revision=update.revision, branches=update.branches
         )
--- a/tests/test_entry_admissions.py
+++ b/tests/test_entry_admissions.py
@@ -4,7 +4,7 @@
 import unittest
 
 from verbenathread.clock import ManualClock
-from verbenathread.entry.admissions import USAGE_EVERY, CellAdmissions
+from verbenathread.entry.admissions import USAGE_INTERVAL, CellAdmissions
 from verbenathread.entry.retry_budgets import RetryBudgets
 from verbenathread.scheduling.limits import BURST, LOCAL_SHARE
 from verbenathread.scheduling.retries import Retry
@@ -151,12 +151,12 @@
         for entry in cell.by_id.values():
             entry.connect(ReadyEngines())
         self.assertIsNone(cell.by_id['e0'].admit(work, cell.account))
-        cell.clock.advance(USAGE_EVERY)
+        cell.clock.advance(USAGE_INTERVAL)
         cell.exchange()
         refusal = cell.by_id['e1'].admit(work, cell.account)
         self.assertEqual(refusal.reason, RefusalReason.ACCOUNT_LIMIT)
         cell.restart('e0')
-        cell.clock.advance(USAGE_EVERY)
+        cell.clock.advance(USAGE_INTERVAL)
         cell.exchange()
         self.assertIsNone(cell.by_id['e1'].admit(work, cell.account))
 
--- a/tests/test_entry_cell_node.py
+++ b/tests/test_entry_cell_node.py
@@ -11,11 +11,11 @@
 from tests.cell_network import engine, until
 from tests.node_network import FakeEngines, node_settings, tree_update
 from verbenathread.clock import LoopClock, SystemClock
-from verbenathread.entry.cell_node import FabricNode, NodeContext
+from verbenathread.entry.cell_node import CellNode, NodeContext
 from verbenathread.entry.claims import ClaimsClient
-from verbenathread.entry.node_thread import EntryFabric
+from verbenathread.entry.node_thread import NodeThread
 from verbenathread.entry.peer_server import bound_socket
-from verbenathread.entry.settings_store import SharedTree
+from verbenathread.entry.settings_store import SettingsStore
 from verbenathread.exceptions import UnavailableError, UnknownOutcomeError
 from verbenathread.schema import control_pb2
 from verbenathread.types import (
@@ -124,10 +124,10 @@
     async def start(self, number, revision=1, key='k'):
         settings = node_settings(f'entry-{number}', self.cell, self.control)
         settings.node.node_key = key
-        shared = SharedTree()
+        shared = SettingsStore()
         if revision:
-            shared.take(tree_update(revision))
-        node = FabricNode(
+            shared.apply(tree_update(revision))
+        node = CellNode(
             NodeContext(settings, 1, LoopClock(), random.Random(number)),
             shared,
             FakeEngines(),
@@ -225,10 +225,10 @@
             second.publish(tree_update(2))
             cell = Nodes(1, f'{first.address},{second.address}')
             node = await cell.start(0, revision=0)
-            await until(node.shared.revision, LIMIT_MS)
+            await until(node.settings_store.revision, LIMIT_MS)
             await first.stop()
             replaced = await until(
-                lambda: node.shared.revision() == 2, LIMIT_MS
+                lambda: node.settings_store.revision() == 2, LIMIT_MS
             )
             self.assertTrue(replaced)
             await cell.close()
@@ -243,7 +243,9 @@
                 cell.start(0, 4), cell.start(1, 9), cell.start(2, 0)
             )
             same = await until(
-                lambda: {node.shared.revision() for node in nodes} == {9},
+                lambda: (
+                    {node.settings_store.revision() for node in nodes} == {9}
+                ),
                 LIMIT_MS,
             )
             self.assertTrue(same)
@@ -309,7 +311,7 @@
 class BlockingTest(unittest.TestCase):
     def test_ports_answer_from_worker_threads(self):
         settings = node_settings('entry-0', 'entry-0@127.0.0.1:1')
-        fabric = EntryFabric(settings)
+        fabric = NodeThread(settings)
         fabric.start()
         self.assertFalse(fabric.ready())
         ports = fabric.ports
--- a/tests/test_entry_reservation_stream.py
+++ b/tests/test_entry_reservation_stream.py
@@ -9,7 +9,10 @@
 
 from tests.cell_network import until
 from verbenathread.entry.peer_server import bound_socket
-from verbenathread.entry.reservation_stream import AskServer, AskStream
+from verbenathread.entry.reservation_stream import (
+    ReservationStream,
+    ReservationStreamServer,
+)
 from verbenathread.schema import peer_grpc, peer_pb2
 from verbenathread.types import Address
 
@@ -33,7 +36,7 @@
         return peer_pb2.ReserveReply(reservation_id=request.attempt_id)
 
     async def serve(self, stream):
-        await AskServer(self, stream).serve()
+        await ReservationStreamServer(self, stream).serve()
 
     def __mapping__(self):
         return {
@@ -54,7 +57,7 @@
             server = Server([host])
             await server.start(sock=listener)
             channel = Channel(*listener.getsockname())
-            asks = AskStream(peer_grpc.PeerStub(channel).Reserve.open)
+            asks = ReservationStream(peer_grpc.PeerStub(channel).Reserve.open)
             await method(case, host, asks, channel)
             asks.close()
             channel.close()
@@ -70,7 +73,7 @@
     request = peer_pb2.ReserveRequest(
         attempt_id=attempt_id, may_queue=may_queue
     )
-    return asyncio.create_task(asks.ask(request, limit))
+    return asyncio.create_task(asks.request(request, limit))
 
 
 class AskStreamTest(unittest.TestCase):
--- a/tests/test_entry_reservations.py
+++ b/tests/test_entry_reservations.py
@@ -4,7 +4,7 @@
 import unittest
 
 from tests.cell_network import until
-from tests.node_network import FabricNetwork
+from tests.node_network import NodeNetwork
 from tests.virtual_loop import run_virtual
 from verbenathread.entry import reservation_messages
 from verbenathread.scheduling.ledger import START_WITHIN
@@ -22,7 +22,7 @@
     def wrap(method):
         def run(case):
             async def main():
-                network = FabricNetwork(size)
+                network = NodeNetwork(size)
                 for node_id in network.ids:
                     await network.start(node_id)  # noqa: WPS476 - in order
                 renewals = asyncio.create_task(network.keep_announcing(*names))
@@ -335,4 +335,4 @@
 def _request(network, node_id):
     work = network.work(5000)
     ask = Ask(work, 'late', node_id, 5000)
-    return reservation_messages.request_of('e1', ask, 1, work.arrival)
+    return reservation_messages.encode_request('e1', ask, 1, work.arrival)
--- a/tools/cell_cost.py
+++ b/tools/cell_cost.py
@@ -21,9 +21,9 @@
 from tests.cell_network import engine
 from tests.node_network import FakeEngines, node_settings, tree_update
 from verbenathread.clock import SystemClock, seconds
-from verbenathread.entry.cell_node import FabricNode, NodeContext
+from verbenathread.entry.cell_node import CellNode, NodeContext
 from verbenathread.entry.peer_server import bound_socket
-from verbenathread.entry.settings_store import SharedTree
+from verbenathread.entry.settings_store import SettingsStore
 from verbenathread.observability.logs import configure
 from verbenathread.types import Address, Reservation, Work
 
@@ -100,7 +100,7 @@
         ]
         self._rng = random.Random(1)
         self._renewals: asyncio.Task[None] | None = None
-        self.nodes: list[FabricNode] = []
+        self.nodes: list[CellNode] = []
 
     async def start(self) -> None:
         """Start every entry, and wait until every engine has an owner."""
@@ -109,15 +109,15 @@
             for number, listener in enumerate(self._listeners)
         )
         for number, listener in enumerate(self._listeners):
-            shared = SharedTree()
-            shared.take(tree_update(1))
+            shared = SettingsStore()
+            shared.apply(tree_update(1))
             context = NodeContext(
                 node_settings(f'entry-{number}', cell),
                 1,
                 SystemClock(),
                 random.Random(number),
             )
-            node = FabricNode(context, shared, FakeEngines())
+            node = CellNode(context, shared, FakeEngines())
             self.nodes.append(node)
             await node.start(listener)  # noqa: WPS476 - one at a time
         self._renewals = asyncio.create_task(self._renew())
@@ -149,7 +149,7 @@
             await asyncio.sleep(pause)  # noqa: WPS476 - spread over time
 
 
-async def _serve_steadily(node: FabricNode, prefix: str) -> None:
+async def _serve_steadily(node: CellNode, prefix: str) -> None:
     """Reserve and release at a steady rate, each for half a second."""
     running: set[asyncio.Task[None]] = set()
     for number in itertools.count():
@@ -159,7 +159,7 @@
         await asyncio.sleep(1 / _RATE)  # noqa: WPS476 - a steady rate
 
 
-async def _hold_shortly(node: FabricNode, name: str) -> None:
+async def _hold_shortly(node: CellNode, name: str) -> None:
     granted = await node.reservations.reserve(_work(name), name)
     if not isinstance(granted, Reservation):
         raise RuntimeError(f'not granted: {granted}')
@@ -236,7 +236,7 @@
     )
 
 
-async def _reserve_once(node: FabricNode, number: int) -> None:
+async def _reserve_once(node: CellNode, number: int) -> None:
     granted = await node.reservations.reserve(_work(f'r{number}'), f'a{number}')
     if not isinstance(granted, Reservation):
         raise RuntimeError(f'not granted: {granted}')
--- a/verbenathread/entry/admissions.py
+++ b/verbenathread/entry/admissions.py
@@ -15,7 +15,7 @@
 from verbenathread.types import Millis, NodeId, Refusal, UpstreamRecord, Work
 
 # Usage is told to a peer this often at most.
-USAGE_EVERY: Millis = 1000
+USAGE_INTERVAL: Millis = 1000
 
 
 class PolicySource(Protocol):
@@ -93,7 +93,7 @@
         """Put in the usage that changed since a peer was last told."""
         told = self._told_by_peer.get(peer_id)
         now = self._clock.now()
-        if told is not None and now - told.at < USAGE_EVERY:
+        if told is not None and now - told.at < USAGE_INTERVAL:
             return
         message.usages_whole = told is None
         with self._lock:
--- a/verbenathread/entry/blocking_ports.py
+++ b/verbenathread/entry/blocking_ports.py
@@ -77,17 +77,19 @@
 
     def started(self, reservation: Reservation) -> None:
         """Tell that the engine has taken the attempt."""
-        self._loop.tell(self._reservations.started, reservation)
+        self._loop.call_soon(self._reservations.started, reservation)
 
     def progress(self, reservation: Reservation, output_tokens: int) -> None:
         """Tell how far the output has come."""
-        self._loop.tell(self._reservations.progress, reservation, output_tokens)
+        self._loop.call_soon(
+            self._reservations.progress, reservation, output_tokens
+        )
 
     def release(
         self, reservation: Reservation, *, output_tokens: int, failed: bool
     ) -> None:
         """Give the memory back once the engine holds nothing of it."""
-        self._loop.tell(
+        self._loop.call_soon(
             self._reservations.release,
             reservation,
             output_tokens=output_tokens,
@@ -96,7 +98,7 @@
 
     def abandon(self, work: Work) -> None:
         """Stop waiting: the caller has gone."""
-        self._loop.tell(self._reservations.abandon, work)
+        self._loop.call_soon(self._reservations.abandon, work)
 
 
 class BlockingClaims:
--- a/verbenathread/entry/cell_node.py
+++ b/verbenathread/entry/cell_node.py
@@ -14,13 +14,13 @@
 from verbenathread.entry.hold_outbox import HoldOutbox
 from verbenathread.entry.ledger_host import HoldReader, LedgerHost
 from verbenathread.entry.load_reports import LoadReports
-from verbenathread.entry.node_auth import NodeAccess
+from verbenathread.entry.node_auth import NodeAuth
 from verbenathread.entry.node_reports import NodeReports
 from verbenathread.entry.peer_channels import PeerCalls, PeerChannels
 from verbenathread.entry.peer_server import PeerServer, PeerService
 from verbenathread.entry.reservations import EngineReservations
-from verbenathread.entry.settings_fetcher import TreeFetch
-from verbenathread.entry.settings_store import SharedTree
+from verbenathread.entry.settings_fetcher import SettingsFetcher
+from verbenathread.entry.settings_store import SettingsStore
 from verbenathread.membership.cell import Cell, NodeIdentity
 from verbenathread.observability.logs import get_logger
 from verbenathread.schema import peer_pb2, settings_pb2
@@ -44,27 +44,27 @@
     rng: random.Random
 
 
-class FabricNode:
+class CellNode:
     """Everything between this entry, its peers and control."""
 
     def __init__(
         self,
         context: NodeContext,
-        shared: SharedTree,
+        settings_store: SettingsStore,
         reader: HoldReader,
         channels: PeerCalls | None = None,
     ) -> None:
         """Connect the parts; nothing runs before :meth:`start`."""
         settings = context.settings
         clock = context.clock
-        self.shared = shared
+        self.settings_store = settings_store
         peers = parse_peers(settings.entry.cell)
-        access = NodeAccess(settings.node)
+        auth = NodeAuth(settings.node)
         others = [peer for peer in peers if peer.node_id != settings.node.id]
-        self._channels = channels or PeerChannels(others, access)
+        self._channels = channels or PeerChannels(others, auth)
         self._loads = LoadReports(clock)
-        self.admissions = CellAdmissions(len(peers), shared, clock)
-        self._fetch = TreeFetch(shared, self._channels)
+        self.admissions = CellAdmissions(len(peers), settings_store, clock)
+        self._fetcher = SettingsFetcher(settings_store, self._channels)
         self.cell = Cell(
             NodeIdentity(
                 settings.node.id,
@@ -76,25 +76,34 @@
             self._lease_of,
         )
         self.host = LedgerHost(
-            self.cell, reader, shared.policy, self._holdings_at, clock
+            self.cell, reader, settings_store.policy, self._holdings_at, clock
         )
         self.owners = EngineOwners(self.cell, self.host, self._channels, clock)
         self.outbox = HoldOutbox(self.host, self.cell)
         self.reservations = EngineReservations(
-            self.cell, self.owners, self.outbox, shared, clock, context.rng
+            self.cell,
+            self.owners,
+            self.outbox,
+            settings_store,
+            clock,
+            context.rng,
         )
         self._loads.connect(self.cell.table, self.reservations)
         self.admissions.connect(self.cell.table)
-        self.cell.carry(self._loads, self._fetch, self.outbox, self.admissions)
+        self.cell.carry(
+            self._loads, self._fetcher, self.outbox, self.admissions
+        )
         addresses = parse_addresses(settings.entry.control)
         self.claims = ClaimsClient(addresses, settings.node, clock, context.rng)
-        reports = NodeReports(settings, self.cell, shared, clock)
+        reports = NodeReports(settings, self.cell, settings_store, clock)
         self._session = ControlSession(
-            addresses, shared, reports.report, context.rng
+            addresses, settings_store, reports.report, context.rng
         )
         self._server = PeerServer(
-            PeerService(self.cell, self.host, self.reservations.held, shared),
-            access,
+            PeerService(
+                self.cell, self.host, self.reservations.held, settings_store
+            ),
+            auth,
         )
         self._tasks: tuple[asyncio.Task[None], ...] = ()
 
@@ -108,7 +117,7 @@
             for work in (
                 self.outbox.run(),
                 self._session.run(),
-                self._fetch.run(),
+                self._fetcher.run(),
                 self._loads.run(self.host),
             )
         )
@@ -116,7 +125,7 @@
     async def stop(self) -> None:
         """Send what is due, hand the leases over, and end."""
         for _ in range(_FLUSH_TRIES):
-            self.outbox.push()
+            self.outbox.flush()
             if not self.outbox:
                 break
             await asyncio.sleep(  # noqa: WPS476 - one try at a time
@@ -145,7 +154,7 @@
         return (*self.reservations.held.at(upstream_id), *others)
 
     def _lease_of(self, service: str) -> Millis:
-        settings = self.shared.service(service)
+        settings = self.settings_store.service(service)
         return _UNKNOWN_SERVICE_LEASE_MS if settings is None else settings.lease
 
 
--- a/verbenathread/entry/claims.py
+++ b/verbenathread/entry/claims.py
@@ -8,7 +8,7 @@
 from grpclib.client import Channel
 
 from verbenathread.clock import Clock, seconds
-from verbenathread.entry.control_session import FAULTS, control_channel
+from verbenathread.entry.control_session import RPC_ERRORS, control_channel
 from verbenathread.exceptions import (
     SettingsError,
     UnavailableError,
@@ -103,7 +103,7 @@
             # Nothing was sent.
             self._leader = None
             raise _refused(f'{address} takes no connection') from None
-        except FAULTS:
+        except RPC_ERRORS:
             self._drop(address)
             raise _lost() from None
         if reply.answer.code == control_pb2.NOT_LEADER:
--- a/verbenathread/entry/control_session.py
+++ b/verbenathread/entry/control_session.py
@@ -12,7 +12,7 @@
 
 from verbenathread.clock import seconds
 from verbenathread.entry.background import Background
-from verbenathread.entry.settings_store import SharedTree
+from verbenathread.entry.settings_store import SettingsStore
 from verbenathread.observability.logs import get_logger
 from verbenathread.rpc_channel import PeerChannel
 from verbenathread.schema import control_grpc, control_pb2
@@ -29,7 +29,7 @@
 _PING_EVERY_S = 3.0
 _PING_TIMEOUT_S = 3.0
 
-FAULTS = (
+RPC_ERRORS = (
     grpclib.GRPCError,
     StreamTerminatedError,
     OSError,
@@ -61,13 +61,13 @@
     def __init__(
         self,
         addresses: Sequence[Address],
-        shared: SharedTree,
+        settings_store: SettingsStore,
         report: Callable[[], control_pb2.NodeReport],
         rng: random.Random,
     ) -> None:
         """``report`` tells who the node is and what it runs."""
         self._addresses = tuple(addresses)
-        self._shared = shared
+        self._settings_store = settings_store
         self._report = report
         self._rng = rng
         self._due = asyncio.Event()
@@ -101,7 +101,7 @@
             async with stub.Session.open() as stream:
                 await stream.send_message(self._report())
                 await self._follow(stream)
-        except FAULTS as error:
+        except RPC_ERRORS as error:
             _log.info(
                 'A session with control ended.',
                 control=str(address),
@@ -118,7 +118,7 @@
                 if update is None:
                     raise ConnectionResetError('control closed the session')
                 self._heard = True
-                if self._shared.take(update):
+                if self._settings_store.apply(update):
                     self._due.set()
 
     async def _send_reports(self, stream: _SessionStream) -> None:
--- a/verbenathread/entry/daemon.py
+++ b/verbenathread/entry/daemon.py
@@ -135,7 +135,7 @@
 def _entry_fabric(settings: settings_pb2.NodeSettings) -> Fabric:
     # Loaded late: callers that bring a fabric of their own need no grpclib.
     module = importlib.import_module('verbenathread.entry.node_thread')
-    fabric: Fabric = module.EntryFabric(settings)
+    fabric: Fabric = module.NodeThread(settings)
     return fabric
 
 
--- a/verbenathread/entry/engine_owners.py
+++ b/verbenathread/entry/engine_owners.py
@@ -45,20 +45,20 @@
         """Ask the owner; a reply that is returned is a refusal."""
         identity = self._cell.identity
         now = self._clock.now()
-        request = reservation_messages.request_of(
+        request = reservation_messages.encode_request(
             upstream_id, ask, identity.incarnation, now
         )
         request.may_queue = may_queue
         owner_id = self._cell.engine_leases.owner(upstream_id)
         if owner_id is None:
-            return reservation_messages.not_owner('No entry', upstream_id)
+            return reservation_messages.not_owner_reply('No entry', upstream_id)
         limit = _QUICK_MS
         if may_queue:
             limit = max(0, ask.work.deadline - now) + _SLACK_MS
         try:
             reply = await self._ask(owner_id, request, limit)
         except UnavailableError:
-            return reservation_messages.not_owner(owner_id, upstream_id)
+            return reservation_messages.not_owner_reply(owner_id, upstream_id)
         if reply.refusal:
             return reply
         return self._reservation(owner_id, upstream_id, ask, reply)
@@ -126,7 +126,7 @@
                 start_by = view.earliest_local(reply.start_by_ms)
         if start_by is None or start_by <= self._clock.now():
             # Too late to use: the owner takes the memory back by itself.
-            return reservation_messages.not_owner(owner_id, upstream_id)
+            return reservation_messages.not_owner_reply(owner_id, upstream_id)
         return Reservation(
             reservation_id=reply.reservation_id,
             attempt_id=ask.attempt_id,
--- a/verbenathread/entry/hold_outbox.py
+++ b/verbenathread/entry/hold_outbox.py
@@ -86,10 +86,10 @@
     async def run(self) -> None:
         """Try again what no owner has taken, until cancelled."""
         while True:
-            self.push()
+            self.flush()
             await asyncio.sleep(seconds(_STEP_MS))
 
-    def push(self) -> None:
+    def flush(self) -> None:
         """Try to pass on whatever there is."""
         for pending in tuple(self._pending_by_id.values()):
             self._push(pending)
--- a/verbenathread/entry/ledger_host.py
+++ b/verbenathread/entry/ledger_host.py
@@ -101,7 +101,7 @@
         """Answer an ask for memory, from this entry or a peer."""
         engine = self.engine(request.upstream_id)
         if engine is None:
-            return reservation_messages.not_owner(
+            return reservation_messages.not_owner_reply(
                 self._cell.identity.node_id, request.upstream_id
             )
         return await engine.reserve(request)
@@ -129,7 +129,7 @@
         while True:
             self._follow_terms()
             for engine in tuple(self._engine_by_id.values()):
-                engine.pump()
+                engine.grant_waiting()
             await asyncio.sleep(seconds(_STEP_MS))
 
     def _follow_terms(self) -> None:
@@ -219,7 +219,7 @@
         if record is None:
             return
         engine.ledger.policy = self._policy_of(record.service)
-        doubtful = engine.doubtful(self._is_alive)
+        doubtful = engine.unconfirmed_grants(self._is_alive)
         if not doubtful:
             return
         try:
@@ -229,7 +229,7 @@
             return
         listed_ids = frozenset(hold.attempt_id for hold in listed)
         for grant in doubtful:
-            engine.settle(grant, listed_ids)
+            engine.reconcile(grant, listed_ids)
 
     def _is_alive(self, entry_id: NodeId, incarnation: int) -> bool:
         identity = self._cell.identity
--- a/verbenathread/entry/loop_thread.py
+++ b/verbenathread/entry/loop_thread.py
@@ -59,7 +59,7 @@
                 + 'processor time.'
             ) from None
 
-    def tell(
+    def call_soon(
         self,
         action: Callable[_Arguments, None],
         *arguments: _Arguments.args,
--- a/verbenathread/entry/node_auth.py
+++ b/verbenathread/entry/node_auth.py
@@ -13,7 +13,7 @@
 _NODE_KEY = 'verbenathread-node-key'
 
 
-class NodeAccess:
+class NodeAuth:
     """The cluster and the key that its nodes share."""
 
     def __init__(self, node: settings_pb2.NodeSection) -> None:
--- a/verbenathread/entry/node_reports.py
+++ b/verbenathread/entry/node_reports.py
@@ -1,7 +1,7 @@
 """What an entry reports of itself to control."""
 
 from verbenathread.clock import Clock
-from verbenathread.entry.settings_store import SharedTree
+from verbenathread.entry.settings_store import SettingsStore
 from verbenathread.membership.cell import Cell
 from verbenathread.schema import control_pb2, settings_pb2
 from verbenathread.types import Millis, UpstreamRecord
@@ -18,13 +18,13 @@
         self,
         settings: settings_pb2.NodeSettings,
         cell: Cell,
-        shared: SharedTree,
+        settings_store: SettingsStore,
         clock: Clock,
     ) -> None:
         """Take what the reports tell of."""
         self._settings = settings
         self._cell = cell
-        self._shared = shared
+        self._settings_store = settings_store
         self._clock = clock
         self._told_digest = 0
         self._tell_again_at: Millis = 0
@@ -38,7 +38,7 @@
             data_centre=node.data_centre,
             role=_ROLE,
             address=self._settings.entry.peer_listen,
-            revision=self._shared.revision(),
+            revision=self._settings_store.revision(),
             stopping=self._cell.stopping,
             cluster=node.cluster,
             node_key=node.node_key,
--- a/verbenathread/entry/node_thread.py
+++ b/verbenathread/entry/node_thread.py
@@ -16,11 +16,11 @@
     BlockingUpstreams,
 )
 from verbenathread.entry.callers_side import Ports
-from verbenathread.entry.cell_node import FabricNode, NodeContext
+from verbenathread.entry.cell_node import CellNode, NodeContext
 from verbenathread.entry.hold_reader import HttpHoldReader
 from verbenathread.entry.loop_thread import LoopThread
 from verbenathread.entry.peer_server import bound_socket
-from verbenathread.entry.settings_store import SharedTree
+from verbenathread.entry.settings_store import SettingsStore
 from verbenathread.exceptions import SettingsError
 from verbenathread.scheduling.messages import EngineHold
 from verbenathread.schema import settings_pb2
@@ -43,7 +43,7 @@
         """
 
 
-class EntryFabric:
+class NodeThread:
     """The ports of one entry; they answer once it is started."""
 
     def __init__(
@@ -59,14 +59,14 @@
         rng = random.Random(f'{settings.node.id} {self.incarnation}')
         self._settings = settings
         self._loop = LoopThread('fabric')
-        self._shared = SharedTree()
-        self._node = FabricNode(
+        self._settings_store = SettingsStore()
+        self._node = CellNode(
             NodeContext(settings, self.incarnation, clock, rng),
-            self._shared,
+            self._settings_store,
             _ThreadedReader(reader or HttpHoldReader(clock)),
         )
         self.ports = Ports(
-            self._shared,
+            self._settings_store,
             BlockingUpstreams(self._node.cell, self._loop),
             BlockingReservations(self._node.reservations, self._loop, clock),
             BlockingClaims(self._node.claims, self._loop),
@@ -93,7 +93,7 @@
 
     def ready(self) -> bool:
         """Tell whether shared settings are in force."""
-        return self._shared.revision() > 0
+        return self._settings_store.revision() > 0
 
 
 class _ThreadedReader:
--- a/verbenathread/entry/owned_engine.py
+++ b/verbenathread/entry/owned_engine.py
@@ -100,15 +100,15 @@
         """Grant, refuse, or wait in the queue for as long as the call."""
         if not self._holds_lease():
             return self._not_owner()
-        ask = reservation_messages.ask_of(request, self._clock)
+        ask = reservation_messages.decode_request(request, self._clock)
         if ask.group:
             self._renew(ask.attempt_id)
         outcome = self.ledger.ask(ask)
-        self.pump()
+        self.grant_waiting()
         if isinstance(outcome, Reservation):
             return self._granted(outcome, request)
         if isinstance(outcome, Refusal):
-            return reservation_messages.refused(outcome)
+            return reservation_messages.encode_refusal(outcome)
         if not request.may_queue:
             self.ledger.cancel(ask.attempt_id)
             return peer_pb2.ReserveReply(
@@ -133,7 +133,7 @@
             self._note_started(grant)
             self.ledger.progress(grant.reservation_id, update.output_tokens)
 
-    def pump(self) -> None:
+    def grant_waiting(self) -> None:
         """Answer the waiters for whom there is memory now."""
         if not self._waiter_by_attempt or not self._holds_lease():
             return
@@ -150,7 +150,7 @@
             if not waiter.reply.done():
                 waiter.reply.set_result(self._not_owner())
 
-    def doubtful(
+    def unconfirmed_grants(
         self, is_alive: Callable[[NodeId, int], bool]
     ) -> tuple[Grant, ...]:
         """Return the grants that only the engine can tell of.
@@ -170,7 +170,7 @@
             found.append(grant)
         return tuple(found)
 
-    def settle(self, grant: Grant, listed_ids: frozenset[str]) -> None:
+    def reconcile(self, grant: Grant, listed_ids: frozenset[str]) -> None:
         """Take what the engine says of a doubtful grant."""
         if self._clock.now() <= grant.start_by + ARRIVAL_MS:
             # It was renewed while the engine was read.
@@ -192,7 +192,7 @@
                 reply = await waiter.reply
             answered = True
         except TimeoutError:
-            return reservation_messages.refused(
+            return reservation_messages.encode_refusal(
                 Refusal(
                     RefusalReason.DEADLINE,
                     'No memory came free within the time limit; retry later '
@@ -259,7 +259,7 @@
             return
         if self.ledger.renew(grant.reservation_id) is None:
             self._grant_by_id.pop(grant.reservation_id)
-            self.pump()
+            self.grant_waiting()
 
     def _note_started(self, grant: Grant) -> None:
         grant.started = True
@@ -268,9 +268,9 @@
     def _drop(self, grant: Grant, output_tokens: int) -> None:
         self._grant_by_id.pop(grant.reservation_id)
         self.ledger.release(grant.reservation_id, output_tokens)
-        self.pump()
+        self.grant_waiting()
 
     def _not_owner(self) -> peer_pb2.ReserveReply:
-        return reservation_messages.not_owner(
+        return reservation_messages.not_owner_reply(
             self._node_id, self.ledger.upstream_id
         )
--- a/verbenathread/entry/peer_channels.py
+++ b/verbenathread/entry/peer_channels.py
@@ -10,8 +10,8 @@
 from grpclib.exceptions import ProtocolError, StreamTerminatedError
 
 from verbenathread.clock import seconds
-from verbenathread.entry.node_auth import NodeAccess
-from verbenathread.entry.reservation_stream import AskStream
+from verbenathread.entry.node_auth import NodeAuth
+from verbenathread.entry.reservation_stream import ReservationStream
 from verbenathread.membership.cell import PeerUnreachableError
 from verbenathread.rpc_channel import PeerChannel
 from verbenathread.schema import peer_grpc, peer_pb2
@@ -37,14 +37,14 @@
 class _PeerChannel:
     """The channel to one peer, and its one stream of messages."""
 
-    def __init__(self, peer: Peer, access: NodeAccess) -> None:
+    def __init__(self, peer: Peer, auth: NodeAuth) -> None:
         self._peer = peer
-        self._access = access
+        self._auth = auth
         self._channel: Channel | None = None
         self._stack = contextlib.AsyncExitStack()
         self._stream: _LinkStream | None = None
         self._failures = 0
-        self.asks = AskStream(self._open_asks)
+        self.asks = ReservationStream(self._open_asks)
 
     def stub(self) -> peer_grpc.PeerStub:
         """Return a stub over the channel, made anew if there is none."""
@@ -58,7 +58,7 @@
     ) -> peer_pb2.PeerReply | None:
         """Send a message on the stream and wait for its reply."""
         if self._stream is None:
-            opened = self.stub().Link.open(metadata=self._access.metadata)
+            opened = self.stub().Link.open(metadata=self._auth.metadata)
             self._stream = await self._stack.enter_async_context(opened)
         await self._stream.send_message(message)
         return await self._stream.recv_message()
@@ -91,7 +91,7 @@
         self._failures = 0
 
     def _open_asks(self) -> _AskStream:
-        return self.stub().Reserve.open(metadata=self._access.metadata)
+        return self.stub().Reserve.open(metadata=self._auth.metadata)
 
 
 class PeerCalls(Protocol):
@@ -127,11 +127,11 @@
 class PeerChannels:
     """Carries messages and calls to the peers of this entry."""
 
-    def __init__(self, peers: Iterable[Peer], access: NodeAccess) -> None:
+    def __init__(self, peers: Iterable[Peer], auth: NodeAuth) -> None:
         """Take the other entries of the cell; connect when first used."""
-        self._access = access
+        self._auth = auth
         self._channel_by_id = {
-            peer.node_id: _PeerChannel(peer, access) for peer in peers
+            peer.node_id: _PeerChannel(peer, auth) for peer in peers
         }
 
     async def exchange(
@@ -158,7 +158,9 @@
     ) -> peer_pb2.ReserveReply:
         """Ask the owner of an engine for memory; ends with the caller."""
         try:
-            return await self._channel_by_id[peer_id].asks.ask(request, limit)
+            return await self._channel_by_id[peer_id].asks.request(
+                request, limit
+            )
         except (OSError, TimeoutError) as error:
             raise _unreachable(peer_id, error) from None
 
@@ -171,7 +173,7 @@
             lambda stub: stub.Holdings(
                 request,
                 timeout=seconds(limit),
-                metadata=self._access.metadata,
+                metadata=self._auth.metadata,
             ),
         )
 
@@ -187,7 +189,7 @@
             lambda stub: stub.FetchTree(
                 request,
                 timeout=seconds(limit),
-                metadata=self._access.metadata,
+                metadata=self._auth.metadata,
             ),
         )
 
--- a/verbenathread/entry/peer_server.py
+++ b/verbenathread/entry/peer_server.py
@@ -8,16 +8,16 @@
 from grpclib.server import Server, Stream
 
 from verbenathread.entry.ledger_host import LedgerHost
-from verbenathread.entry.node_auth import NodeAccess
-from verbenathread.entry.reservation_stream import AskServer
-from verbenathread.entry.settings_store import SharedTree
+from verbenathread.entry.node_auth import NodeAuth
+from verbenathread.entry.reservation_stream import ReservationStreamServer
+from verbenathread.entry.settings_store import SettingsStore
 from verbenathread.exceptions import UnavailableError
 from verbenathread.membership.cell import Cell
 from verbenathread.schema import peer_grpc, peer_pb2
 from verbenathread.types import Address, UpstreamId
 
 
-class HoldingsBook(Protocol):
+class LocalHoldings(Protocol):
     """What this entry has reserved."""
 
     def at(self, upstream_id: UpstreamId) -> Sequence[peer_pb2.Holding]:
@@ -31,14 +31,14 @@
         self,
         cell: Cell,
         host: LedgerHost,
-        holdings: HoldingsBook,
-        shared: SharedTree,
+        holdings: LocalHoldings,
+        settings_store: SettingsStore,
     ) -> None:
         """Take the parts that answer."""
         self._cell = cell
         self._host = host
         self._holdings = holdings
-        self._shared = shared
+        self._settings_store = settings_store
 
     async def Link(  # noqa: N802 - the name in the schema
         self, stream: Stream[peer_pb2.PeerMessage, peer_pb2.PeerReply]
@@ -60,7 +60,7 @@
         self, stream: Stream[peer_pb2.ReserveRequest, peer_pb2.ReserveReply]
     ) -> None:
         """Answer asks for memory; every wait ends with the stream."""
-        await AskServer(self._host, stream).serve()
+        await ReservationStreamServer(self._host, stream).serve()
 
     async def Holdings(  # noqa: N802 - the name in the schema
         self, stream: Stream[peer_pb2.HoldingsRequest, peer_pb2.HoldingsReply]
@@ -77,7 +77,7 @@
         """Hand out the shared settings that run here."""
         request = await stream.recv_message()
         if request is not None:
-            update = self._shared.newer_than(request.revision)
+            update = self._settings_store.update_since(request.revision)
             await stream.send_message(
                 peer_pb2.FetchTreeReply(
                     revision=update.revision, branches=update.branches
@@ -88,16 +88,16 @@
 class PeerServer:
     """Listens for the other entries."""
 
-    def __init__(self, service: PeerService, access: NodeAccess) -> None:
+    def __init__(self, service: PeerService, auth: NodeAuth) -> None:
         """Take the service and what its callers must show."""
         self._service = service
-        self._access = access
+        self._auth = auth
         self._server: Server | None = None
 
     async def start(self, listener: socket.socket) -> None:
         """Serve on a bound socket."""
         self._server = Server([self._service])
-        self._access.guard(self._server)
+        self._auth.guard(self._server)
         await self._server.start(sock=listener)
 
     async def stop(self) -> None:
--- a/verbenathread/entry/reservation_messages.py
+++ b/verbenathread/entry/reservation_messages.py
@@ -19,7 +19,7 @@
 QUEUED: Final = 'queued'
 
 
-def request_of(
+def encode_request(
     upstream_id: UpstreamId, ask: Ask, incarnation: int, now: Millis
 ) -> peer_pb2.ReserveRequest:
     """Return the message that asks an owner for memory."""
@@ -46,7 +46,7 @@
     )
 
 
-def ask_of(request: peer_pb2.ReserveRequest, clock: Clock) -> Ask:
+def decode_request(request: peer_pb2.ReserveRequest, clock: Clock) -> Ask:
     """Return the ask in a message, in the time of this node's clock."""
     now = clock.now()
     work = Work(
@@ -72,7 +72,7 @@
     )
 
 
-def not_owner(
+def not_owner_reply(
     node_id: NodeId, upstream_id: UpstreamId
 ) -> peer_pb2.ReserveReply:
     """Return the refusal of an entry that does not own the engine now."""
@@ -82,7 +82,7 @@
     )
 
 
-def refused(refusal: Refusal) -> peer_pb2.ReserveReply:
+def encode_refusal(refusal: Refusal) -> peer_pb2.ReserveReply:
     """Return the message of a refusal by the ledger."""
     return peer_pb2.ReserveReply(
         refusal=refusal.reason.value,
@@ -91,7 +91,7 @@
     )
 
 
-def refusal_of(reply: peer_pb2.ReserveReply) -> Refusal:
+def decode_refusal(reply: peer_pb2.ReserveReply) -> Refusal:
     """Return the refusal in a reply, as callers may see it."""
     reason = RefusalReason.OVERLOADED
     if reply.refusal not in {NOT_OWNER, QUEUED}:
--- a/verbenathread/entry/reservation_stream.py
+++ b/verbenathread/entry/reservation_stream.py
@@ -31,7 +31,7 @@
 _ServerStream = Stream[peer_pb2.ReserveRequest, peer_pb2.ReserveReply]
 
 
-class AskStream:
+class ReservationStream:
     """The asking end; opens the stream with the first ask."""
 
     def __init__(self, opens: Callable[[], _ClientStream]) -> None:
@@ -45,7 +45,7 @@
         self._sending = asyncio.Lock()
         self._tasks: set[asyncio.Task[Any]] = set()
 
-    async def ask(
+    async def request(
         self, request: peer_pb2.ReserveRequest, limit: Millis
     ) -> peer_pb2.ReserveReply:
         """Return the answer; the wait at the peer ends with this call.
@@ -141,7 +141,7 @@
             task.exception()
 
 
-class AskServer:
+class ReservationStreamServer:
     """The answering end of one stream."""
 
     def __init__(self, host: LedgerHost, stream: _ServerStream) -> None:
--- a/verbenathread/entry/reservations.py
+++ b/verbenathread/entry/reservations.py
@@ -16,7 +16,7 @@
 from verbenathread.entry.group_reservations import GroupReservation
 from verbenathread.entry.held_reservations import HeldReservations
 from verbenathread.entry.hold_outbox import HoldOutbox
-from verbenathread.entry.settings_store import SharedTree
+from verbenathread.entry.settings_store import SettingsStore
 from verbenathread.membership.cell import Cell
 from verbenathread.scheduling.candidates import CandidateWalk, look_again_after
 from verbenathread.scheduling.groups import GroupClaim, group_size
@@ -73,7 +73,7 @@
         cell: Cell,
         owners: EngineOwners,
         outbox: HoldOutbox,
-        settings: SharedTree,
+        settings_store: SettingsStore,
         clock: Clock,
         rng: random.Random,
     ) -> None:
@@ -83,7 +83,7 @@
         self._cell = cell
         self._owners = owners
         self._outbox = outbox
-        self._settings = settings
+        self._settings_store = settings_store
         self._clock = clock
         self._rng = rng
         self._router_by_service: dict[str, Router] = {}
@@ -196,7 +196,7 @@
         size = group_size(
             needed,
             candidates.largest_tokens,
-            self._settings.policy(work.service),
+            self._settings_store.policy(work.service),
         )
         if size > len(engines):
             return Refusal(
@@ -243,7 +243,7 @@
         self, upstream_id: UpstreamId, ask: Ask, expected_wait: Millis
     ) -> _Outcome | None:
         """Wait in one engine's queue; None when it is time to look again."""
-        policy = self._settings.policy(ask.work.service)
+        policy = self._settings_store.policy(ask.work.service)
         patience = look_again_after(ask.work, expected_wait, policy, CURRENT)
         limit = None if patience is None else seconds(patience)
         try:
@@ -320,7 +320,7 @@
         self, work: Work, engines: Sequence[UpstreamRecord]
     ) -> list[UpstreamId]:
         router = self._router(work.service)
-        router.policy = self._settings.policy(work.service)
+        router.policy = self._settings_store.policy(work.service)
         failed_ids = self.held.failed_ids(work.request_id)
         now = self._clock.now()
         aside_ids = self._outliers.put_aside(now)
@@ -334,12 +334,12 @@
     def _router(self, service: str) -> Router:
         if service not in self._router_by_service:
             self._router_by_service[service] = Router(
-                self._settings.policy(service), self._rng
+                self._settings_store.policy(service), self._rng
             )
         return self._router_by_service[service]
 
     def _weight(self, account: str) -> float:
-        settings = self._settings.account(account)
+        settings = self._settings_store.account(account)
         return 1.0 if settings is None else settings.weight
 
 
@@ -365,7 +365,7 @@
     if not final:
         return None
     soonest = min(final, key=lambda refusal: refusal.retry_after_ms)
-    return reservation_messages.refusal_of(soonest)
+    return reservation_messages.decode_refusal(soonest)
 
 
 def _final(outcome: Reservation | peer_pb2.ReserveReply) -> _Outcome | None:
@@ -373,4 +373,4 @@
         return outcome
     if outcome.refusal == reservation_messages.NOT_OWNER:
         return None
-    return reservation_messages.refusal_of(outcome)
+    return reservation_messages.decode_refusal(outcome)
--- a/verbenathread/entry/settings_fetcher.py
+++ b/verbenathread/entry/settings_fetcher.py
@@ -8,7 +8,7 @@
 
 from verbenathread.clock import seconds
 from verbenathread.entry.peer_channels import PeerCalls
-from verbenathread.entry.settings_store import SharedTree
+from verbenathread.entry.settings_store import SettingsStore
 from verbenathread.exceptions import UnavailableError
 from verbenathread.schema import control_pb2, peer_pb2
 from verbenathread.types import NodeId
@@ -18,18 +18,20 @@
 _FETCH_MS = 2000
 
 
-class TreeFetch:
+class SettingsFetcher:
     """Rides on the messages of the cell, and fetches what is later."""
 
-    def __init__(self, shared: SharedTree, channels: PeerCalls) -> None:
+    def __init__(
+        self, settings_store: SettingsStore, channels: PeerCalls
+    ) -> None:
         """Take the tree to keep up to date."""
-        self._shared = shared
+        self._settings_store = settings_store
         self._channels = channels
         self._revision_by_peer: dict[NodeId, int] = {}
 
     def compose(self, peer_id: NodeId, message: peer_pb2.PeerMessage) -> None:
         """Name the revision in force here."""
-        message.revision = self._shared.revision()
+        message.revision = self._settings_store.revision()
 
     def answer(
         self, message: peer_pb2.PeerMessage, reply: peer_pb2.PeerReply
@@ -48,27 +50,29 @@
     async def run(self) -> None:
         """Fetch from the peer that is furthest ahead, until cancelled."""
         while True:
-            if self._shared.revision():
+            if self._settings_store.revision():
                 await asyncio.sleep(seconds(_PATIENCE_MS))
             else:
                 await asyncio.sleep(seconds(_PATIENCE_MS // 10))
             later_by_peer = {
                 peer_id: revision
                 for peer_id, revision in self._revision_by_peer.items()
-                if revision > self._shared.revision()
+                if revision > self._settings_store.revision()
             }
             if later_by_peer:
                 latest_id = max(later_by_peer, key=later_by_peer.__getitem__)
                 await self._fetch(latest_id)
 
     async def _fetch(self, peer_id: NodeId) -> None:
-        request = peer_pb2.FetchTreeRequest(revision=self._shared.revision())
+        request = peer_pb2.FetchTreeRequest(
+            revision=self._settings_store.revision()
+        )
         try:
             reply = await self._channels.fetch_tree(peer_id, request, _FETCH_MS)
         except UnavailableError:
             self._revision_by_peer.pop(peer_id, None)
             return
-        self._shared.take(
+        self._settings_store.apply(
             control_pb2.TreeUpdate(
                 revision=reply.revision, whole=True, branches=reply.branches
             )
--- a/verbenathread/entry/settings_store.py
+++ b/verbenathread/entry/settings_store.py
@@ -19,7 +19,7 @@
     tree: EffectiveTree
 
 
-class SharedTree:
+class SettingsStore:
     """Answers from the tree in force; any thread may read."""
 
     def __init__(self) -> None:
@@ -53,7 +53,7 @@
         """Return the policy of the branch that holds the service."""
         return self._in_force.tree.policy(service)
 
-    def newer_than(self, revision: int) -> control_pb2.TreeUpdate:
+    def update_since(self, revision: int) -> control_pb2.TreeUpdate:
         """Return the whole tree, or nothing if ``revision`` is as late."""
         current = self._in_force
         if current.revision <= revision:
@@ -64,7 +64,7 @@
             branches=current.branch_by_path.values(),
         )
 
-    def take(self, update: control_pb2.TreeUpdate) -> bool:
+    def apply(self, update: control_pb2.TreeUpdate) -> bool:
         """Put an update in force unless it is no later; say whether it was."""
         with self._lock:
             current = self._in_force
