--- a/tests/entry_fakes.py
+++ b/tests/entry_fakes.py
@@ -6,9 +6,9 @@
 import time
 
 from verbenathread.clock import SystemClock
-from verbenathread.entry.callers_side import CallersSide, Ports
 from verbenathread.entry.engine_client import Owner
 from verbenathread.entry.exchange import Limits
+from verbenathread.entry.http_frontend import CallersSide, Ports
 from verbenathread.observability.metrics import EntryMetrics
 from verbenathread.schema import control_pb2, settings_pb2
 from verbenathread.types import (
--- a/tests/test_entry_daemon.py
+++ b/tests/test_entry_daemon.py
@@ -20,8 +20,8 @@
 )
 from tests.standins.processes import LocalStandIn
 from tests.test_entry_relay import MODEL, WHOLE, streamed_text
-from verbenathread.entry.callers_side import Ports
 from verbenathread.entry.daemon import EntryDaemon
+from verbenathread.entry.http_frontend import Ports
 from verbenathread.exceptions import SettingsError
 from verbenathread.replay.trace import read_trace
 from verbenathread.schema import settings_pb2
--- a/tests/test_entry_fabric.py
+++ b/tests/test_entry_fabric.py
@@ -11,7 +11,7 @@
 from tests.cell_network import engine, until
 from tests.fabric_network import FakeEngines, node_settings, tree_update
 from verbenathread.clock import LoopClock, SystemClock
-from verbenathread.entry.claims import ClaimsClient
+from verbenathread.entry.claims_client import ClaimsClient
 from verbenathread.entry.fabric import EntryFabric
 from verbenathread.entry.fabric_node import FabricNode, NodeContext
 from verbenathread.entry.peers import bound_socket
--- a/verbenathread/entry/access.py
+++ b/verbenathread/entry/access.py
@@ -4,9 +4,9 @@
 from typing import NamedTuple
 
 from verbenathread.clock import Clock
+from verbenathread.entry.error_responses import CallerError
 from verbenathread.entry.exchange import Exchange
 from verbenathread.entry.ports import SharedSettings
-from verbenathread.entry.replies import CallerError
 from verbenathread.entry.request_state import Deadline
 from verbenathread.schema import settings_pb2
 
--- a/verbenathread/entry/announce_service.py
+++ b/verbenathread/entry/announce_service.py
@@ -9,9 +9,9 @@
 from types import MappingProxyType
 from typing import Any
 
+from verbenathread.entry.error_responses import CallerError
 from verbenathread.entry.exchange import Exchange
 from verbenathread.entry.ports import SharedSettings, Upstreams
-from verbenathread.entry.replies import CallerError
 from verbenathread.observability.logs import get_logger
 from verbenathread.schema import settings_pb2
 from verbenathread.types import (
--- a/verbenathread/entry/application.py
+++ b/verbenathread/entry/application.py
@@ -5,11 +5,11 @@
 from typing import NamedTuple
 
 from verbenathread.entry.announce_service import AnnounceService
+from verbenathread.entry.error_responses import CallerError
 from verbenathread.entry.exchange import Exchange
 from verbenathread.entry.http_server import overloaded
 from verbenathread.entry.model_service import ModelService
 from verbenathread.entry.plain_service import PlainService
-from verbenathread.entry.replies import CallerError
 from verbenathread.observability.logs import set_request_id
 from verbenathread.observability.metrics import EntryMetrics
 
--- a/verbenathread/entry/blocking_ports.py
+++ b/verbenathread/entry/blocking_ports.py
@@ -1,7 +1,7 @@
 """The ports of the callers' side, over the event loop of the fabric."""
 
 from verbenathread.clock import Clock
-from verbenathread.entry.claims import ClaimsClient
+from verbenathread.entry.claims_client import ClaimsClient
 from verbenathread.entry.loop_thread import LoopThread
 from verbenathread.entry.reservations import EngineReservations
 from verbenathread.exceptions import UnavailableError
--- a/verbenathread/entry/claim_answers.py
+++ b/verbenathread/entry/claim_responses.py
@@ -3,9 +3,9 @@
 import http
 from typing import NoReturn
 
+from verbenathread.entry.error_responses import CallerError, RunState
 from verbenathread.entry.exchange import Exchange
-from verbenathread.entry.plain_exchange import PlainAnswer
-from verbenathread.entry.replies import CallerError, RunState
+from verbenathread.entry.plain_client import PlainAnswer
 from verbenathread.schema import control_pb2
 
 _RETRY_AFTER_MS = 1000
--- a/verbenathread/entry/daemon.py
+++ b/verbenathread/entry/daemon.py
@@ -6,9 +6,9 @@
 from typing import NamedTuple, Protocol
 
 from verbenathread.clock import Clock, SystemClock, seconds
-from verbenathread.entry.callers_side import CallersSide, Ports
 from verbenathread.entry.engine_client import Owner
 from verbenathread.entry.exchange import Limits
+from verbenathread.entry.http_frontend import CallersSide, Ports
 from verbenathread.entry.trace_recorder import TraceRecorder
 from verbenathread.exceptions import SettingsError
 from verbenathread.observability.logs import get_logger
--- a/verbenathread/entry/exchange.py
+++ b/verbenathread/entry/exchange.py
@@ -8,8 +8,8 @@
 from cheroot.server import HTTPRequest
 
 from verbenathread.clock import Clock
-from verbenathread.entry.bodies import BodyBudget
-from verbenathread.entry.replies import (
+from verbenathread.entry.body_budget import BodyBudget
+from verbenathread.entry.error_responses import (
     JSON_TYPE,
     CallerError,
     status_line,
--- a/verbenathread/entry/fabric.py
+++ b/verbenathread/entry/fabric.py
@@ -15,9 +15,9 @@
     BlockingReservations,
     BlockingUpstreams,
 )
-from verbenathread.entry.callers_side import Ports
 from verbenathread.entry.fabric_node import FabricNode, NodeContext
 from verbenathread.entry.hold_reader import HttpHoldReader
+from verbenathread.entry.http_frontend import Ports
 from verbenathread.entry.loop_thread import LoopThread
 from verbenathread.entry.peers import bound_socket
 from verbenathread.entry.shared import SharedTree
--- a/verbenathread/entry/fabric_node.py
+++ b/verbenathread/entry/fabric_node.py
@@ -8,7 +8,7 @@
 
 from verbenathread.clock import Clock, seconds
 from verbenathread.entry.admissions import CellAdmissions
-from verbenathread.entry.claims import ClaimsClient
+from verbenathread.entry.claims_client import ClaimsClient
 from verbenathread.entry.engine_owners import EngineOwners
 from verbenathread.entry.hold_outbox import HoldOutbox
 from verbenathread.entry.ledger_host import HoldReader, LedgerHost
--- a/verbenathread/entry/callers_side.py
+++ b/verbenathread/entry/http_frontend.py
@@ -9,15 +9,15 @@
 from verbenathread.clock import Clock, SystemClock
 from verbenathread.entry.announce_service import AnnounceService
 from verbenathread.entry.application import Application, Services
-from verbenathread.entry.bodies import BodyBudget
-from verbenathread.entry.caller_watch import CallerWatch
+from verbenathread.entry.body_budget import BodyBudget
 from verbenathread.entry.connections import ConnectionPool
+from verbenathread.entry.disconnect_watcher import CallerWatch
 from verbenathread.entry.engine_client import EngineClient, Owner
 from verbenathread.entry.engine_http import HttpEngineClient
 from verbenathread.entry.exchange import Limits, ServerContext
 from verbenathread.entry.http_server import CallerServer
 from verbenathread.entry.model_service import ModelParts, ModelService
-from verbenathread.entry.plain_exchange import PlainClient
+from verbenathread.entry.plain_client import PlainClient
 from verbenathread.entry.plain_service import PlainParts, PlainService
 from verbenathread.entry.ports import (
     Admissions,
--- a/verbenathread/entry/http_server.py
+++ b/verbenathread/entry/http_server.py
@@ -15,15 +15,15 @@
 from cheroot.workers.threadpool import ThreadPool
 
 from verbenathread.clock import seconds
-from verbenathread.entry.exchange import Exchange, ServerContext
-from verbenathread.entry.lingering import LingeringCloser
-from verbenathread.entry.replies import (
+from verbenathread.entry.error_responses import (
     JSON_TYPE,
     CallerError,
     RunState,
     status_line,
 )
-from verbenathread.entry.timed_socket import (
+from verbenathread.entry.exchange import Exchange, ServerContext
+from verbenathread.entry.lingering_close import LingeringCloser
+from verbenathread.entry.socket_deadlines import (
     SocketTimes,
     TimedReader,
     TimedWriter,
--- a/verbenathread/entry/model_call.py
+++ b/verbenathread/entry/model_call.py
@@ -9,7 +9,7 @@
 
 from expression import Error, Ok, Result
 
-from verbenathread.entry.replies import CallerError
+from verbenathread.entry.error_responses import CallerError
 
 # Bytes of prompt text whose hash names one prefix; 1024 tokens or so.
 _PREFIX_BLOCK = 4096
--- a/verbenathread/entry/model_service.py
+++ b/verbenathread/entry/model_service.py
@@ -11,13 +11,14 @@
     deadline_of,
     service_of,
 )
-from verbenathread.entry.answer_format import (
+from verbenathread.entry.completion_format import (
     EVENT_STREAM_TYPE,
     AnswerFormat,
     error_event,
 )
-from verbenathread.entry.caller_watch import CallerWatch
+from verbenathread.entry.disconnect_watcher import CallerWatch
 from verbenathread.entry.engine_client import Finish, Piece
+from verbenathread.entry.error_responses import CallerError, refusal_error
 from verbenathread.entry.exchange import Exchange
 from verbenathread.entry.model_call import (
     CallResult,
@@ -31,7 +32,6 @@
     Relay,
     RelayPorts,
 )
-from verbenathread.entry.replies import CallerError, refusal_error
 from verbenathread.entry.request_state import CallerGone, Deadline
 from verbenathread.entry.trace_recorder import TraceRecorder
 from verbenathread.observability.metrics import EntryMetrics, length_label
--- a/verbenathread/entry/plain_service.py
+++ b/verbenathread/entry/plain_service.py
@@ -20,15 +20,20 @@
     deadline_of,
     service_of,
 )
-from verbenathread.entry.caller_watch import CallerWatch
-from verbenathread.entry.claim_answers import (
+from verbenathread.entry.claim_responses import (
     answer_claimed_before,
     no_quorum,
     stored_answer,
 )
+from verbenathread.entry.disconnect_watcher import CallerWatch
 from verbenathread.entry.engine_client import Owner
+from verbenathread.entry.error_responses import (
+    CallerError,
+    RunState,
+    refusal_error,
+)
 from verbenathread.entry.exchange import Exchange
-from verbenathread.entry.plain_exchange import (
+from verbenathread.entry.plain_client import (
     IDEMPOTENCY_HEADER,
     PlainAttempt,
     PlainCall,
@@ -41,7 +46,6 @@
     SharedSettings,
     Upstreams,
 )
-from verbenathread.entry.replies import CallerError, RunState, refusal_error
 from verbenathread.entry.request_state import CallerGone, Deadline
 from verbenathread.entry.retry_budgets import RetryBudgets
 from verbenathread.entry.settler import Settler
--- a/verbenathread/entry/reaper.py
+++ b/verbenathread/entry/reaper.py
@@ -18,8 +18,8 @@
     EngineNotRunError,
     EngineRejectedError,
 )
-from verbenathread.entry.pending_work import PendingWork
 from verbenathread.entry.ports import Reservations, Upstreams
+from verbenathread.entry.retry_thread import PendingWork
 from verbenathread.observability.logs import get_logger
 from verbenathread.types import (
     Millis,
--- a/verbenathread/entry/relay.py
+++ b/verbenathread/entry/relay.py
@@ -26,11 +26,15 @@
     EngineNotRunError,
     EngineRejectedError,
 )
+from verbenathread.entry.error_responses import (
+    CallerError,
+    RunState,
+    refusal_error,
+)
 from verbenathread.entry.model_call import ModelCall
 from verbenathread.entry.ports import Reservations, Upstreams
 from verbenathread.entry.pump import Pump
 from verbenathread.entry.reaper import Reaper
-from verbenathread.entry.replies import CallerError, RunState, refusal_error
 from verbenathread.entry.request_state import CallerGone, Deadline
 from verbenathread.entry.retry_budgets import RetryBudgets
 from verbenathread.observability.logs import get_logger
--- a/verbenathread/entry/settler.py
+++ b/verbenathread/entry/settler.py
@@ -4,8 +4,8 @@
 from typing import NamedTuple
 
 from verbenathread.clock import Clock, seconds
-from verbenathread.entry.pending_work import PendingWork
 from verbenathread.entry.ports import Claims
+from verbenathread.entry.retry_thread import PendingWork
 from verbenathread.exceptions import VerbenathreadError
 from verbenathread.observability.logs import get_logger
 from verbenathread.schema import control_pb2
