--- a/tests/entry_fakes.py
+++ b/tests/entry_fakes.py
@@ -8,7 +8,7 @@
 from verbenathread.clock import SystemClock
 from verbenathread.entry.engine_client import Owner
 from verbenathread.entry.exchange import Limits
-from verbenathread.entry.http_frontend import CallersSide, Ports
+from verbenathread.entry.http_frontend import FrontendPorts, HttpFrontend
 from verbenathread.observability.metrics import EntryMetrics
 from verbenathread.schema import control_pb2, settings_pb2
 from verbenathread.types import (
@@ -196,7 +196,7 @@
             self.changed.notify_all()
 
 
-class PassingOver(FakeReservations):
+class SkippingUsedEngines(FakeReservations):
     """Passes over engines that the request already used."""
 
     def reserve(self, work, attempt_id):
@@ -272,7 +272,7 @@
         *,
         limits=LIMITS,
         claims=None,
-        reservations=PassingOver,
+        reservations=SkippingUsedEngines,
         incarnation=1,
         **options,
     ):
@@ -282,9 +282,9 @@
         self.claims = claims or FakeClaims()
         self.admissions = FakeAdmissions()
         self.metrics = EntryMetrics()
-        self.side = CallersSide(
+        self.frontend = HttpFrontend(
             Address('127.0.0.1', 0),
-            Ports(
+            FrontendPorts(
                 self.settings,
                 self.upstreams,
                 self.reservations,
@@ -295,12 +295,12 @@
             limits,
             self.metrics,
         )
-        self.side.start()
-        self.address = self.side.server.address
+        self.frontend.start()
+        self.address = self.frontend.server.address
         self.url = f'http://{self.address}'
 
     def stop(self):
-        self.side.stop(2000)
+        self.frontend.stop(2000)
 
 
 def wait_until(condition, limit=10.0):
--- a/tests/test_entry_admissions.py
+++ b/tests/test_entry_admissions.py
@@ -180,15 +180,15 @@
         attempts = 0
         requests = 1000
         for service in ('dead', 'other'):
-            budgets.first(service, policy)
+            budgets.record_first_attempt(service, policy)
         for _ in range(requests):
-            budgets.first('dead', policy)
+            budgets.record_first_attempt('dead', policy)
             made = 1
             while isinstance(
-                budgets.next('dead', made, Outcome.NOT_RUN, 60_000), Retry
+                budgets.next_retry('dead', made, Outcome.NOT_RUN, 60_000), Retry
             ):
                 made += 1
             attempts += made
         self.assertLessEqual(attempts, requests * (1 + policy.retry_share) + 50)
-        retry = budgets.next('other', 1, Outcome.UNKNOWN, 60_000)
+        retry = budgets.next_retry('other', 1, Outcome.UNKNOWN, 60_000)
         self.assertIsInstance(retry, Retry)
--- a/tests/test_entry_bad_input.py
+++ b/tests/test_entry_bad_input.py
@@ -210,8 +210,8 @@
                 self.assertTrue(error['message'])
         found, members, _ = exchange(self.entry.address, call(CALL))
         self.assertEqual(found, 200)
-        side = self.entry.side
+        side = self.entry.frontend
         self.assertTrue(wait_until(lambda: not side.server.busy))
-        self.assertEqual(side.budget.held, 0)
+        self.assertEqual(side.body_budget.used_bytes, 0)
         self.assertEqual(self.entry.reservations.opened, 1)
         self.assertEqual(self.entry.reservations.released, 1)
--- a/tests/test_entry_daemon.py
+++ b/tests/test_entry_daemon.py
@@ -15,13 +15,13 @@
     FakeClaims,
     FakeSettings,
     FakeUpstreams,
-    PassingOver,
+    SkippingUsedEngines,
     wait_until,
 )
 from tests.standins.processes import LocalStandIn
 from tests.test_entry_relay import MODEL, WHOLE, streamed_text
 from verbenathread.entry.daemon import EntryDaemon
-from verbenathread.entry.http_frontend import Ports
+from verbenathread.entry.http_frontend import FrontendPorts
 from verbenathread.exceptions import SettingsError
 from verbenathread.replay.trace import read_trace
 from verbenathread.schema import settings_pb2
@@ -37,10 +37,10 @@
 
     def __init__(self):
         upstreams = FakeUpstreams()
-        self.ports = Ports(
+        self.ports = FrontendPorts(
             FakeSettings(),
             upstreams,
-            PassingOver(upstreams),
+            SkippingUsedEngines(upstreams),
             FakeClaims(),
             FakeAdmissions(),
         )
@@ -86,14 +86,14 @@
         self.daemon.start()
         self.engine = LocalStandIn('engine', '--decode-rate', '30')
         self.addCleanup(self.engine.stop)
-        self.engine.announce(self.daemon.side.server.address)
+        self.engine.announce(self.daemon.frontend.server.address)
         self.pool = urllib3.PoolManager(retries=False)
         self.addCleanup(self.pool.clear)
 
     def complete(self, *, stream):
         return self.pool.request(
             'POST',
-            f'http://{self.daemon.side.server.address}/v1/completions',
+            f'http://{self.daemon.frontend.server.address}/v1/completions',
             json={'model': MODEL, 'prompt': 'any cot?', 'stream': stream},
             headers={'Authorization': f'Bearer {CALLER_KEY}'},
             preload_content=False,
@@ -154,7 +154,7 @@
         return found[-1]
 
     def test_taken_address_is_said_with_its_remedy(self):
-        listen = str(self.daemon.side.server.address)
+        listen = str(self.daemon.frontend.server.address)
         second = EntryDaemon(node_settings(listen), FakeFabric())
         with self.assertRaisesRegex(SettingsError, 'write another port'):
             second.start()
--- a/tests/test_entry_http_server.py
+++ b/tests/test_entry_http_server.py
@@ -12,7 +12,7 @@
 
 
 class OverloadTest(RelayCase):
-    limits = LIMITS._replace(streams=STREAMS, write_wait=200)
+    limits = LIMITS._replace(streams=STREAMS, write_timeout=200)
     most_output_tokens = 1_000_000
 
     def open_streams(self, count):
@@ -30,7 +30,7 @@
             content = call({'model': MODEL, 'prompt': 'any cot?'})
             refused.append(exchange(self.entry.address, content))
             # Answered while every stream is still in work.
-            self.assertGreaterEqual(self.entry.side.server.busy, STREAMS)
+            self.assertGreaterEqual(self.entry.frontend.server.busy, STREAMS)
         for status, members, headers in refused:
             self.assertEqual(status, 503)
             self.assertEqual(members['error']['code'], 'overloaded')
@@ -64,8 +64,8 @@
         for sock in slow:
             self.addCleanup(sock.close)
             sock.sendall(head)
-        budget = self.entry.side.budget
-        self.assertTrue(wait_until(lambda: budget.held == 2 * half))
+        budget = self.entry.frontend.body_budget
+        self.assertTrue(wait_until(lambda: budget.used_bytes == 2 * half))
         self.assertEqual(
             self.complete().json()['error']['code'], 'buffers_full'
         )
@@ -78,8 +78,10 @@
         engine = self.engine('--answer-tokens', '1000000')
         with socket.create_connection(self.entry.address) as sock:
             sock.sendall(call({'model': MODEL, 'prompt': 'a', 'stream': True}))
-            self.assertTrue(wait_until(lambda: self.entry.side.server.busy))
-            self.assertTrue(wait_until(lambda: not self.entry.side.server.busy))
+            self.assertTrue(wait_until(lambda: self.entry.frontend.server.busy))
+            self.assertTrue(
+                wait_until(lambda: not self.entry.frontend.server.busy)
+            )
         self.assertGreater(engine.state.generated, 1000)
         self.assertLess(engine.state.generated, 1_000_000)
         self.assert_nothing_held(engine)
--- a/tests/test_entry_relay.py
+++ b/tests/test_entry_relay.py
@@ -37,7 +37,7 @@
 
 class RelayCase(unittest.TestCase):
     # A busy machine must not pass for a reader that is too slow.
-    limits = LIMITS._replace(write_wait=60_000)
+    limits = LIMITS._replace(write_timeout=60_000)
     most_output_tokens = 100_000
 
     def setUp(self):
@@ -75,8 +75,12 @@
         fake = self.entry.reservations
         self.assertTrue(wait_until(lambda: fake.opened == fake.released))
         self.assertEqual(fake.live_by_id, {})
-        self.assertTrue(wait_until(lambda: not self.entry.side.reaper.pending))
-        self.assertTrue(wait_until(lambda: not self.entry.side.budget.held))
+        self.assertTrue(
+            wait_until(lambda: not self.entry.frontend.reaper.pending)
+        )
+        self.assertTrue(
+            wait_until(lambda: not self.entry.frontend.body_budget.used_bytes)
+        )
 
 
 def streamed_text(content):
@@ -141,7 +145,7 @@
         # The engine sees the order only after its cancel.
         self.assertTrue(wait_until(lambda: engine.state.arrived))
         if options:
-            self.entry.side.reaper.reconcile(self.record(engine))
+            self.entry.frontend.reaper.reconcile(self.record(engine))
         self.assert_nothing_held(engine)
         # The connection of the late answer is not used again.
         engine.options.late = 0
@@ -203,7 +207,7 @@
             while seen < engine.state.generated:
                 seen = engine.state.generated
                 time.sleep(0.2)
-            self.assertEqual(self.entry.side.server.busy, 1)
+            self.assertEqual(self.entry.frontend.server.busy, 1)
             answer = HTTPResponse(sock)
             answer.begin()
             text = streamed_text(answer.read())
@@ -228,7 +232,7 @@
                     },
                 }
             )
-        found = self.entry.side.reaper.reconcile(self.record(engine))
+        found = self.entry.frontend.reaper.reconcile(self.record(engine))
         self.assertEqual(found, 1)
         for number, (owner, kept) in enumerate(owners):
             with self.subTest(owner=owner):
@@ -277,6 +281,8 @@
             self.complete(wait=0.1)
         abandoned = self.entry.reservations.abandoned
         self.assertTrue(wait_until(lambda: len(abandoned) == 1))
-        self.assertTrue(wait_until(lambda: self.entry.side.server.busy == 0))
+        self.assertTrue(
+            wait_until(lambda: self.entry.frontend.server.busy == 0)
+        )
         self.assert_nothing_held(engine)
         self.assertEqual(engine.state.generated, 0)
--- a/verbenathread/entry/access.py
+++ b/verbenathread/entry/access.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from verbenathread.clock import Clock
-from verbenathread.entry.error_responses import CallerError
+from verbenathread.entry.error_responses import HttpError
 from verbenathread.entry.exchange import Exchange
 from verbenathread.entry.ports import SharedSettings
 from verbenathread.entry.request_state import Deadline
@@ -27,10 +27,10 @@
         return _ANY in allowed or service in allowed
 
 
-def account_of(settings: SharedSettings, exchange: Exchange) -> Account:
+def authenticate(settings: SharedSettings, exchange: Exchange) -> Account:
     """Return the account that owns the bearer key, or refuse with 401."""
     if settings.revision() == 0:
-        raise CallerError(
+        raise HttpError(
             http.HTTPStatus.SERVICE_UNAVAILABLE,
             'no_settings',
             'The entry has no shared settings yet; send the request again.',
@@ -38,7 +38,7 @@
         )
     found = settings.account_by_key(exchange.bearer_key())
     if found is None:
-        raise CallerError(
+        raise HttpError(
             http.HTTPStatus.UNAUTHORIZED,
             'invalid_api_key',
             'The bearer key belongs to no client account; '
@@ -47,14 +47,14 @@
     return Account(*found)
 
 
-def service_of(
+def authorize_service(
     settings: SharedSettings, account: Account, name: str, kind: str
 ) -> settings_pb2.ServiceSettings:
     """Return a service that the account may call, or refuse with 404."""
     service = settings.service(name)
     known = service is not None and service.kind == kind
     if not known or not account.may_call(name):
-        raise CallerError(
+        raise HttpError(
             http.HTTPStatus.NOT_FOUND,
             'model_not_found' if kind == 'model' else 'service_not_found',
             f'There is no {kind} service of this name for this account; '
@@ -64,7 +64,7 @@
     return service
 
 
-def deadline_of(
+def request_deadline(
     exchange: Exchange, service: settings_pb2.ServiceSettings, clock: Clock
 ) -> Deadline:
     """Return when the request must be over, from the caller or the service."""
@@ -72,7 +72,7 @@
     limit = service.time_limit
     if text:
         if not text.isascii() or not text.isdigit() or int(text) == 0:
-            raise CallerError(
+            raise HttpError(
                 http.HTTPStatus.BAD_REQUEST,
                 'invalid_time_limit',
                 f'{TIME_LIMIT_HEADER} must be a whole number of ms above 0.',
--- a/verbenathread/entry/announce_service.py
+++ b/verbenathread/entry/announce_service.py
@@ -9,7 +9,7 @@
 from types import MappingProxyType
 from typing import Any
 
-from verbenathread.entry.error_responses import CallerError
+from verbenathread.entry.error_responses import HttpError
 from verbenathread.entry.exchange import Exchange
 from verbenathread.entry.ports import SharedSettings, Upstreams
 from verbenathread.observability.logs import get_logger
@@ -49,7 +49,7 @@
         if held.incarnation != record.incarnation or (
             held.state != UpstreamState.READY
         ):
-            raise CallerError(
+            raise HttpError(
                 http.HTTPStatus.CONFLICT,
                 'outdated_incarnation',
                 f'Incarnation {held.incarnation} of this upstream is known '
@@ -73,7 +73,7 @@
         spread = self._upstreams.leave(upstream_id, members['incarnation'])
         _log.info('An upstream leaves.', upstream=upstream_id, spread=spread)
         if not spread:
-            raise CallerError(
+            raise HttpError(
                 http.HTTPStatus.SERVICE_UNAVAILABLE,
                 'leave_not_spread',
                 'This entry gives the upstream no new work, but could not '
@@ -86,7 +86,7 @@
         self, exchange: Exchange, members: Mapping[str, Any]
     ) -> settings_pb2.ServiceSettings:
         if self._settings.revision() == 0:
-            raise CallerError(
+            raise HttpError(
                 http.HTTPStatus.SERVICE_UNAVAILABLE,
                 'no_settings',
                 'The entry has no shared settings yet; announce again.',
@@ -97,7 +97,7 @@
         wanted = '' if service is None else service.announce_key_sha256
         # An unknown service is answered like a wrong key.
         if service is None or not hmac.compare_digest(digest, wanted):
-            raise CallerError(
+            raise HttpError(
                 http.HTTPStatus.UNAUTHORIZED,
                 'invalid_announce_key',
                 'The bearer key is not the announce key of this service; '
@@ -161,8 +161,8 @@
     return Address(host, number)
 
 
-def _wrong(message: str) -> CallerError:
-    return CallerError(
+def _wrong(message: str) -> HttpError:
+    return HttpError(
         http.HTTPStatus.BAD_REQUEST, 'invalid_announcement', message
     )
 
--- a/verbenathread/entry/application.py
+++ b/verbenathread/entry/application.py
@@ -5,9 +5,9 @@
 from typing import NamedTuple
 
 from verbenathread.entry.announce_service import AnnounceService
-from verbenathread.entry.error_responses import CallerError
+from verbenathread.entry.error_responses import HttpError
 from verbenathread.entry.exchange import Exchange
-from verbenathread.entry.http_server import overloaded
+from verbenathread.entry.http_server import overloaded_error
 from verbenathread.entry.model_service import ModelService
 from verbenathread.entry.plain_service import PlainService
 from verbenathread.observability.logs import set_request_id
@@ -38,12 +38,12 @@
         self.stopping = False
 
     def handle(self, exchange: Exchange) -> None:
-        """Serve one request; raise :class:`CallerError` to refuse it."""
+        """Serve one request; raise :class:`HttpError` to refuse it."""
         exchange.request_id = uuid.uuid4().hex
         set_request_id(exchange.request_id)
         try:
             self._route(exchange)
-        except CallerError as error:
+        except HttpError as error:
             self._metrics.refusals.labels(error.code).inc()
             raise
 
@@ -52,14 +52,14 @@
             self._upstream(exchange)
             return
         if self.stopping:
-            raise CallerError(
+            raise HttpError(
                 http.HTTPStatus.SERVICE_UNAVAILABLE,
                 'stopping',
                 'The entry is stopping; send the request again.',
                 retry_after=_RETRY_AFTER_MS,
             )
-        if exchange.reserved:
-            raise overloaded()
+        if exchange.on_reserved_worker:
+            raise overloaded_error()
         with self._metrics.streams.track_inprogress():
             self._caller(exchange)
 
@@ -89,8 +89,8 @@
                 raise _no_path()
 
 
-def _no_path() -> CallerError:
-    return CallerError(
+def _no_path() -> HttpError:
+    return HttpError(
         http.HTTPStatus.NOT_FOUND,
         'unknown_path',
         'No such path and method; see docs/CALLERS.md for those there are.',
--- a/verbenathread/entry/body_budget.py
+++ b/verbenathread/entry/body_budget.py
@@ -13,11 +13,11 @@
         self._lock = threading.Lock()
 
     @property
-    def held(self) -> int:
+    def used_bytes(self) -> int:
         """Return the bytes held now."""
         return self._held
 
-    def take(self, amount: int) -> bool:
+    def try_acquire(self, amount: int) -> bool:
         """Hold ``amount`` more bytes, or return False at once."""
         with self._lock:
             if self._held + amount > self._most:
@@ -25,7 +25,7 @@
             self._held += amount
             return True
 
-    def give_back(self, amount: int) -> None:
+    def release(self, amount: int) -> None:
         """Hold ``amount`` bytes less."""
         with self._lock:
             self._held -= amount
--- a/verbenathread/entry/claim_responses.py
+++ b/verbenathread/entry/claim_responses.py
@@ -3,21 +3,21 @@
 import http
 from typing import NoReturn
 
-from verbenathread.entry.error_responses import CallerError, RunState
+from verbenathread.entry.error_responses import HttpError, RunState
 from verbenathread.entry.exchange import Exchange
-from verbenathread.entry.plain_client import PlainAnswer
+from verbenathread.entry.plain_client import PlainResponse
 from verbenathread.schema import control_pb2
 
 _RETRY_AFTER_MS = 1000
 _REPLAYED = (('Idempotent-Replayed', 'true'),)
 
 
-def answer_claimed_before(
+def answer_repeated_call(
     exchange: Exchange, reply: control_pb2.ClaimReply
 ) -> None:
     """Answer an arrival whose key was claimed before.
 
-    Raises :class:`CallerError` unless its answer is stored.
+    Raises :class:`HttpError` unless its answer is stored.
     """
     if reply.state == control_pb2.CLAIM_COMPLETED:
         stored = reply.stored
@@ -30,7 +30,7 @@
 def _refuse_claimed(reply: control_pb2.ClaimReply) -> NoReturn:
     wait = reply.retry_after_ms or _RETRY_AFTER_MS
     if reply.state == control_pb2.CLAIM_IN_PROGRESS:
-        raise CallerError(
+        raise HttpError(
             http.HTTPStatus.CONFLICT,
             'in_progress',
             'A call with this Idempotency-Key is running; send it again '
@@ -39,7 +39,7 @@
             retry_after=wait,
         )
     if reply.state == control_pb2.CLAIM_OUTCOME_UNKNOWN:
-        raise CallerError(
+        raise HttpError(
             http.HTTPStatus.CONFLICT,
             'outcome_unknown',
             'The call with this Idempotency-Key may have run, and nobody can '
@@ -47,13 +47,13 @@
             run_state=RunState.MAY_HAVE_RUN,
         )
     if reply.state == control_pb2.CLAIM_MISMATCH:
-        raise CallerError(
+        raise HttpError(
             http.HTTPStatus.UNPROCESSABLE_ENTITY,
             'idempotency_key_reused',
             'This Idempotency-Key was used for another call; '
             'use a new key for each call.',
         )
-    raise CallerError(
+    raise HttpError(
         http.HTTPStatus.SERVICE_UNAVAILABLE,
         'not_run',
         'The call was not run; send it again with the same key.',
@@ -61,9 +61,9 @@
     )
 
 
-def no_quorum() -> CallerError:
+def no_quorum_error() -> HttpError:
     """Return the refusal of a call whose claim was not recorded."""
-    return CallerError(
+    return HttpError(
         http.HTTPStatus.SERVICE_UNAVAILABLE,
         'no_quorum',
         'The call could not be recorded, so it was not run; '
@@ -72,7 +72,7 @@
     )
 
 
-def stored_answer(answer: PlainAnswer) -> control_pb2.StoredAnswer:
+def build_stored_answer(answer: PlainResponse) -> control_pb2.StoredAnswer:
     """Return an answer as the claim keeps it."""
     return control_pb2.StoredAnswer(
         status=answer.status,
--- a/verbenathread/entry/completion_format.py
+++ b/verbenathread/entry/completion_format.py
@@ -13,20 +13,20 @@
 _FINISH_REASON = 'finish_reason'
 
 
-class AnswerFormat(NamedTuple):
+class CompletionFormat(NamedTuple):
     """The parts of one answer that stay the same from token to token."""
 
     call: ModelCall
-    answer_id: str
+    completion_id: str
     # Seconds since the epoch.
     created: int
     before_text: bytes
     after_text: bytes
 
     @classmethod
-    def of_call(
+    def for_call(
         cls, call: ModelCall, request_id: str, created: int
-    ) -> 'AnswerFormat':
+    ) -> 'CompletionFormat':
         """Prepare the answer to one call."""
         prefix = 'chatcmpl' if call.chat else 'cmpl'
         answer_id = f'{prefix}-{request_id}'
@@ -49,13 +49,13 @@
             b'%b\n\n' % after,
         )
 
-    def opening(self) -> bytes:
+    def stream_start(self) -> bytes:
         """Return what a stream begins with."""
         if not self.call.chat:
             return b''
         return self._event({'role': 'assistant', 'content': ''}, None)
 
-    def events(self, pieces: Sequence[Piece]) -> bytes:
+    def stream_chunks(self, pieces: Sequence[Piece]) -> bytes:
         """Return pieces as server-sent events, one for each."""
         parts = []
         for piece in pieces:
@@ -64,12 +64,12 @@
             parts.append(self.after_text)
         return b''.join(parts)
 
-    def ending(self, finish: Finish) -> bytes:
+    def stream_end(self, finish: Finish) -> bytes:
         """Return what a whole stream ends with."""
         blocks = [self._event({}, finish.reason)]
-        if self.call.usage_wanted:
+        if self.call.include_usage:
             fields = _fields(
-                self.call, self.answer_id, self.created, stream=True
+                self.call, self.completion_id, self.created, stream=True
             )
             fields['choices'] = []
             fields['usage'] = _usage(finish)
@@ -77,9 +77,11 @@
         blocks.append(_END)
         return b''.join(blocks)
 
-    def whole(self, text: str, finish: Finish) -> bytes:
+    def full_body(self, text: str, finish: Finish) -> bytes:
         """Return an answer that is not streamed."""
-        fields = _fields(self.call, self.answer_id, self.created, stream=False)
+        fields = _fields(
+            self.call, self.completion_id, self.created, stream=False
+        )
         choice: dict[str, Any] = {
             'index': 0,
             _FINISH_REASON: finish.reason,
@@ -94,7 +96,9 @@
         return json.dumps(fields).encode()
 
     def _event(self, delta: dict[str, Any], reason: str | None) -> bytes:
-        fields = _fields(self.call, self.answer_id, self.created, stream=True)
+        fields = _fields(
+            self.call, self.completion_id, self.created, stream=True
+        )
         choice: dict[str, Any] = {'index': 0, _FINISH_REASON: reason}
         if self.call.chat:
             choice['delta'] = delta
--- a/verbenathread/entry/daemon.py
+++ b/verbenathread/entry/daemon.py
@@ -8,7 +8,7 @@
 from verbenathread.clock import Clock, SystemClock, seconds
 from verbenathread.entry.engine_client import Owner
 from verbenathread.entry.exchange import Limits
-from verbenathread.entry.http_frontend import CallersSide, Ports
+from verbenathread.entry.http_frontend import FrontendPorts, HttpFrontend
 from verbenathread.entry.trace_recorder import TraceRecorder
 from verbenathread.exceptions import SettingsError
 from verbenathread.observability.logs import get_logger
@@ -27,7 +27,7 @@
 class Fabric(Protocol):
     """The entry's connections with other nodes."""
 
-    ports: Ports
+    ports: FrontendPorts
     # Grows with each start of this node; control and engines see this one.
     incarnation: int
 
@@ -69,7 +69,7 @@
         self._stop_times = StopTimes(entry.stop_notice, entry.stop_limit)
         self._fault = 'starting'
         self.metrics = EntryMetrics()
-        self.side = CallersSide(
+        self.frontend = HttpFrontend(
             parse_address(entry.listen),
             fabric.ports,
             Owner(settings.node.id, fabric.incarnation),
@@ -92,23 +92,25 @@
     def start(self) -> None:
         """Begin to serve; readiness tells when callers may be sent here."""
         self._fabric.start()
-        self._listen('listen', self.side.server.address, self.side.start)
+        self._listen(
+            'listen', self.frontend.server.address, self.frontend.start
+        )
         self._listen('metrics_listen', self.status.address, self.status.start)
         self._fault = ''
-        _log.info('Serving callers.', address=str(self.side.server.address))
+        _log.info('Serving callers.', address=str(self.frontend.server.address))
 
     def stop(self) -> None:
         """Stop as planned: no request in progress is cut off in its limit."""
         _log.info('Stopping.')
         self._fault = 'stopping'
         time.sleep(seconds(self._stop_times.notice))
-        self.side.refuse_new_work()
-        if not self.side.drain(self._stop_times.limit):
+        self.frontend.refuse_new_work()
+        if not self.frontend.drain(self._stop_times.limit):
             _log.warning(
                 'Requests are cut off at the stop limit.',
-                requests=self.side.server.busy,
+                requests=self.frontend.server.busy,
             )
-        self.side.stop(_FLUSH_TIME)
+        self.frontend.stop(_FLUSH_TIME)
         self._fabric.stop()
         self.status.stop()
         _log.info('Stopped.')
--- a/verbenathread/entry/disconnect_watcher.py
+++ b/verbenathread/entry/disconnect_watcher.py
@@ -20,7 +20,7 @@
     gone: Callable[[], None]
 
 
-class CallerWatch:
+class DisconnectWatcher:
     """One thread that polls the sockets of all requests in progress."""
 
     def __init__(self) -> None:
@@ -43,11 +43,15 @@
         self._thread.join()
         self._epoll.close()
 
-    def add(self, sock: socket.socket, gone: Callable[[], None]) -> None:
+    def add(
+        self, sock: socket.socket, on_disconnect: Callable[[], None]
+    ) -> None:
         """Call ``gone`` once, from the thread, if the caller hangs up."""
         descriptor = sock.fileno()
         with self._lock:
-            self._watched_by_descriptor[descriptor] = _Watched(sock, gone)
+            self._watched_by_descriptor[descriptor] = _Watched(
+                sock, on_disconnect
+            )
             self._epoll.register(descriptor, _HANG_UP | select.EPOLLONESHOT)
 
     def remove(self, sock: socket.socket) -> None:
@@ -59,10 +63,10 @@
 
     @contextmanager
     def watching(
-        self, sock: socket.socket, gone: Callable[[], None]
+        self, sock: socket.socket, on_disconnect: Callable[[], None]
     ) -> Iterator[None]:
         """Watch within the context."""
-        self.add(sock, gone)
+        self.add(sock, on_disconnect)
         try:
             yield
         finally:
--- a/verbenathread/entry/error_responses.py
+++ b/verbenathread/entry/error_responses.py
@@ -20,7 +20,7 @@
     MAY_HAVE_RUN = 'may_have_run'
 
 
-class CallerError(VerbenathreadError):
+class HttpError(VerbenathreadError):
     """A final error answer; the message names the remedy.
 
     ``retry_after`` is in ms, 0 when a later try would not help.
@@ -42,7 +42,7 @@
         self.run_state = run_state
         self.retry_after = retry_after
 
-    def content(self, request_id: str = '') -> bytes:
+    def body(self, request_id: str = '') -> bytes:
         """Return the JSON body of the answer."""
         error = {
             'message': str(self),
@@ -59,7 +59,7 @@
         """Return the headers beside the content's own."""
         found = [('X-Run-State', self.run_state.value)]
         if self.retry_after:
-            found.append(('Retry-After', str(whole_seconds(self.retry_after))))
+            found.append(('Retry-After', str(ceil_seconds(self.retry_after))))
         if self.status == http.HTTPStatus.UNAUTHORIZED:
             found.append(('WWW-Authenticate', 'Bearer'))
         return tuple(found)
@@ -75,12 +75,12 @@
 
 def refusal_error(
     refusal: Refusal, run_state: RunState = RunState.NOT_RUN
-) -> CallerError:
+) -> HttpError:
     """Return the answer for a refusal of the scheduler."""
     status = _STATUS_BY_REASON.get(
         refusal.reason, http.HTTPStatus.SERVICE_UNAVAILABLE
     )
-    return CallerError(
+    return HttpError(
         status,
         refusal.reason.value,
         refusal.message,
@@ -89,7 +89,7 @@
     )
 
 
-def whole_seconds(duration: int) -> int:
+def ceil_seconds(duration: int) -> int:
     """Return ``duration`` ms in seconds, rounded up and at least one."""
     return max(1, -(-duration // MS_PER_SECOND))
 
--- a/verbenathread/entry/exchange.py
+++ b/verbenathread/entry/exchange.py
@@ -11,7 +11,7 @@
 from verbenathread.entry.body_budget import BodyBudget
 from verbenathread.entry.error_responses import (
     JSON_TYPE,
-    CallerError,
+    HttpError,
     status_line,
 )
 from verbenathread.types import Millis
@@ -34,7 +34,7 @@
     # Longest time in ms to receive a request.
     body_timeout: Millis
     # Longest time in ms that one write may wait for a slow reader.
-    write_wait: Millis = 10_000
+    write_timeout: Millis = 10_000
 
 
 class Exchange:
@@ -59,9 +59,9 @@
         # Monotonic time in ms at which the request began to arrive.
         self.arrival: Millis = request.conn.arrival
         self.sock = request.conn.socket
-        self.answered = False
+        self.response_started = False
         # True for requests that may be served beyond the streams' limit.
-        self.reserved: bool = request.conn.reserved
+        self.on_reserved_worker: bool = request.conn.reserved
 
     def bearer_key(self) -> str:
         """Return the bearer key, empty without one."""
@@ -73,7 +73,7 @@
     def read_body(self) -> bytes:
         """Return the whole body; it counts as held until :meth:`finish`.
 
-        Raises :class:`CallerError` for a body that is too large, too slow,
+        Raises :class:`HttpError` for a body that is too large, too slow,
         cut off, or one that there is no room for.
         """
         length = self._announced_length()
@@ -84,16 +84,16 @@
             blocks.append(block)
             received += len(block)
         if not self._request.chunked_read and received < length:
-            raise CallerError(
+            raise HttpError(
                 http.HTTPStatus.BAD_REQUEST,
                 'body_cut_off',
                 'The body ended before its Content-Length; send it whole.',
             )
-        self._budget.give_back(self._held - received)
+        self._budget.release(self._held - received)
         self._held = received
         return b''.join(blocks)
 
-    def write_by(self, deadline: Millis) -> None:
+    def set_write_deadline(self, deadline: Millis) -> None:
         """Let no write of the answer wait beyond ``deadline``."""
         self._request.conn.times.write_by = deadline
 
@@ -107,11 +107,11 @@
         """Send a whole answer at once."""
         lines = ((_TYPE, content_type), ('Content-Length', str(len(content))))
         writer = self._request.conn.wfile
-        writer.hold()
+        writer.cork()
         self._send_headers(status, (*lines, *headers))
         if self.method != 'HEAD':
             writer.write(content)
-        writer.release()
+        writer.uncork()
 
     def start_stream(
         self,
@@ -120,7 +120,7 @@
         headers: tuple[tuple[str, str], ...] = (),
     ) -> None:
         """Hold the head of a streamed answer until its first part."""
-        self._request.conn.wfile.hold()
+        self._request.conn.wfile.cork()
         lines = ((_TYPE, content_type), ('Cache-Control', 'no-cache'))
         self._send_headers(status, (*lines, *headers))
 
@@ -128,9 +128,9 @@
         """Send one part of a streamed answer at once."""
         writer = self._request.conn.wfile
         writer.write(self._framed(block))
-        writer.release()
+        writer.uncork()
 
-    def write_ready(self, block: bytes) -> bytes:
+    def write_nonblocking(self, block: bytes) -> bytes:
         """Send without waiting; return the bytes that are left to send."""
         framed = self._framed(block)
         if self.sock.gettimeout() != 0:
@@ -141,27 +141,27 @@
             return framed
         return framed[sent:]
 
-    def write_rest(self, rest: bytes) -> None:
+    def write_remaining(self, rest: bytes) -> None:
         """Send what :meth:`write_ready` left, waiting for a slow reader."""
         self._request.conn.wfile.write(rest)
 
-    def refuse(self, error: CallerError) -> None:
+    def send_error(self, error: HttpError) -> None:
         """Send an error as the final answer."""
-        self.close_after()
+        self.close_after_response()
         self.reply(
             error.status,
-            error.content(self.request_id),
+            error.body(self.request_id),
             headers=error.headers(),
         )
 
-    def close_after(self) -> None:
+    def close_after_response(self) -> None:
         """Close the connection once this answer is out."""
         self._request.close_connection = True
         self._request.conn.drain_on_close = True
 
-    def finish(self) -> None:
+    def release_body(self) -> None:
         """Let go of the body; called once, whatever happened."""
-        self._budget.give_back(self._held)
+        self._budget.release(self._held)
         self._held = 0
 
     def _framed(self, block: bytes) -> bytes:
@@ -172,7 +172,7 @@
     def _send_headers(
         self, status: int, headers: tuple[tuple[str, str], ...]
     ) -> None:
-        self.answered = True
+        self.response_started = True
         lines = [('X-Request-Id', self.request_id), *headers]
         # The stub says str; the library joins it with bytes.
         request: Any = self._request
@@ -189,7 +189,7 @@
             return self._limits.body_bytes
         text = self.headers.get(_LENGTH, '0')
         if not text.isascii() or not text.isdigit():
-            raise CallerError(
+            raise HttpError(
                 http.HTTPStatus.BAD_REQUEST,
                 'malformed_request',
                 'Content-Length is no whole number; send that of the body.',
@@ -200,8 +200,8 @@
         return length
 
     def _hold(self, length: int) -> None:
-        if not self._budget.take(length):
-            raise CallerError(
+        if not self._budget.try_acquire(length):
+            raise HttpError(
                 http.HTTPStatus.SERVICE_UNAVAILABLE,
                 'buffers_full',
                 'The entry holds as many request bodies as it may; '
@@ -218,14 +218,14 @@
                 found.append(block)
                 block = self._request.rfile.read(_READ_BYTES)
         except TimeoutError as exc:
-            raise CallerError(
+            raise HttpError(
                 http.HTTPStatus.REQUEST_TIMEOUT,
                 'body_too_slow',
                 f'The body did not arrive within '
                 f'{self._limits.body_timeout} ms; send it faster.',
             ) from exc
         except ValueError as exc:
-            raise CallerError(
+            raise HttpError(
                 http.HTTPStatus.BAD_REQUEST,
                 'malformed_request',
                 'The chunks of the body are malformed; '
@@ -242,7 +242,7 @@
     """What serves the requests of callers."""
 
     def handle(self, exchange: Exchange) -> None:
-        """Serve one request; raise :class:`CallerError` to refuse it."""
+        """Serve one request; raise :class:`HttpError` to refuse it."""
 
 
 class ServerContext(NamedTuple):
@@ -254,8 +254,8 @@
     clock: Clock
 
 
-def _too_large(limits: Limits) -> CallerError:
-    return CallerError(
+def _too_large(limits: Limits) -> HttpError:
+    return HttpError(
         http.HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
         'body_too_large',
         f'The body is over {limits.body_bytes} bytes; send a shorter one.',
--- a/verbenathread/entry/fabric.py
+++ b/verbenathread/entry/fabric.py
@@ -17,7 +17,7 @@
 )
 from verbenathread.entry.fabric_node import FabricNode, NodeContext
 from verbenathread.entry.hold_reader import HttpHoldReader
-from verbenathread.entry.http_frontend import Ports
+from verbenathread.entry.http_frontend import FrontendPorts
 from verbenathread.entry.loop_thread import LoopThread
 from verbenathread.entry.peers import bound_socket
 from verbenathread.entry.shared import SharedTree
@@ -65,7 +65,7 @@
             self._shared,
             _ThreadedReader(reader or HttpHoldReader(clock)),
         )
-        self.ports = Ports(
+        self.ports = FrontendPorts(
             self._shared,
             BlockingUpstreams(self._node.cell, self._loop),
             BlockingReservations(self._node.reservations, self._loop, clock),
--- a/verbenathread/entry/http_frontend.py
+++ b/verbenathread/entry/http_frontend.py
@@ -11,14 +11,14 @@
 from verbenathread.entry.application import Application, Services
 from verbenathread.entry.body_budget import BodyBudget
 from verbenathread.entry.connections import ConnectionPool
-from verbenathread.entry.disconnect_watcher import CallerWatch
+from verbenathread.entry.disconnect_watcher import DisconnectWatcher
 from verbenathread.entry.engine_client import EngineClient, Owner
 from verbenathread.entry.engine_http import HttpEngineClient
 from verbenathread.entry.exchange import Limits, ServerContext
 from verbenathread.entry.http_server import CallerServer
 from verbenathread.entry.model_service import ModelParts, ModelService
 from verbenathread.entry.plain_client import PlainClient
-from verbenathread.entry.plain_service import PlainParts, PlainService
+from verbenathread.entry.plain_service import PlainDependencies, PlainService
 from verbenathread.entry.ports import (
     Admissions,
     Claims,
@@ -42,7 +42,7 @@
 )
 
 
-class Ports(NamedTuple):
+class FrontendPorts(NamedTuple):
     """The neighbours of the callers' side."""
 
     settings: SharedSettings
@@ -52,13 +52,13 @@
     admissions: Admissions
 
 
-class CallersSide:
+class HttpFrontend:
     """Serves callers and upstreams until it is stopped."""
 
     def __init__(
         self,
         listen: Address,
-        ports: Ports,
+        ports: FrontendPorts,
         owner: Owner,
         limits: Limits,
         metrics: EntryMetrics,
@@ -75,7 +75,7 @@
             self._pool, clock
         )
         self._recorder = recorder or TraceRecorder('', 0, clock)
-        self.watch = CallerWatch()
+        self.disconnect_watcher = DisconnectWatcher()
         self._pump = Pump(clock)
         self.reaper = Reaper(
             self.engine_client,
@@ -86,19 +86,19 @@
             partial(_known_engines, ports),
         )
         self.settler = Settler(ports.claims, clock)
-        self.budget = BodyBudget(limits.buffered_bytes)
+        self.body_budget = BodyBudget(limits.buffered_bytes)
         self._application = Application(
             self._services(ports, owner, metrics), metrics
         )
         self.server = CallerServer(
             listen,
-            ServerContext(limits, self.budget, self._application, clock),
+            ServerContext(limits, self.body_budget, self._application, clock),
         )
         self._watch_metrics(ports, metrics)
 
     def start(self) -> None:
         """Begin to serve."""
-        self.watch.start()
+        self.disconnect_watcher.start()
         self._pump.start()
         self.reaper.start()
         self.settler.start()
@@ -108,23 +108,23 @@
         """Refuse new requests as not run; those in progress go on."""
         self._application.stopping = True
 
-    def drain(self, limit: Millis) -> bool:
+    def drain(self, timeout: Millis) -> bool:
         """Wait for requests in progress; False if some are left."""
-        return self.server.wait_idle(limit)
+        return self.server.wait_idle(timeout)
 
-    def stop(self, limit: Millis) -> None:
+    def stop(self, timeout: Millis) -> None:
         """Stop serving; flush cancels and outcomes for up to ``limit`` ms."""
-        deadline = self._clock.now() + limit
+        deadline = self._clock.now() + timeout
         self.server.stop()
         self.settler.stop(max(0, deadline - self._clock.now()))
         self.reaper.stop(max(0, deadline - self._clock.now()))
         self._pump.stop()
-        self.watch.stop()
+        self.disconnect_watcher.stop()
         self._pool.close()
         self._recorder.close()
 
     def _services(
-        self, ports: Ports, owner: Owner, metrics: EntryMetrics
+        self, ports: FrontendPorts, owner: Owner, metrics: EntryMetrics
     ) -> Services:
         retries = RetryBudgets(self._clock)
         relay = RelayPorts(
@@ -142,14 +142,14 @@
             ports.settings,
             ports.admissions,
             relay,
-            self.watch,
+            self.disconnect_watcher,
             metrics,
             TokenEstimator(),
             OutputEstimator(),
             self._recorder,
             self._clock,
         )
-        plain = PlainParts(
+        plain = PlainDependencies(
             ports.settings,
             ports.upstreams,
             ports.claims,
@@ -157,7 +157,7 @@
             retries,
             self.settler,
             PlainClient(self._pool),
-            self.watch,
+            self.disconnect_watcher,
             metrics,
             owner,
             self._clock,
@@ -168,13 +168,15 @@
             AnnounceService(ports.settings, ports.upstreams),
         )
 
-    def _watch_metrics(self, ports: Ports, metrics: EntryMetrics) -> None:
-        metrics.buffered.set_function(lambda: self.budget.held)
+    def _watch_metrics(
+        self, ports: FrontendPorts, metrics: EntryMetrics
+    ) -> None:
+        metrics.buffered.set_function(lambda: self.body_budget.used_bytes)
         metrics.revision.set_function(ports.settings.revision)
         metrics.unconfirmed_cancels.set_function(lambda: self.reaper.pending)
 
 
-def _known_engines(ports: Ports) -> tuple[UpstreamRecord, ...]:
+def _known_engines(ports: FrontendPorts) -> tuple[UpstreamRecord, ...]:
     found: list[UpstreamRecord] = []
     for name in ports.settings.service_names():
         for record in ports.upstreams.by_service(name):
--- a/verbenathread/entry/http_server.py
+++ b/verbenathread/entry/http_server.py
@@ -17,16 +17,16 @@
 from verbenathread.clock import seconds
 from verbenathread.entry.error_responses import (
     JSON_TYPE,
-    CallerError,
+    HttpError,
     RunState,
     status_line,
 )
 from verbenathread.entry.exchange import Exchange, ServerContext
 from verbenathread.entry.lingering_close import LingeringCloser
 from verbenathread.entry.socket_deadlines import (
-    SocketTimes,
-    TimedReader,
-    TimedWriter,
+    DeadlineReader,
+    DeadlineWriter,
+    SocketDeadlines,
 )
 from verbenathread.observability.logs import get_logger
 from verbenathread.types import Address, Millis
@@ -91,17 +91,17 @@
         self.close_connection = True
         self.conn.drain_on_close = True
         self.sent_headers = True
-        self.conn.wfile.write(whole_answer(error))
+        self.conn.wfile.write(encode_error_response(error))
 
-    def _too_large(self) -> CallerError:
+    def _too_large(self) -> HttpError:
         limit = self.server.max_request_body_size
         if self._body_over(limit):
-            return CallerError(
+            return HttpError(
                 http.HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
                 'body_too_large',
                 f'The body is over {limit} bytes; send a shorter one.',
             )
-        return CallerError(
+        return HttpError(
             http.HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE,
             'headers_too_large',
             f'The headers are over {_MOST_HEADER_BYTES} bytes; send fewer.',
@@ -123,10 +123,10 @@
         """Read and write within the times of the request in progress."""
         super().__init__(server, sock)
         context = server.context
-        self.times = SocketTimes(context.clock)
-        self.times.write_wait = context.limits.write_wait
-        self.rfile = TimedReader(sock, self.times)
-        self.wfile = TimedWriter(sock, self.times)
+        self.times = SocketDeadlines(context.clock)
+        self.times.write_timeout = context.limits.write_timeout
+        self.rfile = DeadlineReader(sock, self.times)
+        self.wfile = DeadlineWriter(sock, self.times)
         self.arrival: Millis = 0
         self.reserved = False
         self.drain_on_close = False
@@ -140,9 +140,9 @@
         if self.reserved:
             timeout = _RESERVED_TIMEOUT
         self.times.read_by = self.arrival + timeout
-        self.times.write_by = self.arrival + context.limits.write_wait
+        self.times.write_by = self.arrival + context.limits.write_timeout
         with ExitStack() as stack:
-            stack.callback(self.server.worker_done)
+            stack.callback(self.server.release_worker)
             return bool(super().communicate())  # type: ignore[no-untyped-call]
 
     def close(self) -> None:
@@ -151,7 +151,7 @@
             super().close()
             return
         self.rfile.close()
-        self.server.closer.take(self.socket)
+        self.server.lingering_closer.close(self.socket)
 
 
 class _CallerGateway(Gateway):
@@ -166,27 +166,27 @@
         self.req.conn.times.read_by = self.req.conn.arrival + timeout
         exchange = Exchange(self.req, context.limits, context.budget)
         with ExitStack() as stack:
-            stack.callback(exchange.finish)
+            stack.callback(exchange.release_body)
             self._handle(exchange, context)
 
     def _handle(self, exchange: Exchange, context: ServerContext) -> None:
         try:
             context.handler.handle(exchange)
-        except CallerError as error:
-            if exchange.answered:
+        except HttpError as error:
+            if exchange.response_started:
                 raise
-            exchange.refuse(error)
+            exchange.send_error(error)
         except OSError:
             # The caller went away or reads too slowly: nobody to answer.
             self.req.close_connection = True
-            exchange.answered = True
+            exchange.response_started = True
             self.req.chunked_write = False
             self.req.sent_headers = True
         except Exception:
             _log.exception('A request failed.', request=exchange.request_id)
-            if exchange.answered:
+            if exchange.response_started:
                 raise
-            exchange.refuse(_internal_error())
+            exchange.send_error(_internal_error())
 
 
 class CallerServer(HTTPServer):
@@ -203,7 +203,7 @@
         """Listen on ``address`` once started."""
         super().__init__((address.host, address.port), _CallerGateway)
         self.context = context
-        self.closer = LingeringCloser(context.clock)
+        self.lingering_closer = LingeringCloser(context.clock)
         self.max_request_body_size = context.limits.body_bytes
         # Idle connections hold no worker, but each takes a descriptor.
         self.keep_alive_conn_limit = 4 * context.limits.streams
@@ -229,14 +229,14 @@
     def start(self) -> None:
         """Listen and serve in threads of their own."""
         self.prepare()
-        self.closer.start()
+        self.lingering_closer.start()
         self._thread.start()
 
     def stop(self) -> None:
         """Stop listening and close what is idle."""
         super().stop()
         self._thread.join()
-        self.closer.stop()
+        self.lingering_closer.stop()
 
     def process_conn(self, conn: _CallerConnection) -> None:
         """Give a readable connection a worker, or refuse it at once."""
@@ -255,19 +255,21 @@
             self.requests.put(conn)
             return
         conn.rfile.close()
-        self.closer.take(conn.socket, whole_answer(overloaded()))
+        self.lingering_closer.close(
+            conn.socket, encode_error_response(overloaded_error())
+        )
 
-    def worker_done(self) -> None:
+    def release_worker(self) -> None:
         """Count a worker as free again."""
         with self._changed:
             self._busy -= 1
             self._changed.notify_all()
 
-    def wait_idle(self, limit: Millis) -> bool:
+    def wait_idle(self, timeout: Millis) -> bool:
         """Wait up to ``limit`` ms until no request is in work."""
         with self._changed:
             return self._changed.wait_for(
-                lambda: self._busy == 0, seconds(limit)
+                lambda: self._busy == 0, seconds(timeout)
             )
 
     def error_log(
@@ -285,12 +287,14 @@
             self._connections.put(conn)  # type: ignore[attr-defined]
             return
         conn.rfile.close()
-        self.closer.take(conn.socket, whole_answer(overloaded()))
+        self.lingering_closer.close(
+            conn.socket, encode_error_response(overloaded_error())
+        )
 
 
-def overloaded() -> CallerError:
+def overloaded_error() -> HttpError:
     """Return the refusal of a request that there is no worker for."""
-    return CallerError(
+    return HttpError(
         http.HTTPStatus.SERVICE_UNAVAILABLE,
         'overloaded',
         'The entry serves as many requests as it may; '
@@ -299,9 +303,9 @@
     )
 
 
-def whole_answer(error: CallerError) -> bytes:
+def encode_error_response(error: HttpError) -> bytes:
     """Return an error as the bytes of a whole HTTP answer."""
-    content = error.content()
+    content = error.body()
     lines = [
         b'HTTP/1.1 %b' % status_line(error.status),
         f'Content-Type: {JSON_TYPE}'.encode(),
@@ -314,9 +318,9 @@
     return b'\r\n'.join(lines)
 
 
-def _parse_error(status: int, text: str) -> CallerError:
+def _parse_error(status: int, text: str) -> HttpError:
     if status == http.HTTPStatus.REQUEST_TIMEOUT:
-        return CallerError(
+        return HttpError(
             status,
             'request_too_slow',
             f'The request did not arrive within '
@@ -325,15 +329,15 @@
     if status == http.HTTPStatus.INTERNAL_SERVER_ERROR:
         return _internal_error()
     detail = text or http.HTTPStatus(status).phrase
-    return CallerError(
+    return HttpError(
         status,
         'malformed_request',
         f'{detail}. Send a well-formed HTTP/1.1 request.',
     )
 
 
-def _internal_error() -> CallerError:
-    return CallerError(
+def _internal_error() -> HttpError:
+    return HttpError(
         http.HTTPStatus.INTERNAL_SERVER_ERROR,
         'internal_error',
         'The entry failed on this request; look its effect up before '
--- a/verbenathread/entry/lingering_close.py
+++ b/verbenathread/entry/lingering_close.py
@@ -50,7 +50,7 @@
         self._stopping.set()
         self._thread.join()
 
-    def take(self, sock: socket.socket, answer: bytes = b'') -> None:
+    def close(self, sock: socket.socket, answer: bytes = b'') -> None:
         """Send ``answer`` without waiting, then linger and close."""
         sock.setblocking(False)
         try:
--- a/verbenathread/entry/model_call.py
+++ b/verbenathread/entry/model_call.py
@@ -9,7 +9,7 @@
 
 from expression import Error, Ok, Result
 
-from verbenathread.entry.error_responses import CallerError
+from verbenathread.entry.error_responses import HttpError
 
 # Bytes of prompt text whose hash names one prefix; 1024 tokens or so.
 _PREFIX_BLOCK = 4096
@@ -30,7 +30,7 @@
 )
 _ROLES = frozenset(('system', 'developer', 'user', 'assistant', 'tool'))
 
-CallResult = Result['ModelCall', CallerError]
+ParseResult = Result['ModelCall', HttpError]
 
 
 class ModelCall(NamedTuple):
@@ -41,7 +41,7 @@
     chat: bool
     stream: bool
     # Whether a stream ends with a chunk that carries the usage.
-    usage_wanted: bool
+    include_usage: bool
     # None when the caller names no limit.
     max_tokens: int | None
     # Bytes of prompt text.
@@ -52,7 +52,7 @@
     shared_members: bytes
 
 
-def parse_call(content: bytes, *, chat: bool) -> CallResult:
+def parse_call(content: bytes, *, chat: bool) -> ParseResult:
     """Return the call that a body describes, or what is wrong with it."""
     try:
         members = json.loads(content)
@@ -185,5 +185,5 @@
     return ''
 
 
-def _wrong(code: str, message: str) -> CallResult:
-    return Error(CallerError(http.HTTPStatus.BAD_REQUEST, code, message))
+def _wrong(code: str, message: str) -> ParseResult:
+    return Error(HttpError(http.HTTPStatus.BAD_REQUEST, code, message))
--- a/verbenathread/entry/model_service.py
+++ b/verbenathread/entry/model_service.py
@@ -7,22 +7,22 @@
 from verbenathread.clock import MS_PER_SECOND, Clock, seconds
 from verbenathread.entry.access import (
     Account,
-    account_of,
-    deadline_of,
-    service_of,
+    authenticate,
+    authorize_service,
+    request_deadline,
 )
 from verbenathread.entry.completion_format import (
     EVENT_STREAM_TYPE,
-    AnswerFormat,
+    CompletionFormat,
     error_event,
 )
-from verbenathread.entry.disconnect_watcher import CallerWatch
+from verbenathread.entry.disconnect_watcher import DisconnectWatcher
 from verbenathread.entry.engine_client import Finish, Piece
-from verbenathread.entry.error_responses import CallerError, refusal_error
+from verbenathread.entry.error_responses import HttpError, refusal_error
 from verbenathread.entry.exchange import Exchange
 from verbenathread.entry.model_call import (
-    CallResult,
     ModelCall,
+    ParseResult,
     parse_call,
 )
 from verbenathread.entry.ports import Admissions, SharedSettings
@@ -32,7 +32,7 @@
     Relay,
     RelayPorts,
 )
-from verbenathread.entry.request_state import CallerGone, Deadline
+from verbenathread.entry.request_state import CallerDisconnect, Deadline
 from verbenathread.entry.trace_recorder import TraceRecorder
 from verbenathread.observability.metrics import EntryMetrics, length_label
 from verbenathread.scheduling.estimates import OutputEstimator, TokenEstimator
@@ -49,7 +49,7 @@
     settings: SharedSettings
     admissions: Admissions
     relay: RelayPorts
-    watch: CallerWatch
+    watch: DisconnectWatcher
     metrics: EntryMetrics
     prompts: TokenEstimator
     outputs: OutputEstimator
@@ -64,7 +64,7 @@
         self,
         parts: ModelParts,
         exchange: Exchange,
-        answer: AnswerFormat,
+        answer: CompletionFormat,
         work: Work,
     ) -> None:
         self._parts = parts
@@ -85,8 +85,8 @@
         if not self._answer.call.stream:
             self._gather(pieces)
             return
-        block = self._answer.events(pieces)
-        if not self._exchange.answered:
+        block = self._answer.stream_chunks(pieces)
+        if not self._exchange.response_started:
             block = self._open() + block
         self._exchange.write(block)
 
@@ -97,8 +97,8 @@
         if not self._answer.call.stream:
             self._gather(pieces)
             return True
-        block = self._answer.events(pieces)
-        self._rest = self._exchange.write_ready(block)
+        block = self._answer.stream_chunks(pieces)
+        self._rest = self._exchange.write_nonblocking(block)
         return not self._rest
 
     def flush(self) -> None:
@@ -106,7 +106,7 @@
         rest = self._rest
         self._rest = b''
         if rest:
-            self._exchange.write_rest(rest)
+            self._exchange.write_remaining(rest)
 
     def retried(self) -> None:
         """Count another attempt."""
@@ -115,18 +115,18 @@
     def finish(self, finish: Finish) -> None:
         """Send what the answer ends with."""
         if not self._answer.call.stream:
-            content = self._answer.whole(''.join(self._texts), finish)
+            content = self._answer.full_body(''.join(self._texts), finish)
             self._exchange.reply(http.HTTPStatus.OK, content)
             return
-        block = self._answer.ending(finish)
-        if not self._exchange.answered:
+        block = self._answer.stream_end(finish)
+        if not self._exchange.response_started:
             block = self._open() + block
         self._exchange.write(block)
 
-    def fail(self, error: CallerError) -> None:
+    def fail(self, error: HttpError) -> None:
         """Say in the midst of a stream that it can't be finished."""
-        content = error.content(self._exchange.request_id)
-        self._exchange.close_after()
+        content = error.body(self._exchange.request_id)
+        self._exchange.close_after_response()
         self._exchange.write(error_event(content))
 
     def _gather(self, pieces: list[Piece]) -> None:
@@ -135,7 +135,7 @@
 
     def _open(self) -> bytes:
         self._exchange.start_stream(http.HTTPStatus.OK, EVENT_STREAM_TYPE)
-        return self._answer.opening()
+        return self._answer.stream_start()
 
     def _count_first_token(self) -> None:
         took = self._parts.clock.now() - self._work.arrival
@@ -155,7 +155,7 @@
     def list_models(self, exchange: Exchange) -> None:
         """Answer with the models that the account may call."""
         settings = self._parts.settings
-        account = account_of(settings, exchange)
+        account = authenticate(settings, exchange)
         models = []
         for name in settings.service_names():
             service = settings.service(name)
@@ -176,18 +176,18 @@
 
     def complete(self, exchange: Exchange, *, chat: bool) -> None:
         """Relay one request to an engine and its answer to the caller."""
-        account = account_of(self._parts.settings, exchange)
+        account = authenticate(self._parts.settings, exchange)
         call = _checked(parse_call(exchange.read_body(), chat=chat))
-        service = service_of(
+        service = authorize_service(
             self._parts.settings,
             account,
             call.model,
             UpstreamKind.ENGINE.value,
         )
-        deadline = deadline_of(exchange, service, self._parts.clock)
-        exchange.write_by(deadline.moment + _FINAL_ANSWER_TIME)
+        deadline = request_deadline(exchange, service, self._parts.clock)
+        exchange.set_write_deadline(deadline.expires_at + _FINAL_ANSWER_TIME)
         work = self._work(exchange, account, call, service, deadline)
-        gone = CallerGone()
+        gone = CallerDisconnect()
         request = ModelRequest(
             call,
             work,
@@ -221,13 +221,13 @@
             ),
             most,
             self._parts.outputs.expected(account.name, call.model, most),
-            deadline.moment,
+            deadline.expires_at,
             exchange.arrival,
             call.prefix_hashes,
         )
 
     def _serve(self, exchange: Exchange, request: ModelRequest) -> None:
-        answer = AnswerFormat.of_call(
+        answer = CompletionFormat.for_call(
             request.call,
             exchange.request_id,
             self._parts.clock.wall() // MS_PER_SECOND,
@@ -243,9 +243,9 @@
         except CallerGoneError as exc:
             outcome = 'caller_gone'
             raise ConnectionAbortedError('The caller hung up.') from exc
-        except CallerError as error:
+        except HttpError as error:
             outcome = error.code
-            if not exchange.answered:
+            if not exchange.response_started:
                 raise
             sink.fail(error)
         finally:
@@ -271,7 +271,7 @@
         )
 
 
-def _checked(parsed: CallResult) -> ModelCall:
+def _checked(parsed: ParseResult) -> ModelCall:
     if parsed.is_error():
         raise parsed.error
     return parsed.ok
--- a/verbenathread/entry/plain_client.py
+++ b/verbenathread/entry/plain_client.py
@@ -11,7 +11,7 @@
     ConnectionPool,
 )
 from verbenathread.entry.exchange import Exchange
-from verbenathread.entry.request_state import CallerGone, Deadline
+from verbenathread.entry.request_state import CallerDisconnect, Deadline
 from verbenathread.types import Outcome, UpstreamRecord
 
 ATTEMPT_HEADER = 'X-Attempt-Id'
@@ -39,7 +39,7 @@
     body: bytes
 
 
-class PlainAnswer(NamedTuple):
+class PlainResponse(NamedTuple):
     """A whole answer of an upstream."""
 
     status: int
@@ -52,11 +52,11 @@
     """How one attempt ended; ``answer`` is set unless it is unknown."""
 
     outcome: Outcome
-    answer: PlainAnswer | None
-    fault: str
+    response: PlainResponse | None
+    error: str
 
 
-def plain_call(
+def build_plain_call(
     exchange: Exchange, target: str, request_id: str, body: bytes
 ) -> PlainCall:
     """Return the call that the upstream gets."""
@@ -81,7 +81,7 @@
         call: PlainCall,
         attempt_id: str,
         deadline: Deadline,
-        gone: CallerGone,
+        disconnect: CallerDisconnect,
         *,
         fresh: bool,
     ) -> PlainAttempt:
@@ -93,14 +93,14 @@
         headers = {
             **call.headers,
             ATTEMPT_HEADER: attempt_id,
-            TIME_LIMIT_HEADER: str(deadline.left()),
+            TIME_LIMIT_HEADER: str(deadline.remaining()),
         }
         try:
             sent = self._pool.send(
                 upstream.address,
                 call.method,
                 call.target,
-                deadline=deadline.moment,
+                deadline=deadline.expires_at,
                 body=call.body or None,
                 headers=headers,
                 fresh=fresh,
@@ -110,15 +110,15 @@
         except BrokenExchangeError as exc:
             return PlainAttempt(Outcome.UNKNOWN, None, str(exc))
         # What may not be repeated runs to its end without its caller.
-        gone.on_gone(None if fresh else sent.interrupt)
+        disconnect.set_callback(None if fresh else sent.interrupt)
         try:
-            sent.read_head(deadline.moment)
-            body = sent.read_all(_MOST_ANSWER_BYTES, deadline.moment)
+            sent.read_head(deadline.expires_at)
+            body = sent.read_all(_MOST_ANSWER_BYTES, deadline.expires_at)
         except BrokenExchangeError as exc:
-            gone.on_gone(None)
+            disconnect.set_callback(None)
             sent.close(clean=False)
             return PlainAttempt(Outcome.UNKNOWN, None, str(exc))
-        gone.on_gone(None)
+        disconnect.set_callback(None)
         if sent.headers.get(ATTEMPT_HEADER, attempt_id) != attempt_id:
             sent.close(clean=False)
             return PlainAttempt(
@@ -142,11 +142,11 @@
 
 def _answer(
     status: int, headers: Mapping[str, str], body: bytes
-) -> PlainAnswer:
+) -> PlainResponse:
     passed = []
     for name in _ANSWER_HEADERS:
         text = headers.get(name)
         if text is not None:
             passed.append((name, text))
     content_type = headers.get('Content-Type', 'application/octet-stream')
-    return PlainAnswer(status, content_type, body, tuple(passed))
+    return PlainResponse(status, content_type, body, tuple(passed))
--- a/verbenathread/entry/plain_service.py
+++ b/verbenathread/entry/plain_service.py
@@ -16,19 +16,19 @@
 from verbenathread.clock import Clock
 from verbenathread.entry.access import (
     Account,
-    account_of,
-    deadline_of,
-    service_of,
+    authenticate,
+    authorize_service,
+    request_deadline,
 )
 from verbenathread.entry.claim_responses import (
-    answer_claimed_before,
-    no_quorum,
-    stored_answer,
+    answer_repeated_call,
+    build_stored_answer,
+    no_quorum_error,
 )
-from verbenathread.entry.disconnect_watcher import CallerWatch
+from verbenathread.entry.disconnect_watcher import DisconnectWatcher
 from verbenathread.entry.engine_client import Owner
 from verbenathread.entry.error_responses import (
-    CallerError,
+    HttpError,
     RunState,
     refusal_error,
 )
@@ -38,7 +38,7 @@
     PlainAttempt,
     PlainCall,
     PlainClient,
-    plain_call,
+    build_plain_call,
 )
 from verbenathread.entry.ports import (
     Admissions,
@@ -46,7 +46,7 @@
     SharedSettings,
     Upstreams,
 )
-from verbenathread.entry.request_state import CallerGone, Deadline
+from verbenathread.entry.request_state import CallerDisconnect, Deadline
 from verbenathread.entry.retry_budgets import RetryBudgets
 from verbenathread.entry.settler import Settler
 from verbenathread.exceptions import VerbenathreadError
@@ -72,7 +72,7 @@
 _NO_ATTEMPT = PlainAttempt(Outcome.NOT_RUN, None, 'No upstream is ready.')
 
 
-class PlainParts(NamedTuple):
+class PlainDependencies(NamedTuple):
     """What forwarding a call needs."""
 
     settings: SharedSettings
@@ -82,7 +82,7 @@
     retries: RetryBudgets
     settler: Settler
     client: PlainClient
-    watch: CallerWatch
+    disconnect_watcher: DisconnectWatcher
     metrics: EntryMetrics
     owner: Owner
     clock: Clock
@@ -95,13 +95,13 @@
     service: settings_pb2.ServiceSettings
     call: PlainCall
     deadline: Deadline
-    gone: CallerGone
+    gone: CallerDisconnect
 
 
 class PlainService:
     """Forwards calls to plain services."""
 
-    def __init__(self, parts: PlainParts) -> None:
+    def __init__(self, parts: PlainDependencies) -> None:
         """Forward with ``parts``."""
         self._parts = parts
 
@@ -117,7 +117,7 @@
         try:
             self._serve_watched(request)
             outcome = 'completed'
-        except CallerError as error:
+        except HttpError as error:
             outcome = error.code
             raise
         finally:
@@ -127,21 +127,21 @@
 
     def _serve_watched(self, request: _Request) -> None:
         sock = request.exchange.sock
-        with self._parts.watch.watching(sock, request.gone.set):
+        with self._parts.disconnect_watcher.watching(sock, request.gone.set):
             self._serve(request)
 
     def _request(self, exchange: Exchange) -> _Request:
-        account = account_of(self._parts.settings, exchange)
+        account = authenticate(self._parts.settings, exchange)
         name, target = _split(exchange)
-        service = service_of(
+        service = authorize_service(
             self._parts.settings, account, name, UpstreamKind.PLAIN.value
         )
-        deadline = deadline_of(exchange, service, self._parts.clock)
+        deadline = request_deadline(exchange, service, self._parts.clock)
         body = exchange.read_body()
-        exchange.write_by(deadline.moment + _FINAL_ANSWER_TIME)
-        call = plain_call(exchange, target, exchange.request_id, body)
+        exchange.set_write_deadline(deadline.expires_at + _FINAL_ANSWER_TIME)
+        call = build_plain_call(exchange, target, exchange.request_id, body)
         return _Request(
-            exchange, account, name, service, call, deadline, CallerGone()
+            exchange, account, name, service, call, deadline, CallerDisconnect()
         )
 
     def _serve(self, request: _Request) -> None:
@@ -155,7 +155,7 @@
             self._answer_once(request, attempt)
             return
         if len(key) > _MOST_KEY_CHARACTERS:
-            raise CallerError(
+            raise HttpError(
                 http.HTTPStatus.BAD_REQUEST,
                 'invalid_idempotency_key',
                 f'{IDEMPOTENCY_HEADER} must have at most '
@@ -166,14 +166,16 @@
     def _repeat(self, request: _Request) -> None:
         """Send a call that may be repeated until one attempt completes."""
         name = request.service_name
-        self._parts.retries.first(name, self._parts.settings.policy(name))
+        self._parts.retries.record_first_attempt(
+            name, self._parts.settings.policy(name)
+        )
         for attempts in itertools.count(1):
             last = self._try_one(request, attempts)
             if last.outcome == Outcome.COMPLETED:
                 _reply(request, last)
                 return
-            retry = self._parts.retries.next(
-                name, attempts, last.outcome, request.deadline.moment
+            retry = self._parts.retries.next_retry(
+                name, attempts, last.outcome, request.deadline.expires_at
             )
             if isinstance(retry, Refusal):
                 raise self._failed(request, last)
@@ -199,7 +201,7 @@
         """Send a call that may not be repeated to the first that connects."""
         last = _NO_ATTEMPT
         for upstream in self._shuffled(request):
-            if request.deadline.passed():
+            if request.deadline.expired():
                 break
             last = self._parts.client.attempt(
                 upstream,
@@ -216,18 +218,18 @@
     def _claimed(self, request: _Request, key: str) -> None:
         attempt_id = uuid.uuid4().hex
         claim = self._claim_request(request, key, attempt_id)
-        limit = min(_CLAIM_TIMEOUT, request.deadline.left())
+        limit = min(_CLAIM_TIMEOUT, request.deadline.remaining())
         try:
             reply = self._parts.claims.claim(claim, limit)
         except (VerbenathreadError, OSError) as exc:
             self._settle(request, claim, control_pb2.CLAIM_NOT_RUN)
-            raise no_quorum() from exc
+            raise no_quorum_error() from exc
         if reply.answer.code != control_pb2.OK:
             # The claim may stand all the same: nothing was sent under it.
             self._settle(request, claim, control_pb2.CLAIM_NOT_RUN)
-            raise no_quorum()
+            raise no_quorum_error()
         if reply.state != control_pb2.CLAIM_HELD:
-            answer_claimed_before(request.exchange, reply)
+            answer_repeated_call(request.exchange, reply)
             return
         attempt = self._send_claimed(request, claim)
         self._answer_once(request, attempt)
@@ -241,12 +243,12 @@
         except BaseException:
             self._settle(request, claim, control_pb2.CLAIM_OUTCOME_UNKNOWN)
             raise
-        if attempt.outcome == Outcome.COMPLETED and attempt.answer:
+        if attempt.outcome == Outcome.COMPLETED and attempt.response:
             self._settle(
                 request,
                 claim,
                 control_pb2.CLAIM_COMPLETED,
-                stored_answer(attempt.answer),
+                build_stored_answer(attempt.response),
             )
         elif attempt.outcome == Outcome.NOT_RUN:
             self._settle(request, claim, control_pb2.CLAIM_NOT_RUN)
@@ -269,7 +271,7 @@
             state=outcome,
             stored=stored,
         )
-        keep_for = request.deadline.left() + _SETTLE_TIME
+        keep_for = request.deadline.remaining() + _SETTLE_TIME
         self._parts.settler.settle(settle, keep_for)
 
     def _claim_request(
@@ -286,29 +288,29 @@
             node_id=self._parts.owner.node_id,
             node_incarnation=self._parts.owner.incarnation,
             retention_s=request.service.claim_retention,
-            time_limit_ms=request.deadline.left(),
+            time_limit_ms=request.deadline.remaining(),
         )
 
     def _answer_once(self, request: _Request, attempt: PlainAttempt) -> None:
-        if attempt.outcome == Outcome.UNKNOWN or attempt.answer is None:
+        if attempt.outcome == Outcome.UNKNOWN or attempt.response is None:
             raise self._failed(request, attempt)
         _reply(request, attempt)
 
-    def _failed(self, request: _Request, attempt: PlainAttempt) -> CallerError:
+    def _failed(self, request: _Request, attempt: PlainAttempt) -> HttpError:
         if attempt.outcome == Outcome.NOT_RUN:
-            return CallerError(
+            return HttpError(
                 http.HTTPStatus.SERVICE_UNAVAILABLE,
                 'no_upstream',
-                f'{attempt.fault} Send the call again later.',
+                f'{attempt.error} Send the call again later.',
                 retry_after=_RETRY_AFTER_MS,
             )
         status = http.HTTPStatus.BAD_GATEWAY
-        if request.deadline.passed():
+        if request.deadline.expired():
             status = http.HTTPStatus.GATEWAY_TIMEOUT
-        return CallerError(
+        return HttpError(
             status,
             'outcome_unknown',
-            f'{attempt.fault} The call may have run; look its effect up '
+            f'{attempt.error} The call may have run; look its effect up '
             'before sending it again.',
             run_state=RunState.MAY_HAVE_RUN,
         )
@@ -332,7 +334,7 @@
 
 
 def _reply(request: _Request, attempt: PlainAttempt) -> None:
-    answer = attempt.answer
+    answer = attempt.response
     assert answer is not None
     state = RunState.RUN
     if attempt.outcome == Outcome.NOT_RUN:
--- a/verbenathread/entry/reaper.py
+++ b/verbenathread/entry/reaper.py
@@ -19,7 +19,7 @@
     EngineRejectedError,
 )
 from verbenathread.entry.ports import Reservations, Upstreams
-from verbenathread.entry.retry_thread import PendingWork
+from verbenathread.entry.retry_thread import RetryThread
 from verbenathread.observability.logs import get_logger
 from verbenathread.types import (
     Millis,
@@ -52,7 +52,7 @@
     wait: Millis
 
 
-class Reaper(PendingWork):
+class Reaper(RetryThread):
     """One thread that ends what broken attempts left at engines.
 
     What is pending at the end of a stop is reconciled by the engine's next
--- a/verbenathread/entry/relay.py
+++ b/verbenathread/entry/relay.py
@@ -27,7 +27,7 @@
     EngineRejectedError,
 )
 from verbenathread.entry.error_responses import (
-    CallerError,
+    HttpError,
     RunState,
     refusal_error,
 )
@@ -35,7 +35,7 @@
 from verbenathread.entry.ports import Reservations, Upstreams
 from verbenathread.entry.pump import Pump
 from verbenathread.entry.reaper import Reaper
-from verbenathread.entry.request_state import CallerGone, Deadline
+from verbenathread.entry.request_state import CallerDisconnect, Deadline
 from verbenathread.entry.retry_budgets import RetryBudgets
 from verbenathread.observability.logs import get_logger
 from verbenathread.observability.metrics import EntryMetrics
@@ -99,7 +99,7 @@
     work: Work
     policy: settings_pb2.PolicySettings
     deadline: Deadline
-    gone: CallerGone
+    gone: CallerDisconnect
 
 
 class Relay:
@@ -135,10 +135,12 @@
     def run(self) -> Finish:
         """Return the terminator once every token is in the sink.
 
-        Raises :class:`CallerError`, or :class:`CallerGoneError`.
+        Raises :class:`HttpError`, or :class:`CallerGoneError`.
         """
         work = self._request.work
-        self._ports.retries.first(work.service, self._request.policy)
+        self._ports.retries.record_first_attempt(
+            work.service, self._request.policy
+        )
         for attempts in itertools.count(1):
             try:
                 return self._attempt()
@@ -185,7 +187,7 @@
         gone = self._request.gone
         waiting = self._ports.metrics.waiting.track_inprogress()
         abandon = partial(self._ports.reservations.abandon, work)
-        with waiting, gone.acting(abandon):
+        with waiting, gone.callback(abandon):
             granted = self._ports.reservations.reserve(work, attempt_id)
         if isinstance(granted, Refusal):
             self._check_gone()
@@ -224,7 +226,7 @@
         self, stream: TokenStream, reservation: Reservation
     ) -> Finish:
         self._ports.reservations.started(reservation)
-        with closing(stream), self._request.gone.acting(stream.interrupt):
+        with closing(stream), self._request.gone.callback(stream.interrupt):
             return self._relay(stream, reservation)
 
     def _order(
@@ -243,7 +245,7 @@
             tuple(str(engine.address) for engine in engines[1:]),
             self._position,
             ''.join(self._texts),
-            request.deadline.left(),
+            request.deadline.remaining(),
         )
 
     def _relay(self, stream: TokenStream, reservation: Reservation) -> Finish:
@@ -262,7 +264,7 @@
         self, stream: TokenStream, reservation: Reservation
     ) -> Finish | None:
         """Move tokens until the answer ends or its reader gets slow."""
-        batch = stream.read(self._request.deadline.moment)
+        batch = stream.read(self._request.deadline.expires_at)
         self._sink.pieces(self._fresh(batch))
         self._note(batch, reservation)
         if batch.finish is not None or not self._position:
@@ -271,7 +273,7 @@
         if sock is None:
             return None
         step = partial(self._step, stream, reservation)
-        self._ports.pump.drive(sock, step, self._request.deadline.moment)
+        self._ports.pump.drive(sock, step, self._request.deadline.expires_at)
         self._sink.flush()
         return self._finish
 
@@ -329,7 +331,7 @@
         outcome = Outcome.UNKNOWN
         if isinstance(fault, EngineNotRunError):
             outcome = Outcome.NOT_RUN
-        retry = self._ports.retries.next(
+        retry = self._ports.retries.next_retry(
             work.service, attempts, outcome, work.deadline
         )
         if isinstance(retry, Refusal):
@@ -341,8 +343,8 @@
 
     def _check(self) -> None:
         self._check_gone()
-        if self._request.deadline.passed():
-            raise CallerError(
+        if self._request.deadline.expired():
+            raise HttpError(
                 _GATEWAY_TIMEOUT,
                 'time_limit',
                 'The time limit passed before the answer was whole; '
@@ -359,16 +361,16 @@
             reservation, output_tokens=self._position, failed=failed
         )
 
-    def _given_up(self, fault: Exception, refusal: Refusal) -> CallerError:
+    def _given_up(self, fault: Exception, refusal: Refusal) -> HttpError:
         if self._may_have_run:
-            return CallerError(
+            return HttpError(
                 _BAD_GATEWAY,
                 'attempts_exhausted',
                 f'{fault} No attempt is left; send the request again.',
                 run_state=RunState.MAY_HAVE_RUN,
                 retry_after=refusal.retry_after,
             )
-        return CallerError(
+        return HttpError(
             _UNAVAILABLE,
             'no_upstream',
             f'{fault} Send the request again later.',
@@ -376,7 +378,7 @@
         )
 
 
-def _rejected(fault: EngineRejectedError, run_state: RunState) -> CallerError:
-    return CallerError(
+def _rejected(fault: EngineRejectedError, run_state: RunState) -> HttpError:
+    return HttpError(
         fault.status, 'rejected_by_engine', str(fault), run_state=run_state
     )
--- a/verbenathread/entry/request_state.py
+++ b/verbenathread/entry/request_state.py
@@ -8,7 +8,7 @@
 from verbenathread.types import Millis
 
 
-class CallerGone:
+class CallerDisconnect:
     """Whether the caller hung up, and what to do as soon as it does."""
 
     def __init__(self) -> None:
@@ -22,7 +22,7 @@
         """Return whether the caller has gone."""
         return self._happened.is_set()
 
-    def on_gone(self, action: Callable[[], None] | None) -> None:
+    def set_callback(self, action: Callable[[], None] | None) -> None:
         """Run ``action`` when the caller goes, at once if it has gone.
 
         It replaces the action set before; None clears it.
@@ -33,13 +33,13 @@
                 action()
 
     @contextmanager
-    def acting(self, action: Callable[[], None]) -> Iterator[None]:
+    def callback(self, action: Callable[[], None]) -> Iterator[None]:
         """Run ``action`` if the caller goes within the context."""
-        self.on_gone(action)
+        self.set_callback(action)
         try:
             yield
         finally:
-            self.on_gone(None)
+            self.set_callback(None)
 
     def set(self) -> None:
         """Note that the caller has gone."""
@@ -59,12 +59,12 @@
     def __init__(self, clock: Clock, moment: Millis) -> None:
         """End at ``moment`` of the monotonic clock."""
         self._clock = clock
-        self.moment = moment
+        self.expires_at = moment
 
-    def left(self) -> Millis:
+    def remaining(self) -> Millis:
         """Return what is left in ms, never below zero."""
-        return max(0, self.moment - self._clock.now())
+        return max(0, self.expires_at - self._clock.now())
 
-    def passed(self) -> bool:
+    def expired(self) -> bool:
         """Return whether nothing is left."""
-        return self.left() == 0
+        return self.remaining() == 0
--- a/verbenathread/entry/retry_budgets.py
+++ b/verbenathread/entry/retry_budgets.py
@@ -22,12 +22,14 @@
         self._lock = threading.Lock()
         self._retries_by_service: dict[str, RetryPolicy] = {}
 
-    def first(self, service: str, policy: settings_pb2.PolicySettings) -> None:
+    def record_first_attempt(
+        self, service: str, policy: settings_pb2.PolicySettings
+    ) -> None:
         """Count a first attempt, which earns a share of a retry."""
         with self._lock:
             self._retries(service, policy).note_first()
 
-    def next(
+    def next_retry(
         self,
         service: str,
         attempts: int,
--- a/verbenathread/entry/retry_thread.py
+++ b/verbenathread/entry/retry_thread.py
@@ -7,7 +7,7 @@
 from verbenathread.types import Millis
 
 
-class PendingWork:
+class RetryThread:
     """Base of the entry's threads that try until something is confirmed.
 
     A subclass keeps what is pending in ``_pending``, changes it only while it
@@ -35,9 +35,9 @@
         """Start the thread."""
         self._thread.start()
 
-    def stop(self, limit: Millis) -> None:
+    def stop(self, timeout: Millis) -> None:
         """Wait up to ``limit`` ms for what is pending, then end."""
-        deadline = self._clock.now() + limit
+        deadline = self._clock.now() + timeout
         with self._changed:
             while self._pending and self._clock.now() < deadline:
                 left = deadline - self._clock.now()
--- a/verbenathread/entry/settler.py
+++ b/verbenathread/entry/settler.py
@@ -5,7 +5,7 @@
 
 from verbenathread.clock import Clock, seconds
 from verbenathread.entry.ports import Claims
-from verbenathread.entry.retry_thread import PendingWork
+from verbenathread.entry.retry_thread import RetryThread
 from verbenathread.exceptions import VerbenathreadError
 from verbenathread.observability.logs import get_logger
 from verbenathread.schema import control_pb2
@@ -37,7 +37,7 @@
     until: Millis
 
 
-class Settler(PendingWork):
+class Settler(RetryThread):
     """One thread that settles claims while callers have their answers."""
 
     def __init__(self, claims: Claims, clock: Clock) -> None:
--- a/verbenathread/entry/socket_deadlines.py
+++ b/verbenathread/entry/socket_deadlines.py
@@ -15,7 +15,7 @@
 _LEAST_WAIT = 1
 
 
-class SocketTimes:
+class SocketDeadlines:
     """The moments by which reads and writes of one socket must end."""
 
     def __init__(self, clock: Clock) -> None:
@@ -24,37 +24,37 @@
         self.read_by: Millis = 0
         self.write_by: Millis = 0
         # Longest time in ms that one write may wait for a slow reader.
-        self.write_wait: Millis = 0
+        self.write_timeout: Millis = 0
 
-    def read_seconds(self) -> float:
+    def read_timeout_seconds(self) -> float:
         """Return how long a read may wait, in seconds."""
         left = self.read_by - self._clock.now()
         return seconds(max(_LEAST_WAIT, left))
 
-    def write_seconds(self) -> float:
+    def write_timeout_seconds(self) -> float:
         """Return how long one write may wait, in seconds."""
-        left = min(self.write_by - self._clock.now(), self.write_wait)
+        left = min(self.write_by - self._clock.now(), self.write_timeout)
         return seconds(max(_LEAST_WAIT, left))
 
 
 class _TimedRaw(socket.SocketIO):
     """Sets the socket's timeout to what is left before each read."""
 
-    def __init__(self, sock: socket.socket, times: SocketTimes) -> None:
+    def __init__(self, sock: socket.socket, times: SocketDeadlines) -> None:
         super().__init__(sock, 'rb')
         self._timed_socket = sock
         self._times = times
 
     def readinto(self, buffer: memoryview) -> int | None:  # type: ignore[override]
         """Read once, no later than the deadline."""
-        self._timed_socket.settimeout(self._times.read_seconds())
+        self._timed_socket.settimeout(self._times.read_timeout_seconds())
         return super().readinto(buffer)
 
 
-class TimedReader(StreamReader):
+class DeadlineReader(StreamReader):
     """What the server library reads requests from."""
 
-    def __init__(self, sock: socket.socket, times: SocketTimes) -> None:
+    def __init__(self, sock: socket.socket, times: SocketDeadlines) -> None:
         """Read from ``sock`` within ``times``."""
         super().__init__(sock, 'rb', io.DEFAULT_BUFFER_SIZE)
         # The reader above made its own raw file; it is not used.
@@ -62,21 +62,21 @@
         self._raw = _TimedRaw(sock, times)
 
 
-class TimedWriter:
+class DeadlineWriter:
     """Writes at once, without a buffer, no later than the deadline."""
 
-    def __init__(self, sock: socket.socket, times: SocketTimes) -> None:
+    def __init__(self, sock: socket.socket, times: SocketDeadlines) -> None:
         """Write to ``sock`` within ``times``."""
         self._socket = sock
         self._times = times
         self.bytes_written = 0
         self._held: list[bytes] | None = None
 
-    def hold(self) -> None:
+    def cork(self) -> None:
         """Keep what is written, to send it as one."""
         self._held = []
 
-    def release(self) -> None:
+    def uncork(self) -> None:
         """Send what was kept."""
         held = self._held
         self._held = None
@@ -88,7 +88,7 @@
         if self._held is not None:
             self._held.append(block)
             return len(block)
-        self._socket.settimeout(self._times.write_seconds())
+        self._socket.settimeout(self._times.write_timeout_seconds())
         self._socket.sendall(block)
         self.bytes_written += len(block)
         return len(block)
