--- a/tests/test_entry_cell_node.py
+++ b/tests/test_entry_cell_node.py
@@ -12,7 +12,7 @@
 from tests.node_network import FakeEngines, node_settings, tree_update
 from verbenathread.clock import LoopClock, SystemClock
 from verbenathread.entry.cell_node import CellNode, NodeContext
-from verbenathread.entry.claims import ClaimsClient
+from verbenathread.entry.claims_client import ClaimsClient
 from verbenathread.entry.node_thread import NodeThread
 from verbenathread.entry.peer_server import bound_socket
 from verbenathread.entry.settings_store import SettingsStore
