--- a/tests/test_control_load_limit.py
+++ b/tests/test_control_load_limit.py
@@ -4,7 +4,7 @@
 
 from verbenathread.clock import ManualClock
 from verbenathread.control.load_limit import LoadLimit
-from verbenathread.scheduling.weights import LOAD_WITHIN
+from verbenathread.scheduling.weight_loads import LOAD_TIMEOUT
 
 
 class LoadLimitTest(unittest.TestCase):
@@ -39,7 +39,7 @@
         cases = (
             ('refused or gone', lambda: self.limit.forget('e0')),
             ('shown', lambda: self.limit.shown('e0', ('m',))),
-            ('too late', lambda: self.clock.advance(LOAD_WITHIN + 1)),
+            ('too late', lambda: self.clock.advance(LOAD_TIMEOUT + 1)),
         )
         for name, act in cases:
             with self.subTest(name):
--- a/tests/test_entry_admissions.py
+++ b/tests/test_entry_admissions.py
@@ -6,7 +6,7 @@
 from verbenathread.clock import ManualClock
 from verbenathread.entry.admissions import USAGE_EVERY, CellAdmissions
 from verbenathread.entry.retry_budgets import RetryBudgets
-from verbenathread.scheduling.limits import BURST, LOCAL_SHARE
+from verbenathread.scheduling.limits import BURST, LOCAL_SHARE_FACTOR
 from verbenathread.scheduling.retries import Retry
 from verbenathread.schema import peer_pb2, settings_pb2
 from verbenathread.settings.rules import fill_defaults
@@ -121,7 +121,9 @@
         # The bound that scheduling.limits states, the lag being 2 s here.
         lag = 2 * 1000
         bound = (
-            RATE * (SECONDS * 1000 + BURST + LOCAL_SHARE * (BURST + lag)) / 1000
+            RATE
+            * (SECONDS * 1000 + BURST + LOCAL_SHARE_FACTOR * (BURST + lag))
+            / 1000
         ) + ENTRIES
         for loses in (nothing, every_third_reply, every_third_message):
             with self.subTest(loses=loses.__name__):
@@ -132,7 +134,7 @@
 
     def test_cut_off_entries_keep_to_their_even_shares(self):
         admitted = CellOfAdmissions(all_lost).run(SECONDS)
-        bound = RATE * (SECONDS + LOCAL_SHARE * (BURST + 5000) / 1000)
+        bound = RATE * (SECONDS + LOCAL_SHARE_FACTOR * (BURST + 5000) / 1000)
         self.assertLessEqual(admitted, bound + ENTRIES)
 
     def test_a_restarted_entry_is_told_anew(self):
--- a/tests/test_entry_reservations.py
+++ b/tests/test_entry_reservations.py
@@ -7,8 +7,8 @@
 from tests.fabric_network import FabricNetwork
 from tests.virtual_loop import run_virtual
 from verbenathread.entry import hold_messages
-from verbenathread.scheduling.ledger import START_WITHIN
-from verbenathread.scheduling.messages import Ask
+from verbenathread.scheduling.ledger import START_TIMEOUT
+from verbenathread.scheduling.messages import ReservationRequest
 from verbenathread.types import RefusalReason, Reservation
 
 MEMORY = 400_000
@@ -221,7 +221,7 @@
         old = network.owner('e1')
         await network.kill(old)
         successor, waited = await self.new_owner(network, 'e1', old)
-        self.assertGreaterEqual(waited, START_WITHIN)
+        self.assertGreaterEqual(waited, START_TIMEOUT)
         self.assertEqual(network.free('e1'), MEMORY - 150_000)
         self.assertIn(user, network.node_by_id)
         network.engines.end(held)
@@ -293,7 +293,7 @@
     @with_engines(3, 'e1')
     async def test_a_grant_that_comes_late_is_not_used(self, network):
         user = others(network, 'e1')[0]
-        network.reply_delay_s = (START_WITHIN + 100) / 1000
+        network.reply_delay_s = (START_TIMEOUT + 100) / 1000
         outcome = await network.reserve(user, 5000, 40_000)
         self.assertNotIsInstance(outcome, Reservation)
         network.reply_delay_s = 0.001
@@ -334,5 +334,5 @@
 
 def _request(network, node_id):
     work = network.work(5000)
-    ask = Ask(work, 'late', node_id, 5000)
+    ask = ReservationRequest(work, 'late', node_id, 5000)
     return hold_messages.request_of('e1', ask, 1, work.arrival)
--- a/tests/test_scheduling_choice.py
+++ b/tests/test_scheduling_choice.py
@@ -7,7 +7,7 @@
 from tests.test_scheduling_ledger import make_work
 from verbenathread.replay.deployment import TILLERY, engine_records
 from verbenathread.replay.replay import default_policy
-from verbenathread.scheduling.candidates import CandidateWalk, look_again_after
+from verbenathread.scheduling.candidates import CandidateIterator, reroute_delay
 from verbenathread.scheduling.estimates import (
     OutputEstimator,
     PrefillCost,
@@ -21,10 +21,10 @@
 )
 from verbenathread.scheduling.router import Router
 from verbenathread.scheduling.tuning import CURRENT
-from verbenathread.scheduling.weights import (
-    LOAD_WITHIN,
-    ModelNeed,
-    WantedLoad,
+from verbenathread.scheduling.weight_loads import (
+    LOAD_TIMEOUT,
+    ModelDemand,
+    WeightLoad,
     WeightLoadQueue,
 )
 
@@ -42,20 +42,20 @@
             for number in range(20):
                 work = make_work(f'r{number}', 3000)
                 first = router.choose(work, records, 0)[0]
-                router.note_sent(first, work, 0)
+                router.record_sent(first, work, 0)
                 chosen[first] += 1
         # 180 sends over 20 engines: 9 each if perfectly even.
         self.assertEqual(len(chosen), 20)
         self.assertLessEqual(max(chosen.values()), 18)
 
     def test_looks_at_as_many_engines_of_any_fleet(self):
-        looked_at = set()
+        sampled_count = set()
         for engines in (20, 200, 4000):
             records = engine_records(TILLERY._replace(engines=engines))
             router = make_router(1)
             router.choose(make_work('r', 3000), records, 0)
-            looked_at.add(router.looked_at)
-        self.assertEqual(len(looked_at), 1)
+            sampled_count.add(router.sampled_count)
+        self.assertEqual(len(sampled_count), 1)
 
     def test_one_known_rate_does_not_draw_every_prompt(self):
         # One engine was used and is faster than the first guess, which the
@@ -76,7 +76,7 @@
                 prefill_us=5000 if is_known else 50000,
                 output_us=2000,
             )
-            router.note_report(report, 0)
+            router.record_report(report, 0)
         chosen = Counter()
         for number in range(40):
             work = make_work(f'r{number}', 3000)
@@ -93,16 +93,16 @@
         self.assertEqual(left, ['e0001'])
 
     def test_walk_waits_where_the_wait_is_least(self):
-        walk = CandidateWalk(('a', 'b', 'c'), 50)
+        walk = CandidateIterator(('a', 'b', 'c'), 50)
         self.assertEqual(walk.next(), 'a')
-        self.assertFalse(walk.stays('a', 900))
+        self.assertFalse(walk.accepts_wait('a', 900))
         self.assertEqual(walk.next(), 'b')
-        self.assertFalse(walk.stays('b', 300))
+        self.assertFalse(walk.accepts_wait('b', 300))
         # c refuses.
         self.assertEqual(walk.next(), 'c')
         self.assertEqual(walk.next(), 'b')
-        self.assertTrue(walk.stays('b', 300))
-        self.assertIsNone(CandidateWalk((), 50).next())
+        self.assertTrue(walk.accepts_wait('b', 300))
+        self.assertIsNone(CandidateIterator((), 50).next())
 
     def test_when_to_look_again(self):
         # Prompt tokens, expected wait and the delay; None stays for good.
@@ -114,7 +114,7 @@
         )
         for tokens, wait, delay in cases:
             with self.subTest(tokens=tokens, wait=wait):
-                found = look_again_after(
+                found = reroute_delay(
                     make_work('r', tokens), wait, default_policy(), CURRENT
                 )
                 self.assertEqual(found, delay)
@@ -142,7 +142,7 @@
         for name, (events, tokens, is_known) in cases.items():
             with self.subTest(name):
                 index = PrefixIndex()
-                answers = [index.note('e1', event) for event in events]
+                answers = [index.apply('e1', event) for event in events]
                 self.assertEqual(answers[-1], is_known)
                 self.assertEqual(
                     index.cached_tokens('e1', (11, 12, 13)), tokens
@@ -162,7 +162,7 @@
         for _ in range(600):
             tokens = rng.choice((2000, 20000, 80000, 300000))
             busy = tokens * 0.1 + tokens * tokens / 1e6 * 0.2
-            cost.note_busy(int(busy), [tokens])
+            cost.observe_busy_period(int(busy), [tokens])
         for tokens in (4000, 100000, 300000):
             expected = tokens * 0.1 + tokens * tokens / 1e6 * 0.2
             self.assertAlmostEqual(
@@ -174,7 +174,7 @@
         rng = random.Random(1)
         for mean in (100, 800):
             for _ in range(400):
-                outputs.note('a', 's', int(rng.uniform(0.5, 1.5) * mean))
+                outputs.observe('a', 's', int(rng.uniform(0.5, 1.5) * mean))
             expected = outputs.expected('a', 's', 4096)
             self.assertGreater(expected, mean)
             self.assertLess(expected, mean * 1.6)
@@ -184,30 +184,30 @@
         tokens = TokenEstimator()
         self.assertEqual(tokens.tokens('s', 4000, 4), 1000)
         for _ in range(300):
-            tokens.note('s', 3000, 1000, 4)
+            tokens.observe('s', 3000, 1000, 4)
         self.assertAlmostEqual(tokens.tokens('s', 3000, 4), 1000, delta=20)
 
 
 class WeightTest(unittest.TestCase):
     def test_a_restart_storm_loads_what_is_needed_first(self):
         queue = WeightLoadQueue(2)
-        need = {'big': ModelNeed(90, 0), 'small': ModelNeed(10, 0)}
+        need = {'big': ModelDemand(90, 0), 'small': ModelDemand(10, 0)}
         for number in range(10):
             model = 'small' if number == 9 else 'big'
-            queue.want(WantedLoad(f'e{number}', model))
+            queue.enqueue(WeightLoad(f'e{number}', model))
         begun = queue.start(need, 0)
         # Each model gets its first engine before any gets its second.
         self.assertEqual([load.model for load in begun], ['big', 'small'])
         self.assertEqual(queue.start(need, 0), [])
-        queue.done(begun[0])
+        queue.finish(begun[0])
         self.assertEqual(len(queue.start(need, 0)), 1)
 
     def test_a_lost_load_is_queued_again(self):
         queue = WeightLoadQueue(1)
-        lost = WantedLoad('e1', 'm')
-        queue.want(lost)
+        lost = WeightLoad('e1', 'm')
+        queue.enqueue(lost)
         self.assertEqual(queue.start({}, 0), [lost])
-        self.assertEqual(queue.start({}, LOAD_WITHIN), [])
-        self.assertEqual(queue.start({}, LOAD_WITHIN + 1), [lost])
+        self.assertEqual(queue.start({}, LOAD_TIMEOUT), [])
+        self.assertEqual(queue.start({}, LOAD_TIMEOUT + 1), [lost])
         queue.forget('e1')
-        self.assertEqual(queue.start({}, 3 * LOAD_WITHIN), [])
+        self.assertEqual(queue.start({}, 3 * LOAD_TIMEOUT), [])
--- a/tests/test_scheduling_failures.py
+++ b/tests/test_scheduling_failures.py
@@ -6,9 +6,9 @@
 from tests.test_scheduling_ledger import make_work
 from verbenathread.replay.replay import default_policy
 from verbenathread.scheduling.outliers import (
-    FAILURES,
-    FIRST_EJECTION,
-    PROBE_WITHIN,
+    BASE_EJECTION,
+    CONSECUTIVE_FAILURES,
+    PROBE_TIMEOUT,
     OutlierTracker,
 )
 from verbenathread.scheduling.retries import Retry, RetryPolicy
@@ -23,10 +23,10 @@
         attempts = 0
         requests = 2000
         for _ in range(requests):
-            retries.note_first()
+            retries.record_first_attempt()
             made = 1
             while isinstance(
-                retries.next(
+                retries.decide(
                     deadline, made, Outcome.NOT_RUN, 0, repeatable=True
                 ),
                 Retry,
@@ -47,7 +47,7 @@
             with self.subTest(name):
                 outcome, repeatable, made, now, expected = case
                 retries = RetryPolicy(default_policy(), random.Random(1))
-                answer = retries.next(
+                answer = retries.decide(
                     make_work('r', 1000).deadline,
                     made,
                     outcome,
@@ -70,27 +70,27 @@
 class OutlierTest(unittest.TestCase):
     def setUp(self):
         self.tracker = OutlierTracker()
-        for _ in range(FAILURES):
-            self.assertEqual(self.tracker.put_aside(0), frozenset())
-            self.tracker.note_failure('e1', 0)
+        for _ in range(CONSECUTIVE_FAILURES):
+            self.assertEqual(self.tracker.ejected(0), frozenset())
+            self.tracker.record_failure('e1', 0)
 
     def test_one_probe_at_a_time_lets_it_back(self):
-        self.assertEqual(self.tracker.put_aside(1), {'e1'})
-        now = FIRST_EJECTION
-        self.assertEqual(self.tracker.put_aside(now), frozenset())
-        self.tracker.note_sent('e1', now)
-        self.assertEqual(self.tracker.put_aside(now), {'e1'})
-        self.tracker.note_success('e1')
-        self.assertEqual(self.tracker.put_aside(now), frozenset())
+        self.assertEqual(self.tracker.ejected(1), {'e1'})
+        now = BASE_EJECTION
+        self.assertEqual(self.tracker.ejected(now), frozenset())
+        self.tracker.record_sent('e1', now)
+        self.assertEqual(self.tracker.ejected(now), {'e1'})
+        self.tracker.record_success('e1')
+        self.assertEqual(self.tracker.ejected(now), frozenset())
 
     def test_a_failed_probe_doubles_the_time(self):
-        self.tracker.note_sent('e1', FIRST_EJECTION)
-        self.tracker.note_failure('e1', FIRST_EJECTION)
-        late = FIRST_EJECTION + 2 * FIRST_EJECTION
-        self.assertEqual(self.tracker.put_aside(late - 1), {'e1'})
-        self.assertEqual(self.tracker.put_aside(late), frozenset())
+        self.tracker.record_sent('e1', BASE_EJECTION)
+        self.tracker.record_failure('e1', BASE_EJECTION)
+        late = BASE_EJECTION + 2 * BASE_EJECTION
+        self.assertEqual(self.tracker.ejected(late - 1), {'e1'})
+        self.assertEqual(self.tracker.ejected(late), frozenset())
 
     def test_a_lost_probe_does_not_shut_it_out_for_good(self):
-        self.tracker.note_sent('e1', FIRST_EJECTION)
-        late = FIRST_EJECTION + PROBE_WITHIN
-        self.assertEqual(self.tracker.put_aside(late), frozenset())
+        self.tracker.record_sent('e1', BASE_EJECTION)
+        late = BASE_EJECTION + PROBE_TIMEOUT
+        self.assertEqual(self.tracker.ejected(late), frozenset())
--- a/tests/test_scheduling_groups.py
+++ b/tests/test_scheduling_groups.py
@@ -5,7 +5,7 @@
 from tests.test_scheduling_ledger import make_ask, make_work
 from verbenathread.clock import ManualClock
 from verbenathread.replay.replay import default_policy
-from verbenathread.scheduling.groups import GroupClaim, group_size
+from verbenathread.scheduling.groups import GroupRequest, group_size
 from verbenathread.scheduling.ledger import GROUP_LEASE, EngineLedger
 from verbenathread.scheduling.messages import Queued
 from verbenathread.types import Reservation
@@ -25,29 +25,31 @@
 
     def make_claim(self, name, order):
         work = make_work(name, 600000)
-        return GroupClaim(work, name, 'n1', _MEMBERS, 600000, order)
+        return GroupRequest(work, name, 'n1', _MEMBERS, 600000, order)
 
     def ask(self, claim, member):
         """Ask one owner; note the hold if it is granted at once."""
-        answer = self.ledger_by_id[member].ask(claim.ask)
+        answer = self.ledger_by_id[member].reserve(claim.member_request)
         if isinstance(answer, Reservation):
-            claim.granted(answer)
+            claim.record_grant(answer)
         return answer
 
     def hand_out(self, *claims):
         """Deliver what the owners have granted since."""
-        claim_by_id = {claim.ask.attempt_id: claim for claim in claims}
+        claim_by_id = {
+            claim.member_request.attempt_id: claim for claim in claims
+        }
         for ledger in self.ledger_by_id.values():
-            for reservation in ledger.ready():
-                claim_by_id[reservation.attempt_id].granted(reservation)
+            for reservation in ledger.take_grants():
+                claim_by_id[reservation.attempt_id].record_grant(reservation)
 
     def renew(self, claim):
         """Renew every hold; ask again for those that yielded."""
-        for held in claim.held():
+        for held in claim.member_reservations():
             member = held.upstream_ids[0]
             ledger = self.ledger_by_id[member]
             if ledger.renew(held.reservation_id) is None:
-                ledger.ask(claim.lost(member))
+                ledger.reserve(claim.record_loss(member))
 
     def test_sizes(self):
         size_by_memory = {1: 1, 360000: 1, 360001: 2, 720001: 3, 1001024: 3}
@@ -59,9 +61,9 @@
     def test_is_whole_only_with_every_member(self):
         claim = self.make_claim('a', 1)
         self.ask(claim, 'e1')
-        self.assertIsNone(claim.whole())
+        self.assertIsNone(claim.complete_reservation())
         self.ask(claim, 'e2')
-        whole = claim.whole()
+        whole = claim.complete_reservation()
         self.assertEqual(whole.upstream_ids, _MEMBERS)
         self.assertEqual(whole.memory_tokens, 600000)
 
@@ -76,35 +78,35 @@
             self.renew(earlier)
             self.renew(later)
             self.hand_out(earlier, later)
-        self.assertIsNotNone(earlier.whole())
-        self.assertEqual(later.held(), ())
+        self.assertIsNotNone(earlier.complete_reservation())
+        self.assertEqual(later.member_reservations(), ())
         for member in _MEMBERS:
             ledger = self.ledger_by_id[member]
-            ledger.started(f'{member}/earlier')
+            ledger.mark_started(f'{member}/earlier')
             ledger.release(f'{member}/earlier', 10)
         self.hand_out(later)
-        self.assertIsNotNone(later.whole())
+        self.assertIsNotNone(later.complete_reservation())
 
     def test_holds_of_a_dead_entry_come_back(self):
         claim = self.make_claim('a', 1)
         self.ask(claim, 'e1')
         self.clock.advance(GROUP_LEASE)
         ledger = self.ledger_by_id['e1']
-        ledger.ready()
+        ledger.take_grants()
         self.assertEqual(ledger.free_tokens, _ENGINE - 300000)
         self.clock.advance(1)
-        ledger.ready()
+        ledger.take_grants()
         self.assertEqual(ledger.free_tokens, _ENGINE)
         self.assertIsNone(ledger.renew('e1/a'))
 
     def test_a_hold_that_has_started_never_yields(self):
         later = self.make_claim('later', 2)
         self.ask(later, 'e1')
-        self.ledger_by_id['e1'].started('e1/later')
+        self.ledger_by_id['e1'].mark_started('e1/later')
         self.ask(self.make_claim('earlier', 1), 'e1')
         self.assertIsNotNone(self.ledger_by_id['e1'].renew('e1/later'))
 
     def test_single_prompts_share_the_engine_with_a_group(self):
         self.ask(self.make_claim('a', 1), 'e1')
-        answer = self.ledger_by_id['e1'].ask(make_ask('short', 2000))
+        answer = self.ledger_by_id['e1'].reserve(make_ask('short', 2000))
         self.assertIsInstance(answer, Reservation)
--- a/tests/test_scheduling_ledger.py
+++ b/tests/test_scheduling_ledger.py
@@ -7,8 +7,12 @@
 
 from verbenathread.clock import ManualClock
 from verbenathread.replay.replay import default_policy
-from verbenathread.scheduling.ledger import START_WITHIN, EngineLedger
-from verbenathread.scheduling.messages import Ask, EngineHold, Queued
+from verbenathread.scheduling.ledger import START_TIMEOUT, EngineLedger
+from verbenathread.scheduling.messages import (
+    EngineHold,
+    Queued,
+    ReservationRequest,
+)
 from verbenathread.scheduling.tuning import CURRENT, PREVIOUS
 from verbenathread.types import Refusal, RefusalReason, Reservation, Work
 
@@ -26,7 +30,7 @@
     memory = parts.pop('memory', tokens + 100)
     entry_id = parts.pop('entry_id', 'n1')
     work = make_work(name, tokens, **parts)
-    return Ask(work, name, entry_id, memory)
+    return ReservationRequest(work, name, entry_id, memory)
 
 
 def make_ledger(clock=None, *, memory=_MEMORY, tuning=CURRENT, **policy):
@@ -44,7 +48,7 @@
         self.ledger = make_ledger(self.clock)
 
     def ask(self, name, tokens):
-        self.ledger.ask(make_ask(name, tokens))
+        self.ledger.reserve(make_ask(name, tokens))
 
     def cancel(self, name, tokens):
         self.ledger.cancel(name)
@@ -57,10 +61,10 @@
             self.ledger.release(late.reservation_id, 0)
 
     def start(self, name, tokens):
-        self.ledger.started(f'e1/{name}')
+        self.ledger.mark_started(f'e1/{name}')
 
     def progress(self, name, tokens):
-        self.ledger.progress(f'e1/{name}', 1)
+        self.ledger.record_progress(f'e1/{name}', 1)
 
     def release(self, name, tokens):
         self.ledger.release(f'e1/{name}', 10)
@@ -90,7 +94,7 @@
         ledger = caller.ledger
         for action, number, tokens in steps:
             getattr(caller, action)(f'r{number}', tokens)
-            ledger.ready()
+            ledger.take_grants()
             self.assertGreaterEqual(ledger.free_tokens, 0)
             self.assertLessEqual(ledger.free_tokens, _MEMORY)
         for number in range(12):
@@ -101,43 +105,47 @@
     def test_takes_back_what_did_not_start_in_time(self):
         clock = ManualClock()
         ledger = make_ledger(clock)
-        self.assertIsInstance(ledger.ask(make_ask('a', 8000)), Reservation)
-        self.assertIsInstance(ledger.ask(make_ask('b', 8000)), Queued)
-        clock.advance(START_WITHIN + 1)
-        self.assertEqual([one.attempt_id for one in ledger.ready()], ['b'])
+        self.assertIsInstance(ledger.reserve(make_ask('a', 8000)), Reservation)
+        self.assertIsInstance(ledger.reserve(make_ask('b', 8000)), Queued)
+        clock.advance(START_TIMEOUT + 1)
+        self.assertEqual(
+            [one.attempt_id for one in ledger.take_grants()], ['b']
+        )
 
     def test_a_resent_ask_holds_once(self):
         ledger = make_ledger()
-        first = ledger.ask(make_ask('a', 4000))
-        self.assertEqual(ledger.ask(make_ask('a', 4000)), first)
+        first = ledger.reserve(make_ask('a', 4000))
+        self.assertEqual(ledger.reserve(make_ask('a', 4000)), first)
         self.assertEqual(ledger.free_tokens, _MEMORY - 4100)
 
     def test_a_cancelled_grant_is_not_handed_out(self):
         ledger = make_ledger()
-        ledger.ask(make_ask('a', 8000))
-        ledger.ask(make_ask('b', 8000))
+        ledger.reserve(make_ask('a', 8000))
+        ledger.reserve(make_ask('b', 8000))
         ledger.release('e1/a', 0)
         ledger.cancel('b')
-        self.assertEqual(ledger.ready(), [])
+        self.assertEqual(ledger.take_grants(), [])
         self.assertEqual(ledger.free_tokens, _MEMORY)
 
     def test_takeover_counts_what_the_engine_holds(self):
         ledger = make_ledger()
-        ledger.adopt([EngineHold('old', 8000, 7000, 5, 'n2')])
-        self.assertIsInstance(ledger.ask(make_ask('a', 4000)), Queued)
+        ledger.restore([EngineHold('old', 8000, 7000, 5, 'n2')])
+        self.assertIsInstance(ledger.reserve(make_ask('a', 4000)), Queued)
         ledger.release('e1/old', 9)
-        self.assertEqual([one.attempt_id for one in ledger.ready()], ['a'])
+        self.assertEqual(
+            [one.attempt_id for one in ledger.take_grants()], ['a']
+        )
 
     def test_an_entry_that_is_gone_leaves_only_what_runs(self):
         ledger = make_ledger()
-        ledger.ask(make_ask('runs', 3000, entry_id='gone'))
-        ledger.ask(make_ask('granted', 3000, entry_id='gone'))
-        ledger.ask(make_ask('waits', 8000, entry_id='gone'))
-        ledger.started('e1/runs')
+        ledger.reserve(make_ask('runs', 3000, entry_id='gone'))
+        ledger.reserve(make_ask('granted', 3000, entry_id='gone'))
+        ledger.reserve(make_ask('waits', 8000, entry_id='gone'))
+        ledger.mark_started('e1/runs')
         left = ledger.drop_entry('gone')
         self.assertEqual([one.attempt_id for one in left], ['runs'])
         self.assertEqual(ledger.free_tokens, _MEMORY - 3100)
-        self.assertEqual(ledger.ready(), [])
+        self.assertEqual(ledger.take_grants(), [])
 
 
 class RefusalTest(unittest.TestCase):
@@ -151,8 +159,10 @@
             with self.subTest(name):
                 ledger = make_ledger()
                 if before:
-                    ledger.ask(make_ask('before', before - 200))
-                answer = ledger.ask(make_ask('late', tokens, deadline=deadline))
+                    ledger.reserve(make_ask('before', before - 200))
+                answer = ledger.reserve(
+                    make_ask('late', tokens, deadline=deadline)
+                )
                 self.assertIsInstance(answer, Refusal)
                 self.assertEqual(answer.reason, reason)
                 if reason is RefusalReason.DEADLINE:
@@ -163,8 +173,8 @@
         for backlog in (1, 3):
             ledger = make_ledger(memory=400000)
             for number in range(backlog):
-                ledger.ask(make_ask(f'b{number}', 300000))
-            late = ledger.ask(make_ask('late', 300000, deadline=20000))
+                ledger.reserve(make_ask(f'b{number}', 300000))
+            late = ledger.reserve(make_ask('late', 300000, deadline=20000))
             self.assertIsInstance(late, Refusal)
             waits.append(late.retry_after)
         self.assertGreater(waits[1], waits[0])
@@ -172,7 +182,7 @@
     def test_the_queue_is_bounded(self):
         ledger = make_ledger(queue_limit=2)
         answers = [
-            ledger.ask(make_ask(f'r{number}', 8000)) for number in range(4)
+            ledger.reserve(make_ask(f'r{number}', 8000)) for number in range(4)
         ]
         self.assertIsInstance(answers[2], Queued)
         self.assertIsInstance(answers[3], Refusal)
@@ -180,10 +190,10 @@
 
     def test_work_admitted_before_is_not_refused(self):
         ledger = make_ledger(queue_limit=1)
-        ledger.ask(make_ask('a', 8000))
-        ledger.ask(make_ask('b', 8000))
+        ledger.reserve(make_ask('a', 8000))
+        ledger.reserve(make_ask('b', 8000))
         again = make_ask('c', 8000, deadline=10)._replace(admitted=True)
-        self.assertIsInstance(ledger.ask(again), Queued)
+        self.assertIsInstance(ledger.reserve(again), Queued)
 
 
 class OrderTest(unittest.TestCase):
@@ -192,25 +202,25 @@
         clock = ManualClock()
         ledger = make_ledger(clock, memory=400000, tuning=tuning)
         for number in range(4):
-            ledger.ask(make_ask(f'm{number}', 90000))
-            ledger.started(f'e1/m{number}')
-        ledger.ask(make_ask('long', 300000, deadline=10**9))
+            ledger.reserve(make_ask(f'm{number}', 90000))
+            ledger.mark_started(f'e1/m{number}')
+        ledger.reserve(make_ask('long', 300000, deadline=10**9))
         running = [f'm{number}' for number in range(4)]
         for turn in range(100):
             clock.advance(3000)
             ended = running.pop(0)
-            ledger.progress(f'e1/{ended}', 1)
+            ledger.record_progress(f'e1/{ended}', 1)
             ledger.release(f'e1/{ended}', 100)
-            answer = ledger.ask(
+            answer = ledger.reserve(
                 make_ask(f'n{turn}', 90000, deadline=10**9, arrival=clock.now())
             )
-            granted = [one.attempt_id for one in ledger.ready()]
+            granted = [one.attempt_id for one in ledger.take_grants()]
             if isinstance(answer, Reservation):
                 granted.append(f'n{turn}')
             if 'long' in granted:
                 return turn
             for name in granted:
-                ledger.started(f'e1/{name}')
+                ledger.mark_started(f'e1/{name}')
             running.extend(granted)
             if not running:
                 self.fail('Nothing runs.')
@@ -223,35 +233,35 @@
 
     def test_headroom_is_for_short_prompts(self):
         ledger = make_ledger()
-        ledger.ask(make_ask('a', 4500))
+        ledger.reserve(make_ask('a', 4500))
         # 5,400 tokens are free, of which 1,000 are for short prompts.
-        self.assertIsInstance(ledger.ask(make_ask('m', 4400)), Queued)
-        self.assertIsInstance(ledger.ask(make_ask('s', 4000)), Reservation)
+        self.assertIsInstance(ledger.reserve(make_ask('m', 4400)), Queued)
+        self.assertIsInstance(ledger.reserve(make_ask('s', 4000)), Reservation)
 
     def test_shorter_goes_first_when_memory_comes_back(self):
         for name, tuning in (('current', CURRENT), ('previous', PREVIOUS)):
             with self.subTest(name):
                 ledger = make_ledger(memory=20000, tuning=tuning)
-                ledger.ask(make_ask('a', 17000))
-                ledger.ask(make_ask('middle', 9000))
-                ledger.ask(make_ask('short', 4000))
+                ledger.reserve(make_ask('a', 17000))
+                ledger.reserve(make_ask('middle', 9000))
+                ledger.reserve(make_ask('short', 4000))
                 ledger.release('e1/a', 10)
-                order = [one.attempt_id for one in ledger.ready()]
+                order = [one.attempt_id for one in ledger.take_grants()]
                 self.assertEqual(order, ['short', 'middle'])
 
     def test_accounts_share_by_weight(self):
-        tuning = PREVIOUS._replace(fair_shares=True)
+        tuning = PREVIOUS._replace(fair_queueing=True)
         ledger = make_ledger(tuning=tuning, memory=4000)
-        ledger.ask(make_ask('runs', 3000))
+        ledger.reserve(make_ask('runs', 3000))
         for number in range(6):
-            ledger.ask(make_ask(f'flood{number}', 3000))
+            ledger.reserve(make_ask(f'flood{number}', 3000))
         other = make_ask('other', 3000)
         work = other.work._replace(account='quiet')
-        ledger.ask(other._replace(work=work))
+        ledger.reserve(other._replace(work=work))
         order = []
         last = 'runs'
         for _ in range(3):
             ledger.release(f'e1/{last}', 10)
-            last = ledger.ready()[0].attempt_id
+            last = ledger.take_grants()[0].attempt_id
             order.append(last)
         self.assertIn('other', order)
--- a/tests/test_scheduling_limits.py
+++ b/tests/test_scheduling_limits.py
@@ -4,8 +4,8 @@
 
 from verbenathread.scheduling.limits import (
     BURST,
-    LOCAL_SHARE,
-    STALE,
+    LOCAL_SHARE_FACTOR,
+    USAGE_STALE_AFTER,
     AccountLimiter,
 )
 from verbenathread.schema import settings_pb2
@@ -47,7 +47,7 @@
     for sender, usage in enumerate(usages):
         for receiver, limiter in enumerate(limiters):
             if receiver != sender:
-                limiter.note_usage(f'n{sender}', usage, now)
+                limiter.record_usage(f'n{sender}', usage, now)
 
 
 class LimitTest(unittest.TestCase):
@@ -61,7 +61,7 @@
                     )
                     # Usage is sent each second and is then 2 s on its way.
                     lag = _LAG + 1000
-                    extra = BURST + LOCAL_SHARE * (BURST + lag)
+                    extra = BURST + LOCAL_SHARE_FACTOR * (BURST + lag)
                     most = _RATE * (window + extra) / 1000 + _ENTRIES
                     self.assertLessEqual(admitted, most)
 
@@ -72,15 +72,17 @@
         self.assertGreaterEqual(long - short, _RATE * 300 * 0.9)
 
     def test_an_entry_that_hears_nothing_keeps_its_share(self):
-        early = flood(make_limits(), STALE, entries=9, hears=False)
-        late = flood(make_limits(), STALE + 60000, entries=9, hears=False)
+        early = flood(make_limits(), USAGE_STALE_AFTER, entries=9, hears=False)
+        late = flood(
+            make_limits(), USAGE_STALE_AFTER + 60000, entries=9, hears=False
+        )
         self.assertLessEqual(late - early, _RATE * 60 * 1.05)
 
     def test_long_prompts_in_progress_are_bounded(self):
         admitted = flood(
             make_limits(), 20000, entries=_ENTRIES, hears=True, is_long=True
         )
-        own_most = -(-8 * LOCAL_SHARE // _ENTRIES)
+        own_most = -(-8 * LOCAL_SHARE_FACTOR // _ENTRIES)
         self.assertLessEqual(admitted, own_most * _ENTRIES)
 
     def test_refusal_says_when_to_come_back(self):
@@ -101,5 +103,5 @@
         limits = make_limits(tokens_per_second=10, long_prompts=1)
         limiter.admit('a', limits, 100, 0, is_long=True)
         self.assertIsNotNone(limiter.admit('a', limits, 1, 0, is_long=False))
-        limiter.done('a', 50, 0, is_long=True)
+        limiter.finish('a', 50, 0, is_long=True)
         self.assertIsNone(limiter.admit('a', limits, 1, 0, is_long=True))
--- a/tools/bench_decisions.py
+++ b/tools/bench_decisions.py
@@ -17,7 +17,7 @@
 from verbenathread.scheduling.admission import Admission
 from verbenathread.scheduling.ledger import EngineLedger
 from verbenathread.scheduling.limits import AccountLimiter
-from verbenathread.scheduling.messages import Ask
+from verbenathread.scheduling.messages import ReservationRequest
 from verbenathread.scheduling.router import Router
 from verbenathread.schema import settings_pb2
 from verbenathread.types import Reservation, UpstreamRecord, Work
@@ -72,13 +72,13 @@
         ledger = EngineLedger(
             record.upstream_id, record.memory_tokens, router.policy, clock
         )
-        router.note_report(ledger.report(), 0)
+        router.record_report(ledger.report(), 0)
 
     def choose(number: int) -> None:  # noqa: WPS430 - the call to be timed.
         work = _work(number, 1)
         first = router.choose(work, records, number)[0]
-        router.note_sent(first, work, number)
-        router.note_done(first, work)
+        router.record_sent(first, work, number)
+        router.record_done(first, work)
 
     return choose
 
@@ -92,7 +92,7 @@
     def admit(number: int) -> None:  # noqa: WPS430 - the call to be timed.
         work = _work(number, accounts)
         admission.admit(work, _LIMITS, policy, records, number)
-        admission.done(work, policy, _OUTPUT, number)
+        admission.finish(work, policy, _OUTPUT, number)
 
     return admit
 
@@ -104,26 +104,26 @@
         'e1', TILLERY.rates.memory_tokens, default_policy(), clock
     )
     for number in range(-40, 0):
-        answer = ledger.ask(_ask(number))
+        answer = ledger.reserve(_ask(number))
         if isinstance(answer, Reservation):
-            ledger.started(answer.reservation_id)
-            ledger.progress(answer.reservation_id, 1)
+            ledger.mark_started(answer.reservation_id)
+            ledger.record_progress(answer.reservation_id, 1)
 
     def reserve(number: int) -> None:  # noqa: WPS430 - the call to be timed.
         clock.advance(1)
-        answer = ledger.ask(_ask(number))
+        answer = ledger.reserve(_ask(number))
         if isinstance(answer, Reservation):
-            ledger.started(answer.reservation_id)
-            ledger.progress(answer.reservation_id, 1)
+            ledger.mark_started(answer.reservation_id)
+            ledger.record_progress(answer.reservation_id, 1)
             ledger.release(answer.reservation_id, _OUTPUT)
-        ledger.ready()
+        ledger.take_grants()
 
     return reserve
 
 
-def _ask(number: int) -> Ask:
+def _ask(number: int) -> ReservationRequest:
     work = _work(number, 1)._replace(deadline=_LIMIT * _ROUNDS)
-    return Ask(work, work.request_id, 'n1', _PROMPT + _OUTPUT)
+    return ReservationRequest(work, work.request_id, 'n1', _PROMPT + _OUTPUT)
 
 
 def measure() -> list[Cost]:
--- a/verbenathread/control/load_limit.py
+++ b/verbenathread/control/load_limit.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable
 
 from verbenathread.clock import Clock
-from verbenathread.scheduling.weights import (
-    ModelNeed,
-    WantedLoad,
+from verbenathread.scheduling.weight_loads import (
+    ModelDemand,
+    WeightLoad,
     WeightLoadQueue,
 )
 
@@ -32,10 +32,10 @@
 
     def may_load(self, upstream_id: str, model: str) -> bool:
         """Tell whether this load may be ordered now; if not, it waits."""
-        load = WantedLoad(upstream_id, model)
+        load = WeightLoad(upstream_id, model)
         with self._lock:
-            self._queue.most = self._most()
-            self._queue.want(load)
+            self._queue.limit = self._most()
+            self._queue.enqueue(load)
             self._queue.start(self._need_by_model(), self._clock.now())
             return self._queue.is_started(load)
 
@@ -44,7 +44,7 @@
         with self._lock:
             self._models_by_upstream[upstream_id] = models
             for model in models:
-                self._queue.done(WantedLoad(upstream_id, model))
+                self._queue.finish(WeightLoad(upstream_id, model))
 
     def forget(self, upstream_id: str) -> None:
         """Free the places of an engine that does not answer or refuses."""
@@ -52,11 +52,13 @@
             self._models_by_upstream.pop(upstream_id, None)
             self._queue.forget(upstream_id)
 
-    def _need_by_model(self) -> dict[str, ModelNeed]:
+    def _need_by_model(self) -> dict[str, ModelDemand]:
         engines = Counter(
             model
             for models in self._models_by_upstream.values()
             for model in models
         )
         # Control hears of no demand, so every model counts alike.
-        return {model: ModelNeed(1, count) for model, count in engines.items()}
+        return {
+            model: ModelDemand(1, count) for model, count in engines.items()
+        }
--- a/verbenathread/entry/admissions.py
+++ b/verbenathread/entry/admissions.py
@@ -78,7 +78,9 @@
         """Note the end of an admitted request, however it ended."""
         policy = self._policies.policy(work.service)
         with self._lock:
-            self._admission.done(work, policy, output_tokens, self._clock.now())
+            self._admission.finish(
+                work, policy, output_tokens, self._clock.now()
+            )
 
     def admit_call(
         self, name: str, account: settings_pb2.AccountSettings
@@ -122,7 +124,7 @@
             if known != message.incarnation:
                 # Its earlier life took its long prompts with it.
                 self._limiter.forget_entry(peer_id)
-            self._limiter.note_usage(
+            self._limiter.record_usage(
                 message.node_id, _usages_of(message), self._clock.now()
             )
 
--- a/verbenathread/entry/engine_owners.py
+++ b/verbenathread/entry/engine_owners.py
@@ -10,7 +10,7 @@
 from verbenathread.entry.peer_channels import PeerCalls
 from verbenathread.exceptions import UnavailableError
 from verbenathread.membership.cell import Cell, PeerUnreachableError
-from verbenathread.scheduling.messages import Ask
+from verbenathread.scheduling.messages import ReservationRequest
 from verbenathread.schema import peer_pb2
 from verbenathread.types import Millis, NodeId, Reservation, UpstreamId
 
@@ -40,7 +40,11 @@
         self._clock = clock
 
     async def reserve(
-        self, upstream_id: UpstreamId, ask: Ask, *, may_queue: bool
+        self,
+        upstream_id: UpstreamId,
+        ask: ReservationRequest,
+        *,
+        may_queue: bool,
     ) -> Reservation | peer_pb2.ReserveReply:
         """Ask the owner; a reply that is returned is a refusal."""
         identity = self._cell.identity
@@ -115,7 +119,7 @@
         self,
         owner_id: NodeId,
         upstream_id: UpstreamId,
-        ask: Ask,
+        ask: ReservationRequest,
         reply: peer_pb2.ReserveReply,
     ) -> Reservation | peer_pb2.ReserveReply:
         start_by: Millis | None = reply.start_by_ms
--- a/verbenathread/entry/hold_messages.py
+++ b/verbenathread/entry/hold_messages.py
@@ -3,7 +3,7 @@
 from typing import Final
 
 from verbenathread.clock import Clock
-from verbenathread.scheduling.messages import Ask
+from verbenathread.scheduling.messages import ReservationRequest
 from verbenathread.schema import peer_pb2
 from verbenathread.types import (
     Millis,
@@ -20,7 +20,10 @@
 
 
 def request_of(
-    upstream_id: UpstreamId, ask: Ask, incarnation: int, now: Millis
+    upstream_id: UpstreamId,
+    ask: ReservationRequest,
+    incarnation: int,
+    now: Millis,
 ) -> peer_pb2.ReserveRequest:
     """Return the message that asks an owner for memory."""
     work = ask.work
@@ -42,11 +45,13 @@
         group=ask.group,
         weight=ask.weight,
         admitted=ask.admitted,
-        order=ask.order,
+        order=ask.group_timestamp,
     )
 
 
-def ask_of(request: peer_pb2.ReserveRequest, clock: Clock) -> Ask:
+def ask_of(
+    request: peer_pb2.ReserveRequest, clock: Clock
+) -> ReservationRequest:
     """Return the ask in a message, in the time of this node's clock."""
     now = clock.now()
     work = Work(
@@ -60,7 +65,7 @@
         arrival=now - request.age_ms,
         prefix_hashes=tuple(request.prefix_hashes),
     )
-    return Ask(
+    return ReservationRequest(
         work,
         request.attempt_id,
         request.node_id,
@@ -68,7 +73,7 @@
         weight=request.weight,
         group=tuple(request.group),
         admitted=request.admitted,
-        order=request.order,
+        group_timestamp=request.order,
     )
 
 
--- a/verbenathread/entry/ledger_host.py
+++ b/verbenathread/entry/ledger_host.py
@@ -16,7 +16,7 @@
 from verbenathread.membership.cell import Cell
 from verbenathread.membership.engine_leases import lengthened
 from verbenathread.observability.logs import get_logger
-from verbenathread.scheduling.ledger import START_WITHIN, EngineLedger
+from verbenathread.scheduling.ledger import START_TIMEOUT, EngineLedger
 from verbenathread.scheduling.messages import EngineHold, EngineReport
 from verbenathread.schema import peer_pb2, settings_pb2
 from verbenathread.types import Millis, NodeId, UpstreamId, UpstreamRecord
@@ -150,7 +150,7 @@
             _log.info('The lease of an engine ended.', engine=upstream_id)
 
     async def _take_over(self, upstream_id: UpstreamId, term: int) -> None:
-        await asyncio.sleep(seconds(lengthened(START_WITHIN) + ARRIVAL_MS))
+        await asyncio.sleep(seconds(lengthened(START_TIMEOUT) + ARRIVAL_MS))
         while self._term_by_id.get(upstream_id) == term:
             record = self._cell.table.get(upstream_id)
             if record is None:
--- a/verbenathread/entry/model_service.py
+++ b/verbenathread/entry/model_service.py
@@ -260,13 +260,13 @@
         service = self._parts.settings.service(work.service)
         if service is None:
             return
-        self._parts.prompts.note(
+        self._parts.prompts.observe(
             work.service,
             request.call.prompt_bytes,
             finish.prompt_tokens,
             service.bytes_per_token,
         )
-        self._parts.outputs.note(
+        self._parts.outputs.observe(
             work.account, work.service, finish.output_tokens
         )
 
--- a/verbenathread/entry/owned_engine.py
+++ b/verbenathread/entry/owned_engine.py
@@ -13,8 +13,8 @@
 from verbenathread.clock import Clock, seconds
 from verbenathread.entry import hold_messages
 from verbenathread.scheduling.holds import reservation_id
-from verbenathread.scheduling.ledger import START_WITHIN, EngineLedger
-from verbenathread.scheduling.messages import Ask, EngineHold
+from verbenathread.scheduling.ledger import START_TIMEOUT, EngineLedger
+from verbenathread.scheduling.messages import EngineHold, ReservationRequest
 from verbenathread.schema import peer_pb2
 from verbenathread.types import (
     Millis,
@@ -82,7 +82,7 @@
     def adopt(self, holds: Iterable[EngineHold]) -> None:
         """Start from what the engine lists, at takeover."""
         listed = tuple(holds)
-        self.ledger.adopt(listed)
+        self.ledger.restore(listed)
         for hold in listed:
             grant = Grant(
                 reservation_id(self.ledger.upstream_id, hold.attempt_id),
@@ -103,7 +103,7 @@
         ask = hold_messages.ask_of(request, self._clock)
         if ask.group:
             self._renew(ask.attempt_id)
-        outcome = self.ledger.ask(ask)
+        outcome = self.ledger.reserve(ask)
         self.pump()
         if isinstance(outcome, Reservation):
             return self._granted(outcome, request)
@@ -131,13 +131,15 @@
             self._drop(grant, update.output_tokens)
         elif update.output_tokens:
             self._note_started(grant)
-            self.ledger.progress(grant.reservation_id, update.output_tokens)
+            self.ledger.record_progress(
+                grant.reservation_id, update.output_tokens
+            )
 
     def pump(self) -> None:
         """Answer the waiters for whom there is memory now."""
         if not self._waiter_by_attempt or not self._holds_lease():
             return
-        for reservation in self.ledger.ready():
+        for reservation in self.ledger.take_grants():
             waiter = self._waiter_by_attempt.get(reservation.attempt_id)
             if waiter is None or waiter.reply.done():
                 self.ledger.cancel(reservation.attempt_id)
@@ -164,7 +166,7 @@
             if now <= grant.start_by + ARRIVAL_MS:
                 continue
             # It may run: the ledger must not let it expire or yield.
-            self.ledger.started(grant.reservation_id)
+            self.ledger.mark_started(grant.reservation_id)
             if grant.started and is_alive(grant.entry_id, grant.incarnation):
                 continue
             found.append(grant)
@@ -181,7 +183,7 @@
             self._drop(grant, 0)
 
     async def _wait(
-        self, ask: Ask, request: peer_pb2.ReserveRequest
+        self, ask: ReservationRequest, request: peer_pb2.ReserveRequest
     ) -> peer_pb2.ReserveReply:
         waiter = _Waiter(request)
         self._waiter_by_attempt[ask.attempt_id] = waiter
@@ -228,7 +230,7 @@
         if not self._holds_lease():
             self.ledger.cancel(reservation.attempt_id)
             return self._not_owner()
-        start_by = now + START_WITHIN
+        start_by = now + START_TIMEOUT
         grant = self._grant_by_id.setdefault(
             reservation.reservation_id,
             Grant(
@@ -241,7 +243,7 @@
         )
         grant.start_by = start_by
         if not request.group:
-            self.ledger.started(reservation.reservation_id)
+            self.ledger.mark_started(reservation.reservation_id)
         return peer_pb2.ReserveReply(
             reservation_id=reservation.reservation_id,
             memory_tokens=reservation.memory_tokens,
@@ -263,7 +265,7 @@
 
     def _note_started(self, grant: Grant) -> None:
         grant.started = True
-        self.ledger.started(grant.reservation_id)
+        self.ledger.mark_started(grant.reservation_id)
 
     def _drop(self, grant: Grant, output_tokens: int) -> None:
         self._grant_by_id.pop(grant.reservation_id)
--- a/verbenathread/entry/reservations.py
+++ b/verbenathread/entry/reservations.py
@@ -18,9 +18,9 @@
 from verbenathread.entry.hold_outbox import HoldOutbox
 from verbenathread.entry.shared import SharedTree
 from verbenathread.membership.cell import Cell
-from verbenathread.scheduling.candidates import CandidateWalk, look_again_after
-from verbenathread.scheduling.groups import GroupClaim, group_size
-from verbenathread.scheduling.messages import Ask, EngineReport
+from verbenathread.scheduling.candidates import CandidateIterator, reroute_delay
+from verbenathread.scheduling.groups import GroupRequest, group_size
+from verbenathread.scheduling.messages import EngineReport, ReservationRequest
 from verbenathread.scheduling.outliers import OutlierTracker
 from verbenathread.scheduling.router import Router
 from verbenathread.scheduling.tuning import CURRENT
@@ -108,8 +108,8 @@
             self.held.add(outcome, work)
             for upstream_id in outcome.upstream_ids:
                 now = self._clock.now()
-                self._router(work.service).note_sent(upstream_id, work, now)
-                self._outliers.note_sent(upstream_id, now)
+                self._router(work.service).record_sent(upstream_id, work, now)
+                self._outliers.record_sent(upstream_id, now)
         return outcome
 
     def abandon(self, work: Work) -> None:
@@ -142,11 +142,11 @@
         if failed:
             self.held.note_failed(held, now)
         for upstream_id in reservation.upstream_ids:
-            self._router(held.work.service).note_done(upstream_id, held.work)
+            self._router(held.work.service).record_done(upstream_id, held.work)
             if failed:
-                self._outliers.note_failure(upstream_id, now)
+                self._outliers.record_failure(upstream_id, now)
             else:
-                self._outliers.note_success(upstream_id)
+                self._outliers.record_success(upstream_id)
         self._tell(
             reservation,
             peer_pb2.HoldUpdate(
@@ -160,7 +160,7 @@
         record = self._cell.table.get(report.upstream_id)
         if record is not None:
             router = self._router(record.service)
-            router.note_report(report, self._clock.now())
+            router.record_report(report, self._clock.now())
 
     async def _reserve(self, work: Work, attempt_id: str) -> _Outcome:
         asked_at = self._clock.now()
@@ -208,7 +208,7 @@
         if size > 1:
             members = _members(order, engines, size)
             return await self._group(work, attempt_id, members, needed)
-        ask = Ask(
+        ask = ReservationRequest(
             work,
             attempt_id,
             self._cell.identity.node_id,
@@ -218,10 +218,10 @@
         return await self._single(ask, order)
 
     async def _single(
-        self, ask: Ask, order: Sequence[UpstreamId]
+        self, ask: ReservationRequest, order: Sequence[UpstreamId]
     ) -> _Outcome | None:
         refusals: list[peer_pb2.ReserveReply] = []
-        walk = CandidateWalk(order, CURRENT.second_ask)
+        walk = CandidateIterator(order, CURRENT.wait_threshold)
         for upstream_id in iter(walk.next, None):
             # One after the other, or two owners would hold memory for it.
             outcome = await self._owners.reserve(  # noqa: WPS476 - see above
@@ -233,18 +233,21 @@
                 refusals.append(outcome)
                 continue
             wait = outcome.retry_after_ms
-            if walk.stays(upstream_id, wait):
+            if walk.accepts_wait(upstream_id, wait):
                 return await self._wait_at(  # noqa: WPS476 - see above
                     upstream_id, ask, wait
                 )
         return _soonest(refusals)
 
     async def _wait_at(
-        self, upstream_id: UpstreamId, ask: Ask, expected_wait: Millis
+        self,
+        upstream_id: UpstreamId,
+        ask: ReservationRequest,
+        expected_wait: Millis,
     ) -> _Outcome | None:
         """Wait in one engine's queue; None when it is time to look again."""
         policy = self._settings.policy(ask.work.service)
-        patience = look_again_after(ask.work, expected_wait, policy, CURRENT)
+        patience = reroute_delay(ask.work, expected_wait, policy, CURRENT)
         limit = None if patience is None else seconds(patience)
         try:
             async with asyncio.timeout(limit):
@@ -263,7 +266,7 @@
         needed: int,
     ) -> _Outcome | None:
         age = self._clock.now() - work.arrival
-        claim = GroupClaim(
+        claim = GroupRequest(
             work,
             attempt_id,
             self._cell.identity.node_id,
@@ -280,8 +283,8 @@
             self._give_back(claim)
         return _final(outcome)
 
-    def _give_back(self, claim: GroupClaim) -> None:
-        for held in claim.held():
+    def _give_back(self, claim: GroupRequest) -> None:
+        for held in claim.member_reservations():
             self._tell(held, peer_pb2.HoldUpdate(released=True), urgent=True)
 
     def _tell(
@@ -323,7 +326,7 @@
         router.policy = self._settings.policy(work.service)
         failed_ids = self.held.failed_ids(work.request_id)
         now = self._clock.now()
-        aside_ids = self._outliers.put_aside(now)
+        aside_ids = self._outliers.ejected(now)
         for passed_over in (aside_ids.union(failed_ids), failed_ids, ()):
             order = router.choose(work, engines, now, passed_over)
             if order:
--- a/verbenathread/entry/retry_budgets.py
+++ b/verbenathread/entry/retry_budgets.py
@@ -25,7 +25,7 @@
     def first(self, service: str, policy: settings_pb2.PolicySettings) -> None:
         """Count a first attempt, which earns a share of a retry."""
         with self._lock:
-            self._retries(service, policy).note_first()
+            self._retries(service, policy).record_first_attempt()
 
     def next(
         self,
@@ -39,7 +39,7 @@
         ``attempts`` is how many were made.
         """
         with self._lock:
-            return self._retries_by_service[service].next(
+            return self._retries_by_service[service].decide(
                 deadline,
                 attempts,
                 outcome,
--- a/verbenathread/gateway/choosing.py
+++ b/verbenathread/gateway/choosing.py
@@ -194,7 +194,7 @@
     def _candidates(self) -> list[Worker]:
         """Return the workers to choose from, the sound ones if any are."""
         parts = self._parts
-        aside = parts.outliers.put_aside(parts.clock.now())
+        aside = parts.outliers.ejected(parts.clock.now())
         sound = []
         others = []
         for worker in parts.view.workers(self._service.name):
--- a/verbenathread/gateway/exchange.py
+++ b/verbenathread/gateway/exchange.py
@@ -145,7 +145,7 @@
             return await parts.pool.take(worker, left)
         except (OSError, TimeoutError) as error:
             self._connects += 1
-            parts.outliers.note_failure(worker.worker_id, parts.clock.now())
+            parts.outliers.record_failure(worker.worker_id, parts.clock.now())
             _log.warning(
                 'A worker takes no connection.',
                 worker=worker.worker_id,
@@ -169,7 +169,7 @@
         )
         self._attempt = attempt
         self._sends += 1
-        parts.outliers.note_sent(choice.worker.worker_id, started)
+        parts.outliers.record_sent(choice.worker.worker_id, started)
         attempt.on_first = functools.partial(self._note_first, choice, started)
         result = await attempt.run(
             self._message(choice),
@@ -231,7 +231,7 @@
             return
         self._may_have_run = True
         now = self._parts.clock.now()
-        self._parts.outliers.note_failure(worker.worker_id, now)
+        self._parts.outliers.record_failure(worker.worker_id, now)
         if result.verdict is Verdict.TIMED_OUT:
             self._give_up(_TIMED_OUT, 'out of time', None)
         elif self._may_go_on():
@@ -259,13 +259,13 @@
         parts = self._parts
         if head.status >= _SERVER_FAULT:
             self._may_have_run = True
-            parts.outliers.note_failure(worker.worker_id, parts.clock.now())
+            parts.outliers.record_failure(worker.worker_id, parts.clock.now())
             self._failure = result
             if self._may_go_on() and not self._is_begun():
                 self._chooser.exclude(worker)
                 return
         else:
-            parts.outliers.note_success(worker.worker_id)
+            parts.outliers.record_success(worker.worker_id)
         streamed = self._relay is not None and not result.body
         if streamed and head.status < _SERVER_FAULT and self._relay:
             self._relay.finish(head)
--- a/verbenathread/gateway/notices.py
+++ b/verbenathread/gateway/notices.py
@@ -126,7 +126,7 @@
             self._fleet.note_pace(report.worker_id, report.pace / _PERCENT)
 
     def _note_silent(self, worker_id: str) -> None:
-        self._outliers.put_aside_now(worker_id, self._clock.now())
+        self._outliers.eject(worker_id, self._clock.now())
 
     def _note_send(self, notice: messages.SendNotice) -> None:
         worker = self._view.worker_by_id.get(notice.worker_id)
--- a/verbenathread/replay/entry.py
+++ b/verbenathread/replay/entry.py
@@ -18,10 +18,10 @@
 from verbenathread.replay.results import Ending, RequestResult
 from verbenathread.replay.trace import TraceRequest
 from verbenathread.scheduling.admission import Admission, memory_needed
-from verbenathread.scheduling.candidates import CandidateWalk, look_again_after
+from verbenathread.scheduling.candidates import CandidateIterator, reroute_delay
 from verbenathread.scheduling.estimates import OutputEstimator
-from verbenathread.scheduling.groups import GroupClaim, group_size
-from verbenathread.scheduling.messages import Ask, Queued
+from verbenathread.scheduling.groups import GroupRequest, group_size
+from verbenathread.scheduling.messages import Queued, ReservationRequest
 from verbenathread.scheduling.outliers import OutlierTracker
 from verbenathread.scheduling.retries import Retry, RetryPolicy
 from verbenathread.scheduling.tuning import Tuning
@@ -84,7 +84,7 @@
             self._note(pending, Ending.REFUSED, refusal.reason)
             return
         self._pending_by_request[work.request_id] = pending
-        self.parts.retries.note_first()
+        self.parts.retries.record_first_attempt()
         limit = request.time_limit
         self._place.later(limit, lambda: self._time_out(pending))
         self._attempt(pending)
@@ -111,9 +111,9 @@
             pending.held = (answer,)
             self._start(pending)
             return
-        pending.claim.granted(answer)
-        pending.held = pending.claim.held()
-        if pending.claim.whole() is not None:
+        pending.claim.record_grant(answer)
+        pending.held = pending.claim.member_reservations()
+        if pending.claim.complete_reservation() is not None:
             self._start(pending)
 
     def owner_lost(self, upstream_ids: Sequence[UpstreamId]) -> None:
@@ -141,10 +141,10 @@
         if pending is None:
             return
         for upstream_id in pending.upstream_ids():
-            self.parts.outliers.note_success(upstream_id)
+            self.parts.outliers.record_success(upstream_id)
         output = pending.request.output_tokens
         self._grants.release(pending, output)
-        self.parts.outputs.note(
+        self.parts.outputs.observe(
             pending.work.account, pending.work.service, output
         )
         self._end(pending, Ending.COMPLETED)
@@ -156,11 +156,11 @@
             return
         now = self._place.now()
         for upstream_id in pending.upstream_ids():
-            self.parts.outliers.note_failure(upstream_id, now)
+            self.parts.outliers.record_failure(upstream_id, now)
             pending.failed.add(upstream_id)
         self._grants.release(pending, 0)
         pending.failures += 1
-        step = self.parts.retries.next(
+        step = self.parts.retries.decide(
             pending.work.deadline,
             pending.failures,
             Outcome.UNKNOWN,
@@ -198,13 +198,13 @@
             records[0].memory_tokens if records else 0,
             self.parts.policy,
         )
-        aside = self.parts.outliers.put_aside(self._place.now())
+        aside = self.parts.outliers.ejected(self._place.now())
         candidates = self.parts.chooser.choose(
             work, records, self._place.now(), pending.failed | aside, size
         )
         if size == 1:
-            patience = self.parts.tuning.second_ask
-            pending.walk = CandidateWalk(candidates, patience)
+            patience = self.parts.tuning.wait_threshold
+            pending.walk = CandidateIterator(candidates, patience)
             self._ask_next(pending)
             return
         self._ask_group(pending, candidates, size)
@@ -215,7 +215,7 @@
             self._nowhere(pending)
             return
         work = pending.work
-        ask = Ask(
+        ask = ReservationRequest(
             work,
             pending.attempt_id,
             self.entry_id,
@@ -231,24 +231,24 @@
         """Wait there, or ask the next one."""
         if pending.claim is not None:
             return
-        if pending.walk.stays(upstream_id, answer.expected_wait):
+        if pending.walk.accepts_wait(upstream_id, answer.expected_wait):
             self._look_again_later(pending, answer.expected_wait)
             return
         pending.waits_at.discard(upstream_id)
         self._grants.give_back(upstream_id, pending.attempt_id)
-        self.parts.chooser.note_done(upstream_id, pending.work)
+        self.parts.chooser.record_done(upstream_id, pending.work)
         self._ask_next(pending)
 
     def _look_again_later(self, pending: Pending, wait: Millis) -> None:
         """Look for another engine if this one does not grant in time."""
         parts = self.parts
-        delay = look_again_after(pending.work, wait, parts.policy, parts.tuning)
+        delay = reroute_delay(pending.work, wait, parts.policy, parts.tuning)
         if delay is None:
             return
         walk = pending.walk
         self._place.later(delay, lambda: self._look_again(pending, walk))
 
-    def _look_again(self, pending: Pending, walk: CandidateWalk) -> None:
+    def _look_again(self, pending: Pending, walk: CandidateIterator) -> None:
         if pending.is_over or pending.walk is not walk:
             return
         if not pending.waits_at:
@@ -263,7 +263,7 @@
             self._nowhere(pending)
             return
         work = pending.work
-        claim = GroupClaim(
+        claim = GroupRequest(
             work,
             pending.attempt_id,
             self.entry_id,
@@ -275,22 +275,22 @@
         pending.claim = claim
         self._groups.keep(pending, claim)
         for member in claim.members:
-            self._send(pending, member, claim.ask)
+            self._send(pending, member, claim.member_request)
 
     def _send(
-        self, pending: Pending, upstream_id: UpstreamId, ask: Ask
+        self, pending: Pending, upstream_id: UpstreamId, ask: ReservationRequest
     ) -> None:
         pending.waits_at.add(upstream_id)
         now = self._place.now()
-        self.parts.chooser.note_sent(upstream_id, ask.work, now)
-        self.parts.outliers.note_sent(upstream_id, now)
+        self.parts.chooser.record_sent(upstream_id, ask.work, now)
+        self.parts.outliers.record_sent(upstream_id, now)
         self._place.ask(self.entry_id, upstream_id, ask)
 
     def _turned_away(
         self, pending: Pending, upstream_id: UpstreamId, refusal: Refusal
     ) -> None:
         pending.refusal = refusal
-        self.parts.chooser.note_done(upstream_id, pending.work)
+        self.parts.chooser.record_done(upstream_id, pending.work)
         if pending.claim is None:
             self._ask_next(pending)
             return
@@ -355,7 +355,7 @@
         output = 0
         if ending is Ending.COMPLETED:
             output = pending.request.output_tokens
-        self.parts.admission.done(
+        self.parts.admission.finish(
             pending.work, self.parts.policy, output, self._place.now()
         )
         self._note(pending, ending, reason)
--- a/verbenathread/replay/fleet.py
+++ b/verbenathread/replay/fleet.py
@@ -15,7 +15,7 @@
 from verbenathread.replay.owner import Answer, LedgerAction, OwnerSide
 from verbenathread.replay.results import RequestResult
 from verbenathread.scheduling.ledger import EngineLedger
-from verbenathread.scheduling.messages import Ask
+from verbenathread.scheduling.messages import ReservationRequest
 from verbenathread.scheduling.tuning import Tuning
 from verbenathread.schema import settings_pb2
 from verbenathread.types import (
@@ -84,7 +84,7 @@
             LoopTime(self.loop),
             self._tuning,
         )
-        ledger.adopt(engine.listing())
+        ledger.restore(engine.listing())
         self.owner_by_id[owner_id].ledger_by_id[upstream_id] = ledger
         self._owner_by_engine[upstream_id] = owner_id
 
@@ -99,7 +99,9 @@
         """Return the prefixes that one engine has cached."""
         return self.engine_by_id[upstream_id].cache.hashes()
 
-    def ask(self, entry_id: NodeId, upstream_id: UpstreamId, ask: Ask) -> None:
+    def ask(
+        self, entry_id: NodeId, upstream_id: UpstreamId, ask: ReservationRequest
+    ) -> None:
         """Send an ask; where no owner is, the entry hears that."""
         owner_id = self._owner_by_engine.get(upstream_id)
         if owner_id is None:
--- a/verbenathread/replay/gossip.py
+++ b/verbenathread/replay/gossip.py
@@ -79,7 +79,7 @@
             _hear(entry, reports, now)
             if entry_id != owner_id:
                 limiter = entry.parts.admission.limiter
-                limiter.note_usage(owner_id, usages, now)
+                limiter.record_usage(owner_id, usages, now)
             self._hear_events(entry_id, events)
 
     def _hear_events(
@@ -92,9 +92,9 @@
             return
         for upstream_id, event in events:
             if self._rng.random() > _EVENTS_LOST:
-                index.note(upstream_id, event)
+                index.apply(upstream_id, event)
 
 
 def _hear(entry: Entry, reports: Sequence[EngineReport], now: Millis) -> None:
     for report in reports:
-        entry.parts.chooser.note_report(report, now)
+        entry.parts.chooser.record_report(report, now)
--- a/verbenathread/replay/owner.py
+++ b/verbenathread/replay/owner.py
@@ -5,7 +5,7 @@
 
 from verbenathread.replay.events import EventLoop
 from verbenathread.scheduling.ledger import EngineLedger
-from verbenathread.scheduling.messages import Ask, Queued
+from verbenathread.scheduling.messages import Queued, ReservationRequest
 from verbenathread.types import NodeId, Refusal, Reservation, UpstreamId
 
 Answer = Reservation | Queued | Refusal
@@ -40,12 +40,12 @@
         self._entry_by_waiting: dict[tuple[UpstreamId, str], NodeId] = {}
         self._tick_by_id: dict[UpstreamId, float] = {}
 
-    def ask(self, upstream_id: UpstreamId, ask: Ask) -> None:
+    def ask(self, upstream_id: UpstreamId, ask: ReservationRequest) -> None:
         """Answer an ask; a queued one is answered again when granted."""
         ledger = self.ledger_by_id.get(upstream_id)
         if ledger is None:
             return
-        answer = ledger.ask(ask)
+        answer = ledger.reserve(ask)
         if isinstance(answer, Queued):
             key = (upstream_id, ask.attempt_id)
             self._entry_by_waiting[key] = ask.entry_id
@@ -67,7 +67,7 @@
         ledger = self.ledger_by_id.get(upstream_id)
         if ledger is None:
             return
-        for reservation in ledger.ready():
+        for reservation in ledger.take_grants():
             key = (upstream_id, reservation.attempt_id)
             entry_id = self._entry_by_waiting.pop(key, None)
             if entry_id is None:
--- a/verbenathread/replay/pending.py
+++ b/verbenathread/replay/pending.py
@@ -9,11 +9,11 @@
 from verbenathread.replay.policies import EngineChooser
 from verbenathread.replay.results import RequestResult
 from verbenathread.replay.trace import TraceRequest
-from verbenathread.scheduling.candidates import CandidateWalk
+from verbenathread.scheduling.candidates import CandidateIterator
 from verbenathread.scheduling.estimates import OutputEstimator
-from verbenathread.scheduling.groups import GroupClaim
+from verbenathread.scheduling.groups import GroupRequest
 from verbenathread.scheduling.ledger import EngineLedger
-from verbenathread.scheduling.messages import Ask
+from verbenathread.scheduling.messages import ReservationRequest
 from verbenathread.types import (
     Millis,
     NodeId,
@@ -40,7 +40,9 @@
     def records(self) -> Sequence[UpstreamRecord]:
         """Return the engines in service."""
 
-    def ask(self, entry_id: NodeId, upstream_id: UpstreamId, ask: Ask) -> None:
+    def ask(
+        self, entry_id: NodeId, upstream_id: UpstreamId, ask: ReservationRequest
+    ) -> None:
         """Send an ask to the owner of an engine."""
 
     def tell(
@@ -69,9 +71,9 @@
         # Attempts that broke, and groups that were refused.
         self.failures = 0
         self.failed: set[UpstreamId] = set()
-        self.walk = CandidateWalk((), 0)
+        self.walk = CandidateIterator((), 0)
         self.waits_at: set[UpstreamId] = set()
-        self.claim: GroupClaim | None = None
+        self.claim: GroupRequest | None = None
         self.held: tuple[Reservation, ...] = ()
         self.run: GroupRun | None = None
         self.is_admitted = False
@@ -81,7 +83,7 @@
 
     def note_accepted(self, upstream_id: UpstreamId) -> None:
         """Note that an owner did not refuse; a group needs every member."""
-        if self.claim is None or self.claim.accepted(upstream_id):
+        if self.claim is None or self.claim.record_accepted(upstream_id):
             self.is_admitted = True
 
     @property
@@ -140,7 +142,7 @@
         pending.run = None
         for reservation in held:
             self.tell(reservation, _release(reservation, output))
-            self._chooser.note_done(reservation.upstream_ids[0], pending.work)
+            self._chooser.record_done(reservation.upstream_ids[0], pending.work)
 
 
 def new_work(
@@ -168,12 +170,12 @@
 
 def begin(held: Reservation) -> LedgerAction:
     """Return the news that the engine has taken the attempt."""
-    return lambda ledger: ledger.started(held.reservation_id)
+    return lambda ledger: ledger.mark_started(held.reservation_id)
 
 
 def progress(held: Reservation) -> LedgerAction:
     """Return the news of the first token."""
-    return lambda ledger: ledger.progress(held.reservation_id, 1)
+    return lambda ledger: ledger.record_progress(held.reservation_id, 1)
 
 
 def _release(held: Reservation, output: int) -> LedgerAction:
--- a/verbenathread/replay/policies.py
+++ b/verbenathread/replay/policies.py
@@ -23,19 +23,19 @@
         records: Sequence[UpstreamRecord],
         now: Millis,
         failed: Collection[UpstreamId] = (),
-        least: int = 1,
+        min_engines: int = 1,
     ) -> list[UpstreamId]:
         """Return engines, the best first."""
 
-    def note_report(self, report: EngineReport, now: Millis) -> None:
+    def record_report(self, report: EngineReport, now: Millis) -> None:
         """Take a load report."""
 
-    def note_sent(
+    def record_sent(
         self, upstream_id: UpstreamId, work: Work, now: Millis
     ) -> None:
         """Count a send."""
 
-    def note_done(self, upstream_id: UpstreamId, work: Work) -> None:
+    def record_done(self, upstream_id: UpstreamId, work: Work) -> None:
         """Count the end of a send."""
 
 
@@ -52,7 +52,7 @@
         records: Sequence[UpstreamRecord],
         now: Millis,
         failed: Collection[UpstreamId] = (),
-        least: int = 1,
+        min_engines: int = 1,
     ) -> list[UpstreamId]:
         """Return all engines from the next one on."""
         start = next(self._turns) % len(records)
@@ -63,15 +63,15 @@
             if record.upstream_id not in failed
         ]
 
-    def note_report(self, report: EngineReport, now: Millis) -> None:
+    def record_report(self, report: EngineReport, now: Millis) -> None:
         """Take no notice."""
 
-    def note_sent(
+    def record_sent(
         self, upstream_id: UpstreamId, work: Work, now: Millis
     ) -> None:
         """Take no notice."""
 
-    def note_done(self, upstream_id: UpstreamId, work: Work) -> None:
+    def record_done(self, upstream_id: UpstreamId, work: Work) -> None:
         """Take no notice."""
 
 
@@ -89,7 +89,7 @@
         records: Sequence[UpstreamRecord],
         now: Millis,
         failed: Collection[UpstreamId] = (),
-        least: int = 1,
+        min_engines: int = 1,
     ) -> list[UpstreamId]:
         """Return all engines, the one with the fewest requests first."""
         ranked = [
@@ -103,19 +103,19 @@
         ]
         return [upstream_id for _, _, upstream_id in sorted(ranked)]
 
-    def note_report(self, report: EngineReport, now: Millis) -> None:
+    def record_report(self, report: EngineReport, now: Millis) -> None:
         """Take the count of requests."""
         count = report.running + report.queued
         self._count_by_id[report.upstream_id] = count
 
-    def note_sent(
+    def record_sent(
         self, upstream_id: UpstreamId, work: Work, now: Millis
     ) -> None:
         """Count one more until the next report."""
         count = self._count_by_id.get(upstream_id, 0)
         self._count_by_id[upstream_id] = count + 1
 
-    def note_done(self, upstream_id: UpstreamId, work: Work) -> None:
+    def record_done(self, upstream_id: UpstreamId, work: Work) -> None:
         """Leave it to the next report."""
 
 
@@ -153,7 +153,7 @@
     return Policy(name, make, tuning)
 
 
-_FIFO = Tuning(by_class=False, priorities=False, refuse_late=False)
+_FIFO = Tuning(class_priority=False, engine_priority=False, refuse_late=False)
 _POLICIES = (
     tuned('current', CURRENT),
     tuned('previous', PREVIOUS),
--- a/verbenathread/replay/replay.py
+++ b/verbenathread/replay/replay.py
@@ -87,7 +87,7 @@
             )
             entry = Entry(entry_id, parts, self._fleet)
             self._fleet.entry_by_id[entry_id] = entry
-            if policy.tuning.affinity:
+            if policy.tuning.cache_affinity:
                 self._gossip.prefixes_by_entry[entry_id] = prefixes
 
     def run(
--- a/verbenathread/scheduling/admission.py
+++ b/verbenathread/scheduling/admission.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Sequence
 
-from verbenathread.scheduling.classes import length_class
 from verbenathread.scheduling.groups import group_size
+from verbenathread.scheduling.length_classes import length_class
 from verbenathread.scheduling.limits import AccountLimiter
 from verbenathread.schema import settings_pb2
 from verbenathread.types import (
@@ -51,7 +51,7 @@
             is_long=_is_long(work, policy),
         )
 
-    def done(
+    def finish(
         self,
         work: Work,
         policy: settings_pb2.PolicySettings,
@@ -59,7 +59,7 @@
         now: Millis,
     ) -> None:
         """Note the end of an admitted request, however it ended."""
-        self.limiter.done(
+        self.limiter.finish(
             work.account,
             max(0, work.most_output_tokens - output_tokens),
             now,
--- a/verbenathread/scheduling/candidates.py
+++ b/verbenathread/scheduling/candidates.py
@@ -10,7 +10,7 @@
 _MOST_LOOK: Millis = 5000
 
 
-def look_again_after(
+def reroute_delay(
     work: Work,
     expected_wait: Millis,
     policy: settings_pb2.PolicySettings,
@@ -21,13 +21,13 @@
     None for a long prompt: moving it loses the promise that others keep to.
     """
     is_long = work.prompt_tokens >= policy.long_tokens
-    if is_long or not tuning.look_again:
+    if is_long or not tuning.reroute_factor:
         return None
-    patience = int(expected_wait * tuning.look_again)
+    patience = int(expected_wait * tuning.reroute_factor)
     return min(_MOST_LOOK, max(_LEAST_LOOK, patience))
 
 
-class CandidateWalk:
+class CandidateIterator:
     """Asks one owner after the other until one has room soon enough.
 
     Load reports are late; the owner's answer is not. An ask that would wait
@@ -36,11 +36,11 @@
     """
 
     def __init__(
-        self, candidates: Sequence[UpstreamId], patience: Millis
+        self, candidates: Sequence[UpstreamId], wait_threshold: Millis
     ) -> None:
         """Plan to ask ``candidates`` in order; patience 0 takes any wait."""
         self._left = list(candidates)
-        self._patience = patience
+        self._patience = wait_threshold
         self._wait_by_id: dict[UpstreamId, Millis] = {}
         self._is_last = False
 
@@ -55,7 +55,7 @@
         self._wait_by_id.pop(best)
         return best
 
-    def stays(self, upstream_id: UpstreamId, wait: Millis) -> bool:
+    def accepts_wait(self, upstream_id: UpstreamId, wait: Millis) -> bool:
         """Tell whether to wait there; if not, cancel it and ask the next."""
         if self._is_last or not self._patience:
             return True
--- a/verbenathread/scheduling/estimates.py
+++ b/verbenathread/scheduling/estimates.py
@@ -51,7 +51,7 @@
         """Return expected ms to generate ``tokens``."""
         return tokens * self._output
 
-    def note_busy(self, busy: Millis, prompts: list[int]) -> None:
+    def observe_busy_period(self, busy: Millis, prompts: list[int]) -> None:
         """Learn from one busy period in which ``prompts`` were prefilled."""
         tokens = float(sum(prompts))
         if not tokens:
@@ -63,7 +63,7 @@
             self._linear = solved.linear
             self._square = solved.square
 
-    def note_output(self, duration: Millis, tokens: int) -> None:
+    def observe_output(self, duration: Millis, tokens: int) -> None:
         """Learn from ``tokens`` generated in ``duration`` ms."""
         if tokens > 0:
             seen = duration / tokens
@@ -136,7 +136,7 @@
         estimate = self._log_by_key.get((account, service), start)
         return max(1, min(most, round(math.exp(estimate))))
 
-    def note(self, account: str, service: str, tokens: int) -> None:
+    def observe(self, account: str, service: str, tokens: int) -> None:
         """Learn from a request that ended after ``tokens``."""
         seen = math.log(max(1, tokens))
         start = self._log_by_service.get(service, math.log(_FIRST_OUTPUT))
@@ -164,7 +164,7 @@
         ratio = self._ratio_by_service.get(service, first_guess)
         return max(1, math.ceil(size / ratio))
 
-    def note(
+    def observe(
         self, service: str, size: int, tokens: int, first_guess: float
     ) -> None:
         """Learn from a prompt whose tokens the engine counted."""
--- a/verbenathread/scheduling/forecast.py
+++ b/verbenathread/scheduling/forecast.py
@@ -47,7 +47,7 @@
         if memory.surplus < 0:
             # What waits before it must come and go first.
             memory_wait += self._queue_time(waiting)
-        if self._tuning.slowed_memory:
+        if self._tuning.slow_memory_release:
             memory_wait = self._slowed(memory_wait, waiting.level)
         return max(self._slowed(prefill, waiting.level), memory_wait)
 
@@ -111,7 +111,7 @@
     def close_for_longer(self) -> None:
         """Let only short ones pass one that waits for memory."""
         self._short_only = True
-        self.is_shut = not self._tuning.by_class
+        self.is_shut = not self._tuning.class_priority
 
     def _in_window(self, length: LengthClass) -> bool:
         window = self._window_by_class[length]
--- a/verbenathread/scheduling/groups.py
+++ b/verbenathread/scheduling/groups.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Sequence
 
-from verbenathread.scheduling.messages import Ask
+from verbenathread.scheduling.messages import ReservationRequest
 from verbenathread.schema import settings_pb2
 from verbenathread.types import (
     Millis,
@@ -36,12 +36,12 @@
     return max(1, -(-memory_tokens // usable))
 
 
-def group_order(ask: Ask) -> tuple[Millis, str]:
+def group_order(ask: ReservationRequest) -> tuple[Millis, str]:
     """Return the place of a group in the one order of all groups."""
-    return ask.order, ask.attempt_id
+    return ask.group_timestamp, ask.attempt_id
 
 
-class GroupClaim:
+class GroupRequest:
     """One group from the first ask to the last grant."""
 
     def __init__(
@@ -51,7 +51,7 @@
         entry_id: NodeId,
         members: Sequence[UpstreamId],
         memory_tokens: int,
-        order: Millis,
+        group_timestamp: Millis,
         *,
         admitted: bool = False,
     ) -> None:
@@ -60,39 +60,39 @@
         ``order`` is the wall clock at the arrival of the request.
         """
         self.members = tuple(sorted(members))
-        self.ask = Ask(
+        self.member_request = ReservationRequest(
             work,
             attempt_id,
             entry_id,
             -(-memory_tokens // len(self.members)),
             group=self.members,
-            order=order,
+            group_timestamp=group_timestamp,
             admitted=admitted,
         )
         self._accepted: set[UpstreamId] = set()
         self._held_by_id: dict[UpstreamId, Reservation] = {}
 
-    def accepted(self, upstream_id: UpstreamId) -> bool:
+    def record_accepted(self, upstream_id: UpstreamId) -> bool:
         """Note that an owner did not refuse; True once none did."""
         self._accepted.add(upstream_id)
         return self._accepted.issuperset(self.members)
 
-    def granted(self, reservation: Reservation) -> None:
+    def record_grant(self, reservation: Reservation) -> None:
         """Note a hold."""
         self._held_by_id[reservation.upstream_ids[0]] = reservation
 
-    def renewed(self, upstream_id: UpstreamId, start_by: Millis) -> None:
+    def record_renewal(self, upstream_id: UpstreamId, start_by: Millis) -> None:
         """Note that an owner has renewed its hold."""
         held = self._held_by_id.get(upstream_id)
         if held is not None:
             self._held_by_id[upstream_id] = held._replace(start_by=start_by)
 
-    def lost(self, upstream_id: UpstreamId) -> Ask:
+    def record_loss(self, upstream_id: UpstreamId) -> ReservationRequest:
         """Note that a hold has yielded or run out; return what to ask."""
         self._held_by_id.pop(upstream_id, None)
-        return self.ask._replace(admitted=True)
+        return self.member_request._replace(admitted=True)
 
-    def held(self) -> tuple[Reservation, ...]:
+    def member_reservations(self) -> tuple[Reservation, ...]:
         """Return the holds so far: to renew, or to give back."""
         return tuple(
             self._held_by_id[member]
@@ -100,11 +100,11 @@
             if member in self._held_by_id
         )
 
-    def whole(self) -> Reservation | None:
+    def complete_reservation(self) -> Reservation | None:
         """Return the reservation of the whole group once all is held."""
         if len(self._held_by_id) < len(self.members):
             return None
-        every = self.held()
+        every = self.member_reservations()
         return every[0]._replace(
             upstream_ids=self.members,
             memory_tokens=sum(held.memory_tokens for held in every),
--- a/verbenathread/scheduling/holds.py
+++ b/verbenathread/scheduling/holds.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple
 
-from verbenathread.scheduling.messages import Ask
+from verbenathread.scheduling.messages import ReservationRequest
 from verbenathread.scheduling.queueing import Waiting
 from verbenathread.types import LengthClass, Millis, Reservation, UpstreamId
 
@@ -15,7 +15,7 @@
 class Hold(NamedTuple):
     """One grant from the ask to the release."""
 
-    ask: Ask
+    ask: ReservationRequest
     reservation: Reservation
     length: LengthClass
     level: int
--- a/verbenathread/scheduling/ledger.py
+++ b/verbenathread/scheduling/ledger.py
@@ -23,10 +23,10 @@
     reservation_id,
 )
 from verbenathread.scheduling.messages import (
-    Ask,
     EngineHold,
     EngineReport,
     Queued,
+    ReservationRequest,
 )
 from verbenathread.scheduling.queueing import Waiting, WaitQueue, make_waiting
 from verbenathread.scheduling.tuning import CURRENT, Tuning
@@ -44,7 +44,7 @@
 )
 
 # A granted attempt must reach the engine within this time.
-START_WITHIN: Millis = 2000
+START_TIMEOUT: Millis = 2000
 # A hold of a group lives this long unless its entry renews it.
 GROUP_LEASE: Millis = 6000
 # How often waiting asks are looked at when nothing else happens.
@@ -84,19 +84,23 @@
         """Return the memory that nobody holds."""
         return self._book.free
 
-    def ask(self, ask: Ask) -> Reservation | Queued | Refusal:
+    def reserve(
+        self, request: ReservationRequest
+    ) -> Reservation | Queued | Refusal:
         """Grant memory, queue the ask, or refuse it for good.
 
         A resent ask gets the state of the first one.
         """
         now = self._clock.now()
-        held = self._book.get(reservation_id(self.upstream_id, ask.attempt_id))
+        held = self._book.get(
+            reservation_id(self.upstream_id, request.attempt_id)
+        )
         if held is not None:
             return held.reservation
-        waiting = self._queue.get(ask.attempt_id)
+        waiting = self._queue.get(request.attempt_id)
         if waiting is None:
             waiting = make_waiting(
-                ask, self.cost, self.policy, self._tuning, now
+                request, self.cost, self.policy, self._tuning, now
             )
             waiting = self._queue.placed(waiting)
             refusal = self._refusal(waiting, now)
@@ -117,7 +121,7 @@
         if hold is not None and hold.started_at is None:
             self._drop(hold)
 
-    def started(self, reservation: str) -> None:
+    def mark_started(self, reservation: str) -> None:
         """Note that the engine has taken the attempt."""
         hold = self._book.get(reservation)
         if hold is None or hold.started_at is not None:
@@ -143,7 +147,7 @@
         self._book.keep(hold._replace(reservation=renewed))
         return start_by
 
-    def progress(self, reservation: str, output_tokens: int) -> None:
+    def record_progress(self, reservation: str, output_tokens: int) -> None:
         """Note the output so far; the first token ends the prefill."""
         hold = self._book.get(reservation)
         if hold is None:
@@ -161,10 +165,10 @@
             return
         if hold.first_token_at is not None:
             duration = self._clock.now() - hold.first_token_at
-            self.cost.note_output(duration, output_tokens - 1)
+            self.cost.observe_output(duration, output_tokens - 1)
         self._drop(hold)
 
-    def ready(self) -> list[Reservation]:
+    def take_grants(self) -> list[Reservation]:
         """Return the grants made since the last call."""
         now = self._clock.now()
         for late in self._book.expired(now):
@@ -205,7 +209,7 @@
             started.append(hold.reservation)
         return started
 
-    def adopt(self, holds: Iterable[EngineHold]) -> None:
+    def restore(self, holds: Iterable[EngineHold]) -> None:
         """Start from what the engine holds, at takeover of its lease."""
         now = self._clock.now()
         for listed in holds:
@@ -219,7 +223,7 @@
                 deadline=now,
                 arrival=now,
             )
-            ask = Ask(
+            ask = ReservationRequest(
                 work, listed.attempt_id, listed.entry_id, listed.memory_tokens
             )
             hold = self._hold(
@@ -325,8 +329,8 @@
         self._granted.append(hold.reservation)
 
     def _hold(self, waiting: Waiting, now: Millis) -> Hold:
-        lease = GROUP_LEASE if waiting.ask.group else START_WITHIN
-        priority = waiting.level if self._tuning.priorities else 0
+        lease = GROUP_LEASE if waiting.ask.group else START_TIMEOUT
+        priority = waiting.level if self._tuning.engine_priority else 0
         return make_hold(waiting, self.upstream_id, priority, now, now + lease)
 
     def _drop(self, hold: Hold) -> None:
--- a/verbenathread/scheduling/limits.py
+++ b/verbenathread/scheduling/limits.py
@@ -24,9 +24,9 @@
 # The same for tokens; one long prompt takes the rate of several seconds.
 TOKEN_BURST: Millis = 10000
 # An entry alone may use this many times its even share of the rate.
-LOCAL_SHARE = 3
+LOCAL_SHARE_FACTOR = 3
 # Usage older than this means that the other entries are not heard.
-STALE: Millis = 5000
+USAGE_STALE_AFTER: Millis = 5000
 _LEAST_RETRY: Millis = 100
 
 
@@ -74,13 +74,13 @@
     ) -> None:
         self.rate = rate
         self.entries = entries
-        local = min(rate, rate * LOCAL_SHARE / entries)
+        local = min(rate, rate * LOCAL_SHARE_FACTOR / entries)
         self._fleet = Bucket(rate, now, burst)
         self._local = Bucket(local, now, burst)
 
     def wait(self, now: Millis, *, alone: bool) -> Millis:
         """Return ms until the next may go; 0 for now."""
-        share = 1 if alone else LOCAL_SHARE
+        share = 1 if alone else LOCAL_SHARE_FACTOR
         self._local.rate = min(self.rate, self.rate * share / self.entries)
         waits = [
             bucket.wait(now)
@@ -117,7 +117,7 @@
     def long_room(self, others: int) -> bool:
         """Tell whether one more long prompt may run beside the others'."""
         most = self.limits.long_prompts
-        own_most = max(1, -(-most * LOCAL_SHARE // self.entries))
+        own_most = max(1, -(-most * LOCAL_SHARE_FACTOR // self.entries))
         own = self.own.long_running
         return others + own < most and own < own_most
 
@@ -143,7 +143,7 @@
     ) -> Refusal | None:
         """Count one request, or refuse it and say when to come back."""
         account = self._account(name, limits, now)
-        alone = self._entries > 1 and now - self._heard_at > STALE
+        alone = self._entries > 1 and now - self._heard_at > USAGE_STALE_AFTER
         wait = max(
             account.requests.wait(now, alone=alone),
             account.tokens.wait(now, alone=alone),
@@ -166,7 +166,7 @@
         )
         return None
 
-    def done(
+    def finish(
         self, name: str, unspent: int, now: Millis, *, is_long: bool
     ) -> None:
         """Note the end of an admitted request; give back unspent tokens."""
@@ -187,7 +187,7 @@
             for name, account in self._account_by_name.items()
         ]
 
-    def note_usage(
+    def record_usage(
         self, entry_id: NodeId, usages: Iterable[AccountUsage], now: Millis
     ) -> None:
         """Count what another entry says that it admitted."""
--- a/verbenathread/scheduling/messages.py
+++ b/verbenathread/scheduling/messages.py
@@ -5,7 +5,7 @@
 from verbenathread.types import Millis, NodeId, UpstreamId, Work
 
 
-class Ask(NamedTuple):
+class ReservationRequest(NamedTuple):
     """A request for memory of one engine, for one attempt."""
 
     work: Work
@@ -19,7 +19,7 @@
     group: tuple[UpstreamId, ...] = ()
     # Order between groups, the same at every owner: the asking entry's wall
     # clock. Lower goes first; equal ones go by the attempt identifier.
-    order: Millis = 0
+    group_timestamp: Millis = 0
     # The work was admitted before, so the owner does its best for it.
     admitted: bool = False
 
--- a/verbenathread/scheduling/outliers.py
+++ b/verbenathread/scheduling/outliers.py
@@ -5,11 +5,11 @@
 from verbenathread.types import Millis, UpstreamId
 
 # Failures in a row that put an engine aside.
-FAILURES = 3
-FIRST_EJECTION: Millis = 2000
+CONSECUTIVE_FAILURES = 3
+BASE_EJECTION: Millis = 2000
 _LONGEST_EJECTION: Millis = 60000
 # A probe that is not heard of for this long counts as failed.
-PROBE_WITHIN: Millis = 30000
+PROBE_TIMEOUT: Millis = 30000
 
 
 class _Health(NamedTuple):
@@ -32,7 +32,7 @@
         """Think well of every engine."""
         self._health_by_id: dict[UpstreamId, _Health] = {}
 
-    def put_aside(self, now: Millis) -> frozenset[UpstreamId]:
+    def ejected(self, now: Millis) -> frozenset[UpstreamId]:
         """Return the engines that the next request must pass over.
 
         One that waits for a probe is not among them, until the probe is
@@ -44,33 +44,33 @@
             if _is_aside(health, now)
         )
 
-    def note_sent(self, upstream_id: UpstreamId, now: Millis) -> None:
+    def record_sent(self, upstream_id: UpstreamId, now: Millis) -> None:
         """Note an attempt; at an engine put aside it is the probe."""
         health = self._health_by_id.get(upstream_id, _HEALTHY)
         if health.until is not None:
             self._health_by_id[upstream_id] = health._replace(probe_at=now)
 
-    def note_success(self, upstream_id: UpstreamId) -> None:
+    def record_success(self, upstream_id: UpstreamId) -> None:
         """Let the engine back."""
         self._health_by_id.pop(upstream_id, None)
 
-    def note_failure(self, upstream_id: UpstreamId, now: Millis) -> None:
+    def record_failure(self, upstream_id: UpstreamId, now: Millis) -> None:
         """Count a failure; put the engine aside when there are enough."""
         health = self._health_by_id.get(upstream_id, _HEALTHY)
         failures = health.failures + 1
         health = health._replace(failures=failures, probe_at=None)
-        if failures >= FAILURES:
-            ejection = FIRST_EJECTION * 2**health.ejections
+        if failures >= CONSECUTIVE_FAILURES:
+            ejection = BASE_EJECTION * 2**health.ejections
             health = health._replace(
                 ejections=health.ejections + 1,
                 until=now + min(ejection, _LONGEST_EJECTION),
             )
         self._health_by_id[upstream_id] = health
 
-    def put_aside_now(self, upstream_id: UpstreamId, now: Millis) -> None:
+    def eject(self, upstream_id: UpstreamId, now: Millis) -> None:
         """Put an engine aside on somebody's word, for the first time span."""
         health = self._health_by_id.get(upstream_id, _HEALTHY)
-        until = max(health.until or 0, now + FIRST_EJECTION)
+        until = max(health.until or 0, now + BASE_EJECTION)
         self._health_by_id[upstream_id] = health._replace(
             until=until, probe_at=None
         )
@@ -87,4 +87,4 @@
         return True
     if health.probe_at is None:
         return False
-    return now < health.probe_at + PROBE_WITHIN
+    return now < health.probe_at + PROBE_TIMEOUT
--- a/verbenathread/scheduling/prefixes.py
+++ b/verbenathread/scheduling/prefixes.py
@@ -19,7 +19,7 @@
 class CacheEvent(NamedTuple):
     """What an engine's cache gained and lost since its last event."""
 
-    number: int
+    sequence: int
     added: tuple[int, ...] = ()
     removed: tuple[int, ...] = ()
     # The event lists all that is cached; it may follow any number.
@@ -44,25 +44,25 @@
         self._index_by_id: dict[UpstreamId, _Index] = {}
         self._holders_by_hash: dict[int, set[UpstreamId]] = {}
 
-    def note(self, upstream_id: UpstreamId, event: CacheEvent) -> bool:
+    def apply(self, upstream_id: UpstreamId, event: CacheEvent) -> bool:
         """Take an event; False asks for a snapshot, as some were lost.
 
         After a gap nothing is known of the engine until its snapshot.
         """
         known = self._index_by_id.get(upstream_id)
         if event.is_snapshot:
-            if known is None or event.number >= known.number:
-                self._put(upstream_id, event.number, frozenset(event.added))
+            if known is None or event.sequence >= known.number:
+                self._put(upstream_id, event.sequence, frozenset(event.added))
             return True
         if known is None:
             return False
-        if event.number <= known.number:
+        if event.sequence <= known.number:
             return True
-        if event.number > known.number + 1:
+        if event.sequence > known.number + 1:
             self.forget(upstream_id)
             return False
         hashes = (known.hashes - set(event.removed)) | set(event.added)
-        self._put(upstream_id, event.number, hashes)
+        self._put(upstream_id, event.sequence, hashes)
         return True
 
     def forget(self, upstream_id: UpstreamId) -> None:
--- a/verbenathread/scheduling/queueing.py
+++ b/verbenathread/scheduling/queueing.py
@@ -3,9 +3,9 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from verbenathread.scheduling.classes import length_class, size_level
 from verbenathread.scheduling.estimates import PrefillCost
-from verbenathread.scheduling.messages import Ask
+from verbenathread.scheduling.length_classes import length_class, size_level
+from verbenathread.scheduling.messages import ReservationRequest
 from verbenathread.scheduling.tuning import Tuning
 from verbenathread.schema import settings_pb2
 from verbenathread.types import LengthClass, Millis
@@ -14,7 +14,7 @@
 class Waiting(NamedTuple):
     """One ask in the queue."""
 
-    ask: Ask
+    ask: ReservationRequest
     length: LengthClass
     # Expected prefill in ms.
     prefill: float
@@ -28,7 +28,7 @@
 
 
 def make_waiting(
-    ask: Ask,
+    ask: ReservationRequest,
     cost: PrefillCost,
     policy: settings_pb2.PolicySettings,
     tuning: Tuning,
@@ -40,9 +40,9 @@
         prefill /= len(ask.group)
     length = length_class(ask.work.prompt_tokens, policy)
     level = int(length)
-    if tuning.by_size:
+    if tuning.size_priority:
         level = size_level(ask.work.prompt_tokens, policy)
-    if not tuning.by_class:
+    if not tuning.class_priority:
         level = 0
     output = cost.output(ask.work.expected_output_tokens)
     return Waiting(ask, length, prefill, now, level, output)
@@ -82,7 +82,7 @@
 
     def placed(self, waiting: Waiting) -> Waiting:
         """Return an ask with the place that it would get now."""
-        if not self._tuning.fair_shares:
+        if not self._tuning.fair_queueing:
             return waiting
         account = waiting.ask.work.account
         start = max(self._virtual, self._finish_by_account.get(account, 0))
--- a/verbenathread/scheduling/retries.py
+++ b/verbenathread/scheduling/retries.py
@@ -35,12 +35,12 @@
         self._rng = rng
         self._budget = _LEAST_BUDGET
 
-    def note_first(self) -> None:
+    def record_first_attempt(self) -> None:
         """Count a first attempt, which earns a share of a retry."""
         earned = self._budget + self.policy.retry_share
         self._budget = min(_MOST_BUDGET, earned)
 
-    def next(
+    def decide(
         self,
         deadline: Millis,
         attempts: int,
--- a/verbenathread/scheduling/router.py
+++ b/verbenathread/scheduling/router.py
@@ -5,7 +5,7 @@
 from collections.abc import Collection, Sequence
 from typing import NamedTuple
 
-from verbenathread.scheduling.classes import length_class
+from verbenathread.scheduling.length_classes import length_class
 from verbenathread.scheduling.messages import EngineReport
 from verbenathread.scheduling.prefixes import PrefixIndex
 from verbenathread.scheduling.tuning import CURRENT, Tuning
@@ -71,7 +71,7 @@
     ) -> None:
         """Know nothing of any engine; ``rng`` decides the samples."""
         self.policy = policy
-        self.looked_at = 0
+        self.sampled_count = 0
         self._rng = rng
         self._tuning = tuning
         self._prefixes = prefixes or PrefixIndex()
@@ -83,7 +83,7 @@
         records: Sequence[UpstreamRecord],
         now: Millis,
         failed: Collection[UpstreamId] = (),
-        least: int = 1,
+        min_engines: int = 1,
     ) -> list[UpstreamId]:
         """Return sampled engines, the one with the least wait first.
 
@@ -91,7 +91,7 @@
         in ``failed`` are passed over. A group needs at least
         ``least`` engines, and gets a sample of more.
         """
-        wanted = self.policy.candidates + len(failed) + 2 * (least - 1)
+        wanted = self.policy.candidates + len(failed) + 2 * (min_engines - 1)
         sample = [
             record
             for record in self._with_holders(
@@ -105,13 +105,13 @@
         ]
         return [upstream_id for _, upstream_id in sorted(scored)]
 
-    def note_report(self, report: EngineReport, now: Millis) -> None:
+    def record_report(self, report: EngineReport, now: Millis) -> None:
         """Take a load report; an older one than the last is ignored."""
         seen = self._seen_by_id.get(report.upstream_id, _UNSEEN)
         fresh = tuple(sent for sent in seen.sent if sent.at > now - REPORT_LAG)
         self._seen_by_id[report.upstream_id] = _Seen(report, now, fresh)
 
-    def note_sent(
+    def record_sent(
         self, upstream_id: UpstreamId, work: Work, now: Millis
     ) -> None:
         """Count a send that no report shows yet."""
@@ -125,7 +125,7 @@
         )
         self._seen_by_id[upstream_id] = seen._replace(sent=(*seen.sent, sent))
 
-    def note_done(self, upstream_id: UpstreamId, work: Work) -> None:
+    def record_done(self, upstream_id: UpstreamId, work: Work) -> None:
         """Stop counting a send that has ended or never went out."""
         seen = self._seen_by_id.get(upstream_id, _UNSEEN)
         rest = tuple(
@@ -141,7 +141,7 @@
         self, records: Sequence[UpstreamRecord], wanted: int
     ) -> list[UpstreamRecord]:
         count = min(len(records), wanted)
-        self.looked_at += count
+        self.sampled_count += count
         drawn = self._rng.sample(range(len(records)), count)
         return [records[position] for position in drawn]
 
@@ -181,7 +181,7 @@
 
     def _has_affinity(self, work: Work) -> bool:
         length = length_class(work.prompt_tokens, self.policy)
-        return self._tuning.affinity and length != _LONG
+        return self._tuning.cache_affinity and length != _LONG
 
     def _with_holders(
         self,
--- a/verbenathread/scheduling/tuning.py
+++ b/verbenathread/scheduling/tuning.py
@@ -13,7 +13,7 @@
     """
 
     # Shorter classes go first; without it the queue is first in, first out.
-    by_class: bool = True
+    class_priority: bool = True
     # Prefill of short, and of middle, prompts in progress at the engine; more
     # waits in the ledger, where it can still go elsewhere. 0 lets all through.
     short_window: Millis = 0
@@ -21,22 +21,22 @@
     # Protect the oldest long ask; others pass if they do not delay it.
     backfill: bool = False
     # Order between accounts by weighted fair shares.
-    fair_shares: bool = False
+    fair_queueing: bool = False
     # Order within and between classes by size: one level each doubling.
-    by_size: bool = False
+    size_priority: bool = False
     # Engine priority follows the level of urgency.
-    priorities: bool = True
+    engine_priority: bool = True
     # Refuse on arrival what can't finish in time.
     refuse_late: bool = True
     # Weigh cached prefixes when an engine is chosen.
-    affinity: bool = False
+    cache_affinity: bool = False
     # Look for another engine after this share of the wait that was expected;
     # 0 is never.
-    look_again: float = 0
+    reroute_factor: float = 0
     # Expect memory to come back later, too, beside more urgent prompts.
-    slowed_memory: bool = False
+    slow_memory_release: bool = False
     # Ask the next engine when the first one's wait is over this; 0 is never.
-    second_ask: Millis = 0
+    wait_threshold: Millis = 0
 
 
 # The first policy that ran; replays keep it as a baseline.
@@ -48,10 +48,10 @@
 CURRENT = PREVIOUS._replace(
     short_window=_SHORT_WINDOW,
     middle_window=_MIDDLE_WINDOW,
-    by_size=True,
-    fair_shares=True,
-    second_ask=_PATIENCE,
+    size_priority=True,
+    fair_queueing=True,
+    wait_threshold=_PATIENCE,
     backfill=True,
-    look_again=_LOOK_AGAIN,
-    slowed_memory=True,
+    reroute_factor=_LOOK_AGAIN,
+    slow_memory_release=True,
 )
--- a/verbenathread/scheduling/usage.py
+++ b/verbenathread/scheduling/usage.py
@@ -2,9 +2,9 @@
 
 import math
 
-from verbenathread.scheduling.classes import LEVELS
 from verbenathread.scheduling.estimates import PrefillCost
 from verbenathread.scheduling.holds import Hold
+from verbenathread.scheduling.length_classes import LEVELS
 from verbenathread.scheduling.queueing import Waiting
 from verbenathread.types import LengthClass, Millis
 
@@ -86,4 +86,4 @@
     def _end(self, now: Millis) -> None:
         self._outstanding = max(0, self._outstanding - 1)
         if not self._outstanding and self._clean:
-            self._cost.note_busy(now - self._since, self._prompts)
+            self._cost.observe_busy_period(now - self._since, self._prompts)
