--- a/verbenathread/entry/owned_engine.py
+++ b/verbenathread/entry/owned_engine.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable
 
 from verbenathread.clock import Clock, seconds
-from verbenathread.entry import hold_messages
+from verbenathread.entry import reservation_messages
 from verbenathread.scheduling.holds import reservation_id
 from verbenathread.scheduling.ledger import START_TIMEOUT, EngineLedger
 from verbenathread.scheduling.messages import EngineHold, ReservationRequest
@@ -100,19 +100,19 @@
         """Grant, refuse, or wait in the queue for as long as the call."""
         if not self._holds_lease():
             return self._not_owner()
-        ask = hold_messages.ask_of(request, self._clock)
+        ask = reservation_messages.decode_request(request, self._clock)
         if ask.group:
             self._renew(ask.attempt_id)
         outcome = self.ledger.reserve(ask)
-        self.pump()
+        self.grant_waiting()
         if isinstance(outcome, Reservation):
             return self._granted(outcome, request)
         if isinstance(outcome, Refusal):
-            return hold_messages.refused(outcome)
+            return reservation_messages.encode_refusal(outcome)
         if not request.may_queue:
             self.ledger.cancel(ask.attempt_id)
             return peer_pb2.ReserveReply(
-                refusal=hold_messages.QUEUED,
+                refusal=reservation_messages.QUEUED,
                 message='The engine has no memory now.',
                 retry_after_ms=max(1, outcome.expected_wait),
             )
@@ -135,7 +135,7 @@
                 grant.reservation_id, update.output_tokens
             )
 
-    def pump(self) -> None:
+    def grant_waiting(self) -> None:
         """Answer the waiters for whom there is memory now."""
         if not self._waiter_by_attempt or not self._holds_lease():
             return
@@ -152,7 +152,7 @@
             if not waiter.reply.done():
                 waiter.reply.set_result(self._not_owner())
 
-    def doubtful(
+    def unconfirmed_grants(
         self, is_alive: Callable[[NodeId, int], bool]
     ) -> tuple[Grant, ...]:
         """Return the grants that only the engine can tell of.
@@ -172,7 +172,7 @@
             found.append(grant)
         return tuple(found)
 
-    def settle(self, grant: Grant, listed_ids: frozenset[str]) -> None:
+    def reconcile(self, grant: Grant, listed_ids: frozenset[str]) -> None:
         """Take what the engine says of a doubtful grant."""
         if self._clock.now() <= grant.start_by + ARRIVAL_MS:
             # It was renewed while the engine was read.
@@ -194,7 +194,7 @@
                 reply = await waiter.reply
             answered = True
         except TimeoutError:
-            return hold_messages.refused(
+            return reservation_messages.encode_refusal(
                 Refusal(
                     RefusalReason.DEADLINE,
                     'No memory came free within the time limit; retry later '
@@ -261,7 +261,7 @@
             return
         if self.ledger.renew(grant.reservation_id) is None:
             self._grant_by_id.pop(grant.reservation_id)
-            self.pump()
+            self.grant_waiting()
 
     def _note_started(self, grant: Grant) -> None:
         grant.started = True
@@ -270,7 +270,9 @@
     def _drop(self, grant: Grant, output_tokens: int) -> None:
         self._grant_by_id.pop(grant.reservation_id)
         self.ledger.release(grant.reservation_id, output_tokens)
-        self.pump()
+        self.grant_waiting()
 
     def _not_owner(self) -> peer_pb2.ReserveReply:
-        return hold_messages.not_owner(self._node_id, self.ledger.upstream_id)
+        return reservation_messages.not_owner_reply(
+            self._node_id, self.ledger.upstream_id
+        )
--- a/verbenathread/entry/hold_messages.py
+++ b/verbenathread/entry/reservation_messages.py
@@ -19,7 +19,7 @@
 QUEUED: Final = 'queued'
 
 
-def request_of(
+def encode_request(
     upstream_id: UpstreamId,
     ask: ReservationRequest,
     incarnation: int,
@@ -49,7 +49,7 @@
     )
 
 
-def ask_of(
+def decode_request(
     request: peer_pb2.ReserveRequest, clock: Clock
 ) -> ReservationRequest:
     """Return the ask in a message, in the time of this node's clock."""
@@ -77,7 +77,7 @@
     )
 
 
-def not_owner(
+def not_owner_reply(
     node_id: NodeId, upstream_id: UpstreamId
 ) -> peer_pb2.ReserveReply:
     """Return the refusal of an entry that does not own the engine now."""
@@ -87,7 +87,7 @@
     )
 
 
-def refused(refusal: Refusal) -> peer_pb2.ReserveReply:
+def encode_refusal(refusal: Refusal) -> peer_pb2.ReserveReply:
     """Return the message of a refusal by the ledger."""
     return peer_pb2.ReserveReply(
         refusal=refusal.reason.value,
@@ -96,7 +96,7 @@
     )
 
 
-def refusal_of(reply: peer_pb2.ReserveReply) -> Refusal:
+def decode_refusal(reply: peer_pb2.ReserveReply) -> Refusal:
     """Return the refusal in a reply, as callers may see it."""
     reason = RefusalReason.OVERLOADED
     if reply.refusal not in {NOT_OWNER, QUEUED}:
--- a/verbenathread/entry/reservations.py
+++ b/verbenathread/entry/reservations.py
@@ -11,12 +11,12 @@
 from typing import NamedTuple
 
 from verbenathread.clock import Clock, seconds
-from verbenathread.entry import hold_messages
+from verbenathread.entry import reservation_messages
 from verbenathread.entry.engine_owners import EngineOwners
 from verbenathread.entry.group_reservations import GroupReservation
 from verbenathread.entry.held_reservations import HeldReservations
 from verbenathread.entry.hold_outbox import HoldOutbox
-from verbenathread.entry.shared import SharedTree
+from verbenathread.entry.settings_store import SettingsStore
 from verbenathread.membership.cell import Cell
 from verbenathread.scheduling.candidates import CandidateIterator, reroute_delay
 from verbenathread.scheduling.groups import GroupRequest, group_size
@@ -73,7 +73,7 @@
         cell: Cell,
         owners: EngineOwners,
         outbox: HoldOutbox,
-        settings: SharedTree,
+        settings_store: SettingsStore,
         clock: Clock,
         rng: random.Random,
     ) -> None:
@@ -83,7 +83,7 @@
         self._cell = cell
         self._owners = owners
         self._outbox = outbox
-        self._settings = settings
+        self._settings_store = settings_store
         self._clock = clock
         self._rng = rng
         self._router_by_service: dict[str, Router] = {}
@@ -196,7 +196,7 @@
         size = group_size(
             needed,
             candidates.largest_tokens,
-            self._settings.policy(work.service),
+            self._settings_store.policy(work.service),
         )
         if size > len(engines):
             return Refusal(
@@ -229,7 +229,7 @@
             )
             if isinstance(outcome, Reservation):
                 return outcome
-            if outcome.refusal != hold_messages.QUEUED:
+            if outcome.refusal != reservation_messages.QUEUED:
                 refusals.append(outcome)
                 continue
             wait = outcome.retry_after_ms
@@ -246,7 +246,7 @@
         expected_wait: Millis,
     ) -> _Outcome | None:
         """Wait in one engine's queue; None when it is time to look again."""
-        policy = self._settings.policy(ask.work.service)
+        policy = self._settings_store.policy(ask.work.service)
         patience = reroute_delay(ask.work, expected_wait, policy, CURRENT)
         limit = None if patience is None else seconds(patience)
         try:
@@ -323,7 +323,7 @@
         self, work: Work, engines: Sequence[UpstreamRecord]
     ) -> list[UpstreamId]:
         router = self._router(work.service)
-        router.policy = self._settings.policy(work.service)
+        router.policy = self._settings_store.policy(work.service)
         failed_ids = self.held.failed_ids(work.request_id)
         now = self._clock.now()
         aside_ids = self._outliers.ejected(now)
@@ -337,12 +337,12 @@
     def _router(self, service: str) -> Router:
         if service not in self._router_by_service:
             self._router_by_service[service] = Router(
-                self._settings.policy(service), self._rng
+                self._settings_store.policy(service), self._rng
             )
         return self._router_by_service[service]
 
     def _weight(self, account: str) -> float:
-        settings = self._settings.account(account)
+        settings = self._settings_store.account(account)
         return 1.0 if settings is None else settings.weight
 
 
@@ -363,17 +363,17 @@
     final = [
         refusal
         for refusal in refusals
-        if refusal.refusal != hold_messages.NOT_OWNER
+        if refusal.refusal != reservation_messages.NOT_OWNER
     ]
     if not final:
         return None
     soonest = min(final, key=lambda refusal: refusal.retry_after_ms)
-    return hold_messages.refusal_of(soonest)
+    return reservation_messages.decode_refusal(soonest)
 
 
 def _final(outcome: Reservation | peer_pb2.ReserveReply) -> _Outcome | None:
     if isinstance(outcome, Reservation):
         return outcome
-    if outcome.refusal == hold_messages.NOT_OWNER:
+    if outcome.refusal == reservation_messages.NOT_OWNER:
         return None
-    return hold_messages.refusal_of(outcome)
+    return reservation_messages.decode_refusal(outcome)
