--- a/verbenathread/entry/access.py
+++ b/verbenathread/entry/access.py
@@ -6,7 +6,7 @@
 from verbenathread.clock import Clock
 from verbenathread.entry.error_responses import HttpError
 from verbenathread.entry.exchange import Exchange
-from verbenathread.entry.ports import SharedSettings
+from verbenathread.entry.interfaces import SharedSettings
 from verbenathread.entry.request_state import Deadline
 from verbenathread.schema import settings_pb2
 
--- a/verbenathread/entry/announce_service.py
+++ b/verbenathread/entry/announce_service.py
@@ -11,7 +11,7 @@
 
 from verbenathread.entry.error_responses import HttpError
 from verbenathread.entry.exchange import Exchange
-from verbenathread.entry.ports import SharedSettings, Upstreams
+from verbenathread.entry.interfaces import SharedSettings, Upstreams
 from verbenathread.observability.logs import get_logger
 from verbenathread.schema import settings_pb2
 from verbenathread.types import (
--- a/verbenathread/entry/control_session.py
+++ b/verbenathread/entry/control_session.py
@@ -11,7 +11,7 @@
 from grpclib.exceptions import StreamTerminatedError
 
 from verbenathread.clock import seconds
-from verbenathread.entry.background import Background
+from verbenathread.entry.background_task import Background
 from verbenathread.entry.settings_store import SettingsStore
 from verbenathread.observability.logs import get_logger
 from verbenathread.rpc_channel import PeerChannel
--- a/verbenathread/entry/engine_owners.py
+++ b/verbenathread/entry/engine_owners.py
@@ -5,7 +5,7 @@
 
 from verbenathread.clock import Clock, seconds
 from verbenathread.entry import reservation_messages
-from verbenathread.entry.background import Background
+from verbenathread.entry.background_task import Background
 from verbenathread.entry.ledger_host import LedgerHost
 from verbenathread.entry.peer_channels import PeerCalls
 from verbenathread.exceptions import UnavailableError
--- a/verbenathread/entry/group_reservations.py
+++ b/verbenathread/entry/group_reservations.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from verbenathread.clock import seconds
-from verbenathread.entry.background import Background
+from verbenathread.entry.background_task import Background
 from verbenathread.entry.engine_owners import EngineOwners
 from verbenathread.scheduling.groups import GroupRequest
 from verbenathread.scheduling.ledger import START_TIMEOUT
--- a/verbenathread/entry/http_frontend.py
+++ b/verbenathread/entry/http_frontend.py
@@ -16,21 +16,21 @@
 from verbenathread.entry.engine_http import HttpEngineClient
 from verbenathread.entry.exchange import Limits, ServerContext
 from verbenathread.entry.http_server import CallerServer
-from verbenathread.entry.model_service import ModelParts, ModelService
-from verbenathread.entry.plain_client import PlainClient
-from verbenathread.entry.plain_service import PlainDependencies, PlainService
-from verbenathread.entry.ports import (
+from verbenathread.entry.interfaces import (
     Admissions,
     Claims,
     Reservations,
     SharedSettings,
     Upstreams,
 )
-from verbenathread.entry.pump import Pump
+from verbenathread.entry.model_service import ModelParts, ModelService
+from verbenathread.entry.plain_client import PlainClient
+from verbenathread.entry.plain_service import PlainDependencies, PlainService
 from verbenathread.entry.reaper import Reaper
 from verbenathread.entry.relay import RelayPorts
 from verbenathread.entry.retry_budgets import RetryBudgets
 from verbenathread.entry.settler import Settler
+from verbenathread.entry.stream_poller import Pump
 from verbenathread.entry.trace_recorder import TraceRecorder
 from verbenathread.observability.metrics import EntryMetrics
 from verbenathread.scheduling.estimates import OutputEstimator, TokenEstimator
--- a/verbenathread/entry/model_service.py
+++ b/verbenathread/entry/model_service.py
@@ -20,12 +20,12 @@
 from verbenathread.entry.engine_client import Finish, Piece
 from verbenathread.entry.error_responses import HttpError, refusal_error
 from verbenathread.entry.exchange import Exchange
+from verbenathread.entry.interfaces import Admissions, SharedSettings
 from verbenathread.entry.model_call import (
     ModelCall,
     ParseResult,
     parse_call,
 )
-from verbenathread.entry.ports import Admissions, SharedSettings
 from verbenathread.entry.relay import (
     CallerGoneError,
     ModelRequest,
--- a/verbenathread/entry/node_thread.py
+++ b/verbenathread/entry/node_thread.py
@@ -10,7 +10,7 @@
 from typing import Protocol
 
 from verbenathread.clock import Clock, SystemClock
-from verbenathread.entry.blocking_ports import (
+from verbenathread.entry.blocking_adapters import (
     BlockingClaims,
     BlockingReservations,
     BlockingUpstreams,
--- a/verbenathread/entry/plain_service.py
+++ b/verbenathread/entry/plain_service.py
@@ -33,6 +33,12 @@
     refusal_error,
 )
 from verbenathread.entry.exchange import Exchange
+from verbenathread.entry.interfaces import (
+    Admissions,
+    Claims,
+    SharedSettings,
+    Upstreams,
+)
 from verbenathread.entry.plain_client import (
     IDEMPOTENCY_HEADER,
     PlainAttempt,
@@ -40,12 +46,6 @@
     PlainClient,
     build_plain_call,
 )
-from verbenathread.entry.ports import (
-    Admissions,
-    Claims,
-    SharedSettings,
-    Upstreams,
-)
 from verbenathread.entry.request_state import CallerDisconnect, Deadline
 from verbenathread.entry.retry_budgets import RetryBudgets
 from verbenathread.entry.settler import Settler
--- a/verbenathread/entry/reaper.py
+++ b/verbenathread/entry/reaper.py
@@ -18,7 +18,7 @@
     EngineNotRunError,
     EngineRejectedError,
 )
-from verbenathread.entry.ports import Reservations, Upstreams
+from verbenathread.entry.interfaces import Reservations, Upstreams
 from verbenathread.entry.retry_thread import RetryThread
 from verbenathread.observability.logs import get_logger
 from verbenathread.types import (
--- a/verbenathread/entry/relay.py
+++ b/verbenathread/entry/relay.py
@@ -31,12 +31,12 @@
     RunState,
     refusal_error,
 )
+from verbenathread.entry.interfaces import Reservations, Upstreams
 from verbenathread.entry.model_call import ModelCall
-from verbenathread.entry.ports import Reservations, Upstreams
-from verbenathread.entry.pump import Pump
 from verbenathread.entry.reaper import Reaper
 from verbenathread.entry.request_state import CallerDisconnect, Deadline
 from verbenathread.entry.retry_budgets import RetryBudgets
+from verbenathread.entry.stream_poller import Pump
 from verbenathread.observability.logs import get_logger
 from verbenathread.observability.metrics import EntryMetrics
 from verbenathread.schema import settings_pb2
--- a/verbenathread/entry/settler.py
+++ b/verbenathread/entry/settler.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from verbenathread.clock import Clock, seconds
-from verbenathread.entry.ports import Claims
+from verbenathread.entry.interfaces import Claims
 from verbenathread.entry.retry_thread import RetryThread
 from verbenathread.exceptions import VerbenathreadError
 from verbenathread.observability.logs import get_logger
