--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -27,7 +27,7 @@
         self.prefix_blocks = set()
         self.events = []
         self.running = 0
-        self.reports = 0
+        self.report_count = 0
         self.kv_by_id = {}
         self.order = {
             'fencing': 0,
@@ -37,16 +37,16 @@
         }
         self.refused_cancels = 0
         self.generated = 0
-        self.arrived = 0
-        self.breaks = 0
+        self.received = 0
+        self.broken_streams = 0
         self.cancelled = set()
         self.prefill = threading.Lock()
 
-    def open(self, order):
+    def reserve(self, order):
         """Hold memory for an attempt; False if there is no room."""
         wanted = order.get('memory_tokens', 0)
         with self.lock:
-            self.arrived += 1
+            self.received += 1
             if order['attempt_id'] in self.cancelled:
                 return False
             held = sum(
@@ -64,7 +64,7 @@
     def holds(self, attempt_id):
         return attempt_id in self.hold_by_attempt
 
-    def close(self, attempt_id):
+    def release(self, attempt_id):
         with self.lock:
             self.hold_by_attempt.pop(attempt_id, None)
 
@@ -80,7 +80,7 @@
             self.hold_by_attempt.pop(attempt_id, None)
             return False
 
-    def prefilled(self, text):
+    def wait_for_prefill(self, text):
         """Wait as long as the part of the prompt takes that is not cached."""
         fresh = 0
         running = 0
@@ -104,12 +104,12 @@
 
     def load(self):
         with self.lock:
-            self.reports += 1
+            self.report_count += 1
             held = sum(
                 hold['memory_tokens'] for hold in self.hold_by_attempt.values()
             )
             return {
-                'number': self.reports,
+                'number': self.report_count,
                 'running': len(self.hold_by_attempt),
                 'waiting': 0,
                 'memory_tokens_free': self.options.memory_tokens - held,
@@ -161,7 +161,7 @@
         elif exported is not None:
             self.reply({'kv': exported})
         else:
-            self.refuse(404, 'no such path')
+            self.reply_error(404, 'no such path')
 
     def do_POST(self):
         if self.path == '/v1/generate':
@@ -173,59 +173,59 @@
             if self.engine.take_order(self.read_json()):
                 self.reply(self.engine.order)
             else:
-                self.refuse(409, 'old fencing number')
+                self.reply_error(409, 'old fencing number')
         elif self.path.startswith('/v1/kv/'):
             self.engine.kv_by_id[self.path] = self.read_body().decode('latin-1')
             self.reply({})
         else:
-            self.refuse(404, 'no such path')
+            self.reply_error(404, 'no such path')
 
     def generate(self, order):
         attempt_id = order['attempt_id']
         options = self.engine.options
         if options.late:
             time.sleep(options.late)
-        if not self.engine.open(order):
-            self.refuse(503, 'no memory', (('Retry-After', '1'),))
+        if not self.engine.reserve(order):
+            self.reply_error(503, 'no memory', (('Retry-After', '1'),))
             return
-        self.start_lines()
+        self.start_response()
         # A stream that breaks is held until it is cancelled: that is what
         # cancels are for.
         try:
             ended = self.stream(order, attempt_id)
         except OSError:
-            self.engine.breaks += 1
+            self.engine.broken_streams += 1
             raise
         if ended:
-            self.engine.close(attempt_id)
+            self.engine.release(attempt_id)
 
     def stream(self, order, attempt_id):
         options = self.engine.options
         prompt = str(order.get('prompt') or order.get('messages')).encode()
-        self.engine.prefilled(prompt)
+        self.engine.wait_for_prefill(prompt)
         position = order['resume_from']['position']
         end = min(order['max_tokens'], options.answer_tokens)
         named = attempt_id
         while position < end:
             if not self.engine.holds(attempt_id):
-                self.cut()
+                self.abort()
                 return False
             if position == options.die_at:
-                self.cut()
+                self.abort()
                 return False
             if position == options.cross_at:
                 named = 'another-attempt'
             if position == options.skip_at:
                 position += 1
-            self.token(named, position)
+            self.write_token(named, position)
             if position == options.double_at:
-                self.token(named, position)
+                self.write_token(named, position)
             position += 1
             self.engine.generated += 1
             if options.decode_rate:
                 time.sleep(1 / options.decode_rate)
         if not options.truncate:
-            self.line(
+            self.write_line(
                 {
                     'attempt_id': named,
                     'finish_reason': 'stop',
@@ -235,10 +235,10 @@
                     },
                 }
             )
-        self.write(b'')
+        self.write_block(b'')
         return not options.truncate
 
-    def start_lines(self):
+    def start_response(self):
         self.send_response(200)
         self.send_header('Content-Type', 'application/x-ndjson')
         if self.engine.options.chunked:
@@ -248,8 +248,8 @@
             self.close_connection = True
         self.end_headers()
 
-    def token(self, named, position):
-        self.line(
+    def write_token(self, named, position):
+        self.write_line(
             {
                 'attempt_id': named,
                 'position': position,
@@ -257,10 +257,10 @@
             }
         )
 
-    def line(self, members):
-        self.write(json.dumps(members).encode() + b'\n')
+    def write_line(self, members):
+        self.write_block(json.dumps(members).encode() + b'\n')
 
-    def write(self, content):
+    def write_block(self, content):
         if self.engine.options.chunked:
             content = b'%x\r\n%b\r\n' % (len(content), content)
         self.wfile.write(content)
--- a/tests/standins/processes.py
+++ b/tests/standins/processes.py
@@ -9,7 +9,11 @@
 
 from tests.standins.engine import engine_handler, engine_parser
 from tests.standins.service import service_handler, service_parser
-from tests.standins.serving import StandInServer, announcement, tell_entry
+from tests.standins.serving import (
+    StandInServer,
+    announcement,
+    post_announcement,
+)
 
 
 class StandIn:
@@ -30,7 +34,7 @@
         key: str = 'announce-key',
         verb: str = 'announce',
     ) -> int:
-        return tell_entry(entry, verb, key, self.members)
+        return post_announcement(entry, verb, key, self.members)
 
     def kill(self) -> None:
         """SIGKILL, as a VM that is lost."""
@@ -64,7 +68,7 @@
         self.thread.start()
 
     def announce(self, entry, key='announce-key', verb='announce'):
-        return tell_entry(entry, verb, key, self.members)
+        return post_announcement(entry, verb, key, self.members)
 
     def stop(self):
         self.server.shutdown()
--- a/tests/standins/service.py
+++ b/tests/standins/service.py
@@ -38,7 +38,7 @@
 
     def do_GET(self):
         if self.bookings.fault('drop-get'):
-            self.cut()
+            self.abort()
             return
         self.answer(
             {
@@ -50,7 +50,7 @@
     def do_POST(self):
         self.read_body()
         if self.bookings.fault('die-before'):
-            self.cut()
+            self.abort()
             return
         key = self.headers.get('Idempotency-Key', 'no-key')
         self.bookings.came.append(key)
@@ -58,7 +58,7 @@
             time.sleep(self.bookings.options.slow)
         runs = self.bookings.run(key)
         if self.bookings.fault('die-after'):
-            self.cut()
+            self.abort()
             return
         self.answer({'booked': key, 'runs': runs}, 201)
 
--- a/tests/standins/serving.py
+++ b/tests/standins/serving.py
@@ -38,10 +38,10 @@
         self.end_headers()
         self.wfile.write(content)
 
-    def refuse(self, status, message, headers=()):
+    def reply_error(self, status, message, headers=()):
         self.reply({'error': {'message': message}}, status, headers)
 
-    def cut(self):
+    def abort(self):
         """End the connection without an answer."""
         self.close_connection = True
         self.connection.shutdown(socket.SHUT_RDWR)
@@ -94,7 +94,9 @@
     server.serve_forever()
 
 
-def tell_entry(entry: object, verb: str, key: str, members: object) -> int:
+def post_announcement(
+    entry: object, verb: str, key: str, members: object
+) -> int:
     """Announce, renew or leave at an entry; returns its status."""
     request = Request(
         f'http://{entry}/upstreams/v1/{verb}',
@@ -113,7 +115,7 @@
     entries = options.entry.split(',')
     for turn in itertools.count():
         # The next entry is tried when one does not answer.
-        status = tell_entry(
+        status = post_announcement(
             entries[turn % len(entries)], verb, options.announce_key, members
         )
         if status == 200:
--- a/tests/test_entry_relay.py
+++ b/tests/test_entry_relay.py
@@ -143,7 +143,7 @@
         self.assertEqual(answer.status, 504)
         self.assertEqual(answer.json()['error']['run_state'], 'may_have_run')
         # The engine sees the order only after its cancel.
-        self.assertTrue(wait_until(lambda: engine.state.arrived))
+        self.assertTrue(wait_until(lambda: engine.state.received))
         if options:
             self.entry.frontend.reaper.reconcile(self.record(engine))
         self.assert_nothing_held(engine)
@@ -178,7 +178,7 @@
             sock.sendall(content)
             sock.recv(4096)
             killed.kill()
-        self.assertTrue(wait_until(lambda: engine.state.breaks))
+        self.assertTrue(wait_until(lambda: engine.state.broken_streams))
         self.assertEqual(len(engine.state.hold_by_attempt), 1)
         successor = FakeEntry(incarnation=2)
         self.addCleanup(successor.stop)
@@ -222,7 +222,7 @@
             (Owner('entry-2', 0), True),
         )
         for number, (owner, _) in enumerate(owners):
-            engine.state.open(
+            engine.state.reserve(
                 {
                     'attempt_id': f'attempt-{number}',
                     'memory_tokens': 5,
@@ -270,7 +270,7 @@
         engine = self.engine('--late', '0.3')
         with self.assertRaises(urllib3.exceptions.TimeoutError):
             self.complete(wait=0.1)
-        self.assertTrue(wait_until(lambda: engine.state.arrived))
+        self.assertTrue(wait_until(lambda: engine.state.received))
         self.assert_nothing_held(engine)
         self.assertEqual(engine.state.generated, 0)
 
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -10,7 +10,7 @@
 
 import urllib3
 
-from tests.standins.serving import tell_entry
+from tests.standins.serving import post_announcement
 from tools.local_cluster import (
     ACCOUNT_KEY,
     ANNOUNCE_KEY,
@@ -107,7 +107,9 @@
             'incarnation': 1,
             'service': MODEL,
         }
-        status = tell_entry(self.entry(1), 'leave', ANNOUNCE_KEY, members)
+        status = post_announcement(
+            self.entry(1), 'leave', ANNOUNCE_KEY, members
+        )
         self.assertEqual(status, 200)
         self.signal('entry-1', signal.SIGKILL)
         time.sleep(LEAVE_SECONDS)
--- a/tools/slopes_cell.py
+++ b/tools/slopes_cell.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from tests.standins.serving import tell_entry
+from tests.standins.serving import post_announcement
 from tools.local_cluster import (
     ANNOUNCE_KEY,
     MODEL,
@@ -74,7 +74,7 @@
             'memory_tokens': 400_000,
         }
         address = f'{self._cluster.entry_ip(entry)}:18080'
-        tell_entry(address, verb, ANNOUNCE_KEY, members)
+        post_announcement(address, verb, ANNOUNCE_KEY, members)
 
 
 def measure(entries: int, engines: int) -> CellCost:
--- a/verbenathread/entry/announce_service.py
+++ b/verbenathread/entry/announce_service.py
@@ -22,8 +22,8 @@
 )
 
 _RETRY_AFTER_MS = 1000
-_LEAST_PER_LEASE = 3
-_MOST_PORT = 65535
+_RENEWALS_PER_LEASE = 3
+_MAX_PORT = 65535
 _ROLES = frozenset(('prefill', 'decode', 'both'))
 _TYPE_BY_MEMBER: Mapping[str, type] = MappingProxyType(
     {'upstream_id': str, 'incarnation': int, 'service': str}
@@ -42,9 +42,9 @@
 
     def announce(self, exchange: Exchange) -> None:
         """Take an announcement or a renewal; answer with the lease."""
-        members = _members(exchange)
+        members = _parse_body(exchange)
         service = self._authenticated(exchange, members)
-        record = _record(members, service)
+        record = _parse_record(members, service)
         held = self._upstreams.announce(record)
         if held.incarnation != record.incarnation or (
             held.state != UpstreamState.READY
@@ -61,13 +61,13 @@
                 'state': held.state.name.lower(),
                 'incarnation': held.incarnation,
                 'lease_ms': service.lease,
-                'renew_every_ms': service.lease // _LEAST_PER_LEASE,
+                'renew_every_ms': service.lease // _RENEWALS_PER_LEASE,
             },
         )
 
     def leave(self, exchange: Exchange) -> None:
         """Take a leave; answer once other entries have it too."""
-        members = _members(exchange)
+        members = _parse_body(exchange)
         self._authenticated(exchange, members)
         upstream_id = members['upstream_id']
         spread = self._upstreams.leave(upstream_id, members['incarnation'])
@@ -106,34 +106,34 @@
         return service
 
 
-def _members(exchange: Exchange) -> dict[str, Any]:
+def _parse_body(exchange: Exchange) -> dict[str, Any]:
     try:
         members = json.loads(exchange.read_body())
     except (ValueError, RecursionError) as exc:
-        raise _wrong('The body is not JSON; send a JSON object.') from exc
+        raise _invalid('The body is not JSON; send a JSON object.') from exc
     if not isinstance(members, dict):
-        raise _wrong('The body is no JSON object; send one.')
+        raise _invalid('The body is no JSON object; send one.')
     for name, kind in _TYPE_BY_MEMBER.items():
         found = members.get(name)
         if not isinstance(found, kind) or isinstance(found, bool):
-            raise _wrong(f'"{name}" must be of type {kind.__name__}.')
+            raise _invalid(f'"{name}" must be of type {kind.__name__}.')
     if not members['upstream_id'] or members['incarnation'] < 1:
-        raise _wrong('"upstream_id" and "incarnation" must not be empty.')
+        raise _invalid('"upstream_id" and "incarnation" must not be empty.')
     return members
 
 
-def _record(
+def _parse_record(
     members: Mapping[str, Any], service: settings_pb2.ServiceSettings
 ) -> UpstreamRecord:
     models = members.get('models', [])
     if not isinstance(models, list):
-        raise _wrong('"models" must be a list of strings.')
+        raise _invalid('"models" must be a list of strings.')
     role = members.get('role', 'both')
     if not isinstance(role, str) or role not in _ROLES:
-        raise _wrong('"role" must be prefill, decode or both.')
+        raise _invalid('"role" must be prefill, decode or both.')
     memory = members.get('memory_tokens', 0)
     if not isinstance(memory, int) or memory < 0:
-        raise _wrong('"memory_tokens" must be a whole number.')
+        raise _invalid('"memory_tokens" must be a whole number.')
     return UpstreamRecord(
         members['upstream_id'],
         members['incarnation'],
@@ -141,7 +141,7 @@
         0,
         members['service'],
         UpstreamKind(service.kind),
-        _address(members.get('address')),
+        _parse_address(members.get('address')),
         str(members.get('data_centre', '')),
         memory,
         tuple(str(model) for model in models),
@@ -149,19 +149,19 @@
     )
 
 
-def _address(text: Any) -> Address:
+def _parse_address(text: Any) -> Address:
     host, _, port = str(text).rpartition(':')
     try:
         ipaddress.ip_address(host)
         number = int(port)
     except ValueError as exc:
-        raise _wrong('"address" must be an IP number and a port.') from exc
-    if not 0 < number <= _MOST_PORT:
-        raise _wrong('"address" must hold a port from 1 to 65535.')
+        raise _invalid('"address" must be an IP number and a port.') from exc
+    if not 0 < number <= _MAX_PORT:
+        raise _invalid('"address" must hold a port from 1 to 65535.')
     return Address(host, number)
 
 
-def _wrong(message: str) -> HttpError:
+def _invalid(message: str) -> HttpError:
     return HttpError(
         http.HTTPStatus.BAD_REQUEST, 'invalid_announcement', message
     )
--- a/verbenathread/entry/background_task.py
+++ b/verbenathread/entry/background_task.py
@@ -6,12 +6,12 @@
 from typing import Any, Self
 
 
-class Background:
+class BackgroundTask:
     """Runs a coroutine for as long as an ``async with`` block."""
 
-    def __init__(self, work: Coroutine[Any, Any, None]) -> None:
+    def __init__(self, coroutine: Coroutine[Any, Any, None]) -> None:
         """Take the coroutine; it starts with the block."""
-        self._work = work
+        self._work = coroutine
         self._task: asyncio.Task[None] | None = None
 
     async def __aenter__(self) -> Self:
--- a/verbenathread/entry/blocking_adapters.py
+++ b/verbenathread/entry/blocking_adapters.py
@@ -17,8 +17,8 @@
 )
 
 # Bound of a call that waits for nothing but the loop.
-_QUICK_MS = 1000
-_LEAVE_MS = 3000
+_LOOP_CALL_TIMEOUT_MS = 1000
+_LEAVE_TIMEOUT_MS = 3000
 _RETRY_AFTER_MS = 1000
 
 
@@ -40,12 +40,12 @@
 
     def announce(self, record: UpstreamRecord) -> UpstreamRecord:
         """Take an announcement or a renewal; return what holds now."""
-        return self._loop.run(self._announce(record), _QUICK_MS)
+        return self._loop.run(self._announce(record), _LOOP_CALL_TIMEOUT_MS)
 
     def leave(self, upstream_id: str, incarnation: int) -> bool:
         """Take a leave; return only when other entries have it too."""
         return self._loop.run(
-            self._cell.leave(upstream_id, incarnation), _LEAVE_MS
+            self._cell.leave(upstream_id, incarnation), _LEAVE_TIMEOUT_MS
         )
 
     async def _announce(self, record: UpstreamRecord) -> UpstreamRecord:
@@ -110,13 +110,13 @@
         self._loop = loop
 
     def claim(
-        self, request: control_pb2.ClaimRequest, limit: Millis
+        self, request: control_pb2.ClaimRequest, timeout: Millis
     ) -> control_pb2.ClaimReply:
         """Record the claim durably before the first byte goes out."""
-        return self._loop.run(self._claims.claim(request, limit), limit)
+        return self._loop.run(self._claims.claim(request, timeout), timeout)
 
     def settle(
-        self, request: control_pb2.SettleRequest, limit: Millis
+        self, request: control_pb2.SettleRequest, timeout: Millis
     ) -> control_pb2.SettleReply:
         """Record the outcome of the one attempt."""
-        return self._loop.run(self._claims.settle(request, limit), limit)
+        return self._loop.run(self._claims.settle(request, timeout), timeout)
--- a/verbenathread/entry/completion_format.py
+++ b/verbenathread/entry/completion_format.py
@@ -4,7 +4,7 @@
 from collections.abc import Sequence
 from typing import Any, NamedTuple
 
-from verbenathread.entry.engine_client import Finish, Piece
+from verbenathread.entry.engine_client import Finish, TokenChunk
 from verbenathread.entry.model_call import ModelCall
 
 EVENT_STREAM_TYPE = 'text/event-stream'
@@ -55,7 +55,7 @@
             return b''
         return self._event({'role': 'assistant', 'content': ''}, None)
 
-    def stream_chunks(self, pieces: Sequence[Piece]) -> bytes:
+    def stream_chunks(self, pieces: Sequence[TokenChunk]) -> bytes:
         """Return pieces as server-sent events, one for each."""
         parts = []
         for piece in pieces:
--- a/verbenathread/entry/connections.py
+++ b/verbenathread/entry/connections.py
@@ -17,11 +17,11 @@
 from verbenathread.types import Address, Millis
 
 # Longest time in ms to wait for a connection.
-CONNECT_TIMEOUT = 1000
-_MOST_IDLE = 64
-_LEAST_WAIT = 1
+_CONNECT_TIMEOUT_MS = 1000
+_MAX_IDLE_PER_ADDRESS = 64
+_MIN_WAIT_MS = 1
 # Linger on, for no time.
-_RESET_ON_CLOSE = struct.pack('ii', 1, 0)
+_LINGER_RESET = struct.pack('ii', 1, 0)
 _ERRORS = (HTTPError, HTTPException, OSError, ValueError)
 
 
@@ -66,20 +66,20 @@
         self.status = response.status
         self.headers = response.headers
 
-    def read1(self, most: int, deadline: Millis) -> bytes:
+    def read1(self, max_bytes: int, deadline: Millis) -> bytes:
         """Return what comes next, empty at the end of the answer."""
         if self._response is None:
             self.read_head(deadline)
         assert self._response is not None
-        self._bound(deadline)
+        self._set_timeout(deadline)
         try:
-            return self._response.read1(most)
+            return self._response.read1(max_bytes)
         except _ERRORS as exc:
             raise BrokenExchangeError(
                 f'The answer of {self._address} was cut off.'
             ) from exc
 
-    def plain_socket(self) -> socket.socket | None:
+    def unframed_socket(self) -> socket.socket | None:
         """Return the socket if what follows on it is the body as it is.
 
         That holds for an answer that its upstream ends by closing, once
@@ -92,12 +92,12 @@
             return None
         return self._socket
 
-    def read_ready(self, most: int) -> bytes | None:
+    def read_nonblocking(self, max_bytes: int) -> bytes | None:
         """Return what has come on the plain socket, None if nothing has."""
         if self._socket.gettimeout() != 0:
             self._socket.setblocking(False)
         try:
-            return self._socket.recv(most)
+            return self._socket.recv(max_bytes)
         except BlockingIOError:
             return None
         except OSError as exc:
@@ -105,19 +105,19 @@
                 f'The answer of {self._address} was cut off.'
             ) from exc
 
-    def read_all(self, most: int, deadline: Millis) -> bytes:
+    def read_all(self, max_bytes: int, deadline: Millis) -> bytes:
         """Return the rest of the answer, at most ``most`` bytes."""
         blocks = []
         received = 0
-        block = self.read1(most, deadline)
+        block = self.read1(max_bytes, deadline)
         while block:
             blocks.append(block)
             received += len(block)
-            if received > most:
+            if received > max_bytes:
                 raise BrokenExchangeError(
-                    f'The answer of {self._address} is over {most} bytes.'
+                    f'The answer of {self._address} is over {max_bytes} bytes.'
                 )
-            block = self.read1(most, deadline)
+            block = self.read1(max_bytes, deadline)
         return b''.join(blocks)
 
     def interrupt(self) -> None:
@@ -130,18 +130,18 @@
         response = self._response
         if clean and response is not None and response.closed:
             if self._connection.sock is not None:
-                self._pool.put_back(self._address, self._connection)
+                self._pool.release(self._address, self._connection)
                 return
         # Reset, so that the kernel delivers nothing of it any more.
         with suppress(OSError):
             self._socket.setsockopt(
-                socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE
+                socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET
             )
         if response is not None:
             response.close()
         self._connection.close()
 
-    def _bound(self, deadline: Millis) -> None:
+    def _set_timeout(self, deadline: Millis) -> None:
         """Let the next wait end at the deadline."""
         self._socket.settimeout(self._pool.seconds_left(deadline))
 
@@ -198,7 +198,7 @@
             idle = self._take_idle(address)
             if idle is not None:
                 return idle
-        left = min(deadline - self._clock.now(), CONNECT_TIMEOUT)
+        left = min(deadline - self._clock.now(), _CONNECT_TIMEOUT_MS)
         if left <= 0:
             raise ConnectError(f'No time is left to connect to {address}.')
         connection = HTTPConnection(
@@ -213,13 +213,13 @@
 
     def seconds_left(self, deadline: Millis) -> float:
         """Return how long a wait until the deadline may last."""
-        return seconds(max(_LEAST_WAIT, deadline - self._clock.now()))
+        return seconds(max(_MIN_WAIT_MS, deadline - self._clock.now()))
 
-    def put_back(self, address: Address, connection: HTTPConnection) -> None:
+    def release(self, address: Address, connection: HTTPConnection) -> None:
         """Keep a connection whose exchange ended cleanly."""
         with self._lock:
             idle = self._idle_by_address.setdefault(address, deque())
-            if len(idle) < _MOST_IDLE:
+            if len(idle) < _MAX_IDLE_PER_ADDRESS:
                 idle.append(connection)
                 return
         connection.close()
--- a/verbenathread/entry/control_session.py
+++ b/verbenathread/entry/control_session.py
@@ -11,7 +11,7 @@
 from grpclib.exceptions import StreamTerminatedError
 
 from verbenathread.clock import seconds
-from verbenathread.entry.background_task import Background
+from verbenathread.entry.background_task import BackgroundTask
 from verbenathread.entry.settings_store import SettingsStore
 from verbenathread.observability.logs import get_logger
 from verbenathread.rpc_channel import PeerChannel
@@ -111,7 +111,7 @@
             channel.close()
 
     async def _follow(self, stream: _SessionStream) -> None:
-        async with Background(self._send_reports(stream)):
+        async with BackgroundTask(self._send_reports(stream)):
             while True:
                 async with asyncio.timeout(seconds(_SILENCE_MS)):
                     update = await stream.recv_message()
--- a/verbenathread/entry/engine_client.py
+++ b/verbenathread/entry/engine_client.py
@@ -17,7 +17,7 @@
     incarnation: int
 
 
-class GenerateOrder(NamedTuple):
+class GenerateRequest(NamedTuple):
     """One attempt at one request."""
 
     attempt_id: str
@@ -38,7 +38,7 @@
     time_limit: Millis
 
 
-class Piece(NamedTuple):
+class TokenChunk(NamedTuple):
     """Output tokens in the order of their positions."""
 
     # Position of the first token; the first of all is 0.
@@ -59,7 +59,7 @@
 class Batch(NamedTuple):
     """What one read brought; ``finish`` is set in the last batch."""
 
-    pieces: tuple[Piece, ...]
+    chunks: tuple[TokenChunk, ...]
     finish: Finish | None
 
 
@@ -73,13 +73,13 @@
         or names another attempt.
         """
 
-    def plain_socket(self) -> socket.socket | None:
+    def unframed_socket(self) -> socket.socket | None:
         """Return the socket that :meth:`read_ready` reads, None without one.
 
         Asked once after a :meth:`read`; with None only :meth:`read` is used.
         """
 
-    def read_ready(self) -> Batch | None:
+    def read_nonblocking(self) -> Batch | None:
         """Return what has come, without waiting; None if nothing whole has.
 
         Raises as :meth:`read` does.
@@ -149,39 +149,39 @@
     """
 
     def generate(
-        self, engine: Address, order: GenerateOrder, reach_by: Millis
+        self, engine: Address, request: GenerateRequest, send_by: Millis
     ) -> TokenStream:
         """Send the order of an attempt, whole before ``reach_by``.
 
         Whether the engine took it comes with the first read.
         """
 
-    def cancel(self, engine: Address, attempt_id: str, limit: Millis) -> bool:
+    def cancel(self, engine: Address, attempt_id: str, timeout: Millis) -> bool:
         """Cancel an attempt; return whether the engine still holds of it."""
 
-    def holds(self, engine: Address, limit: Millis) -> tuple[Hold, ...]:
+    def holds(self, engine: Address, timeout: Millis) -> tuple[Hold, ...]:
         """Return what the engine holds."""
 
-    def load(self, engine: Address, limit: Millis) -> LoadReport:
+    def load(self, engine: Address, timeout: Millis) -> LoadReport:
         """Return the newest load report."""
 
     def cache_events(
-        self, engine: Address, after: int, limit: Millis
+        self, engine: Address, after: int, timeout: Millis
     ) -> tuple[CacheEvent, ...]:
         """Return the cache events numbered above ``after``."""
 
-    def export_kv(self, engine: Address, kv_id: str, limit: Millis) -> bytes:
+    def export_kv(self, engine: Address, kv_id: str, timeout: Millis) -> bytes:
         """Return the exported KV cache of an attempt."""
 
     def import_kv(
-        self, engine: Address, kv_id: str, content: bytes, limit: Millis
+        self, engine: Address, kv_id: str, content: bytes, timeout: Millis
     ) -> None:
         """Import an exported KV cache."""
 
-    def read_orders(self, engine: Address, limit: Millis) -> OrderState:
+    def read_orders(self, engine: Address, timeout: Millis) -> OrderState:
         """Return what the engine was last ordered to be."""
 
     def order(
-        self, engine: Address, order: EngineOrder, limit: Millis
+        self, engine: Address, order: EngineOrder, timeout: Millis
     ) -> OrderState:
         """Give an order; raises ``EngineRejectedError`` if it is fenced."""
--- a/verbenathread/entry/engine_http.py
+++ b/verbenathread/entry/engine_http.py
@@ -17,7 +17,7 @@
 from verbenathread.entry.engine_client import (
     CacheEvent,
     EngineOrder,
-    GenerateOrder,
+    GenerateRequest,
     Hold,
     LoadReport,
     OrderState,
@@ -29,12 +29,12 @@
 )
 from verbenathread.entry.engine_stream import (
     HttpTokenStream,
-    generate_content,
+    generate_body,
     read_ok_head,
 )
 from verbenathread.types import Address, Millis
 
-_MOST_KV_BYTES = 1_073_741_824
+_MAX_RESPONSE_BYTES = 1_073_741_824
 _GET = 'GET'
 _POST = 'POST'
 _JSON_HEADERS = MappingProxyType({'Content-Type': 'application/json'})
@@ -49,31 +49,31 @@
         self._clock = clock
 
     def generate(
-        self, engine: Address, order: GenerateOrder, reach_by: Millis
+        self, engine: Address, request: GenerateRequest, send_by: Millis
     ) -> HttpTokenStream:
         """Send the order of an attempt."""
         exchange = self._send(
-            engine, _POST, '/v1/generate', generate_content(order), reach_by
+            engine, _POST, '/v1/generate', generate_body(request), send_by
         )
-        return HttpTokenStream(exchange, order.attempt_id, engine)
+        return HttpTokenStream(exchange, request.attempt_id, engine)
 
-    def cancel(self, engine: Address, attempt_id: str, limit: Millis) -> bool:
+    def cancel(self, engine: Address, attempt_id: str, timeout: Millis) -> bool:
         """Cancel an attempt; return whether the engine still holds of it."""
         order = {'attempt_id': attempt_id}
-        members = self._call(engine, _POST, '/v1/cancel', limit, order)
-        with _well_formed(engine):
+        members = self._call(engine, _POST, '/v1/cancel', timeout, order)
+        with _checked_members(engine):
             return bool(members['holds'])
 
-    def holds(self, engine: Address, limit: Millis) -> tuple[Hold, ...]:
+    def holds(self, engine: Address, timeout: Millis) -> tuple[Hold, ...]:
         """Return what the engine holds."""
-        members = self._call(engine, _GET, '/v1/holds', limit)
-        with _well_formed(engine):
-            return tuple(_hold(held) for held in members['holds'])
+        members = self._call(engine, _GET, '/v1/holds', timeout)
+        with _checked_members(engine):
+            return tuple(_parse_hold(held) for held in members['holds'])
 
-    def load(self, engine: Address, limit: Millis) -> LoadReport:
+    def load(self, engine: Address, timeout: Millis) -> LoadReport:
         """Return the newest load report."""
-        members = self._call(engine, _GET, '/v1/load', limit)
-        with _well_formed(engine):
+        members = self._call(engine, _GET, '/v1/load', timeout)
+        with _checked_members(engine):
             return LoadReport(
                 members['number'],
                 members['running'],
@@ -86,39 +86,41 @@
             )
 
     def cache_events(
-        self, engine: Address, after: int, limit: Millis
+        self, engine: Address, after: int, timeout: Millis
     ) -> tuple[CacheEvent, ...]:
         """Return the cache events numbered above ``after``."""
         path = f'/v1/cache-events?after={after}'
-        members = self._call(engine, _GET, path, limit)
-        with _well_formed(engine):
-            return tuple(_cache_event(event) for event in members['events'])
+        members = self._call(engine, _GET, path, timeout)
+        with _checked_members(engine):
+            return tuple(
+                _parse_cache_event(event) for event in members['events']
+            )
 
-    def export_kv(self, engine: Address, kv_id: str, limit: Millis) -> bytes:
+    def export_kv(self, engine: Address, kv_id: str, timeout: Millis) -> bytes:
         """Return the exported KV cache of an attempt."""
-        return self._exchange(engine, _GET, _kv_path(kv_id), limit, None)
+        return self._exchange(engine, _GET, _kv_path(kv_id), timeout, None)
 
     def import_kv(
-        self, engine: Address, kv_id: str, content: bytes, limit: Millis
+        self, engine: Address, kv_id: str, content: bytes, timeout: Millis
     ) -> None:
         """Import an exported KV cache."""
-        self._exchange(engine, _POST, _kv_path(kv_id), limit, content)
+        self._exchange(engine, _POST, _kv_path(kv_id), timeout, content)
 
-    def read_orders(self, engine: Address, limit: Millis) -> OrderState:
+    def read_orders(self, engine: Address, timeout: Millis) -> OrderState:
         """Return what the engine was last ordered to be."""
-        members = self._call(engine, _GET, '/v1/orders', limit)
-        with _well_formed(engine):
-            return _order_state(members)
+        members = self._call(engine, _GET, '/v1/orders', timeout)
+        with _checked_members(engine):
+            return _parse_order_state(members)
 
     def order(
-        self, engine: Address, order: EngineOrder, limit: Millis
+        self, engine: Address, order: EngineOrder, timeout: Millis
     ) -> OrderState:
         """Give an order and return what the engine reads back."""
         members = self._call(
-            engine, _POST, '/v1/orders', limit, order._asdict()
+            engine, _POST, '/v1/orders', timeout, order._asdict()
         )
-        with _well_formed(engine):
-            return _order_state(members)
+        with _checked_members(engine):
+            return _parse_order_state(members)
 
     def _send(
         self,
@@ -147,13 +149,13 @@
         engine: Address,
         method: str,
         path: str,
-        limit: Millis,
+        timeout: Millis,
         members: Mapping[str, Any] | None = None,
     ) -> dict[str, Any]:
         body = None
         if members is not None:
             body = json.dumps(members).encode()
-        content = self._exchange(engine, method, path, limit, body)
+        content = self._exchange(engine, method, path, timeout, body)
         try:
             found: dict[str, Any] = json.loads(content)
         except ValueError as exc:
@@ -165,14 +167,14 @@
         engine: Address,
         method: str,
         path: str,
-        limit: Millis,
+        timeout: Millis,
         body: bytes | None,
     ) -> bytes:
-        deadline = self._clock.now() + limit
+        deadline = self._clock.now() + timeout
         exchange = self._send(engine, method, path, body, deadline)
         read_ok_head(exchange, engine, deadline)
         try:
-            content = exchange.read_all(_MOST_KV_BYTES, deadline)
+            content = exchange.read_all(_MAX_RESPONSE_BYTES, deadline)
         except BrokenExchangeError as exc:
             exchange.close(clean=False)
             raise EngineBrokenError(str(exc)) from exc
@@ -181,7 +183,7 @@
 
 
 @contextmanager
-def _well_formed(engine: Address) -> Iterator[None]:
+def _checked_members(engine: Address) -> Iterator[None]:
     """Turn a missing or wrong member into a broken exchange."""
     try:
         yield
@@ -194,12 +196,12 @@
     return f'/v1/kv/{quoted}'
 
 
-def _hold(members: Mapping[str, Any]) -> Hold:
+def _parse_hold(members: Mapping[str, Any]) -> Hold:
     owner = Owner(members['owner']['node'], members['owner']['incarnation'])
     return Hold(members['attempt_id'], members['memory_tokens'], owner)
 
 
-def _cache_event(members: Mapping[str, Any]) -> CacheEvent:
+def _parse_cache_event(members: Mapping[str, Any]) -> CacheEvent:
     return CacheEvent(
         members['number'],
         members['event'] == 'stored',
@@ -208,7 +210,7 @@
     )
 
 
-def _order_state(members: Mapping[str, Any]) -> OrderState:
+def _parse_order_state(members: Mapping[str, Any]) -> OrderState:
     return OrderState(
         members['fencing'], tuple(members['models']), members['role']
     )
--- a/verbenathread/entry/engine_owners.py
+++ b/verbenathread/entry/engine_owners.py
@@ -5,7 +5,7 @@
 
 from verbenathread.clock import Clock, seconds
 from verbenathread.entry import reservation_messages
-from verbenathread.entry.background_task import Background
+from verbenathread.entry.background_task import BackgroundTask
 from verbenathread.entry.ledger_host import LedgerHost
 from verbenathread.entry.peer_channels import PeerCalls
 from verbenathread.exceptions import UnavailableError
@@ -94,7 +94,7 @@
         call = asyncio.create_task(
             self._channels.reserve(owner_id, request, limit)
         )
-        async with Background(self._cancel_when_silent(owner_id, call)):
+        async with BackgroundTask(self._cancel_when_silent(owner_id, call)):
             try:
                 await asyncio.wait([call])
             except asyncio.CancelledError:
--- a/verbenathread/entry/engine_stream.py
+++ b/verbenathread/entry/engine_stream.py
@@ -14,8 +14,8 @@
 from verbenathread.entry.engine_client import (
     Batch,
     Finish,
-    GenerateOrder,
-    Piece,
+    GenerateRequest,
+    TokenChunk,
 )
 from verbenathread.entry.engine_errors import (
     EngineBrokenError,
@@ -26,10 +26,10 @@
 
 _READ_BYTES = 65536
 # Small, since the interpreter sets this much aside for each read.
-_READY_BYTES = 16384
+_NONBLOCKING_READ_BYTES = 16384
 _DECODER = json.JSONDecoder()
-_MOST_REFUSAL_BYTES = 65536
-_MOST_LINE_BYTES = 1_048_576
+_MAX_ERROR_BYTES = 65536
+_MAX_LINE_BYTES = 1_048_576
 
 
 class HttpTokenStream:
@@ -41,40 +41,40 @@
         self._exchange = exchange
         self._attempt_id = attempt_id
         self._engine = engine
-        self._rest = b''
-        self._opened = False
-        self._finished = False
+        self._partial_line = b''
+        self._head_read = False
+        self._reusable = False
 
     def read(self, deadline: Millis) -> Batch:
         """Wait for the next whole lines."""
-        if not self._opened:
+        if not self._head_read:
             read_ok_head(self._exchange, self._engine, deadline)
-            self._opened = True
+            self._head_read = True
         while True:
-            lines = self._whole_lines(self._read_block(deadline))
+            lines = self._complete_lines(self._read_block(deadline))
             if lines:
-                batch = self._batch(lines)
+                batch = self._parse_lines(lines)
                 if batch.finish is not None:
-                    self._end(deadline)
+                    self._read_body_end(deadline)
                 return batch
 
-    def plain_socket(self) -> socket.socket | None:
+    def unframed_socket(self) -> socket.socket | None:
         """Return the socket that :meth:`read_ready` reads, if it may."""
-        return self._exchange.plain_socket()
+        return self._exchange.unframed_socket()
 
-    def read_ready(self) -> Batch | None:
+    def read_nonblocking(self) -> Batch | None:
         """Return the whole lines that have come, None if none has."""
         try:
-            block = self._exchange.read_ready(_READY_BYTES)
+            block = self._exchange.read_nonblocking(_NONBLOCKING_READ_BYTES)
         except BrokenExchangeError as exc:
             raise EngineBrokenError(str(exc)) from exc
         if block is None:
             return None
-        self._check_not_ended(block)
-        lines = self._whole_lines(block)
+        self._check_not_empty(block)
+        lines = self._complete_lines(block)
         if not lines:
             return None
-        return self._batch(lines)
+        return self._parse_lines(lines)
 
     def interrupt(self) -> None:
         """Make a read that waits in another thread fail at once."""
@@ -82,37 +82,37 @@
 
     def close(self) -> None:
         """End the exchange."""
-        self._exchange.close(clean=self._finished)
+        self._exchange.close(clean=self._reusable)
 
     def _read_block(self, deadline: Millis) -> bytes:
         try:
             block = self._exchange.read1(_READ_BYTES, deadline)
         except BrokenExchangeError as exc:
             raise EngineBrokenError(str(exc)) from exc
-        self._check_not_ended(block)
+        self._check_not_empty(block)
         return block
 
-    def _check_not_ended(self, block: bytes) -> None:
+    def _check_not_empty(self, block: bytes) -> None:
         if not block:
             raise EngineBrokenError(
                 f'The answer of {self._engine} ended without its terminator.'
             )
 
-    def _whole_lines(self, block: bytes) -> list[bytes]:
-        if self._rest:
-            block = self._rest + block
+    def _complete_lines(self, block: bytes) -> list[bytes]:
+        if self._partial_line:
+            block = self._partial_line + block
         lines = block.split(b'\n')
-        self._rest = lines.pop()
-        if len(self._rest) > _MOST_LINE_BYTES:
+        self._partial_line = lines.pop()
+        if len(self._partial_line) > _MAX_LINE_BYTES:
             raise EngineBrokenError(f'{self._engine} sent a huge line.')
         return lines
 
-    def _batch(self, lines: list[bytes]) -> Batch:
-        pieces: list[Piece] = []
+    def _parse_lines(self, lines: list[bytes]) -> Batch:
+        pieces: list[TokenChunk] = []
         for line in lines:
             try:
-                members = _members(line)
-                finish = self._take(members, pieces)
+                members = _parse_object(line)
+                finish = self._parse_record(members, pieces)
             except (ValueError, KeyError, TypeError) as exc:
                 raise EngineBrokenError(
                     f'{self._engine} sent a malformed line.'
@@ -121,8 +121,8 @@
                 return Batch(tuple(pieces), finish)
         return Batch(tuple(pieces), None)
 
-    def _take(
-        self, members: Mapping[str, Any], pieces: list[Piece]
+    def _parse_record(
+        self, members: Mapping[str, Any], pieces: list[TokenChunk]
     ) -> Finish | None:
         if members['attempt_id'] != self._attempt_id:
             raise EngineBrokenError(
@@ -130,7 +130,7 @@
             )
         if 'finish_reason' not in members:
             pieces.append(
-                Piece(
+                TokenChunk(
                     members['position'],
                     members.get('tokens', 1),
                     members['text'],
@@ -144,38 +144,38 @@
             usage['output_tokens'],
         )
 
-    def _end(self, deadline: Millis) -> None:
+    def _read_body_end(self, deadline: Millis) -> None:
         """Read the end of the body, without which nothing is reused."""
-        if self._rest:
+        if self._partial_line:
             return
         try:
-            self._finished = not self._exchange.read1(_READ_BYTES, deadline)
+            self._reusable = not self._exchange.read1(_READ_BYTES, deadline)
         except BrokenExchangeError:
             # The answer is whole; only its connection is not.
-            self._finished = False
+            self._reusable = False
 
 
-def generate_content(order: GenerateOrder) -> bytes:
+def generate_body(request: GenerateRequest) -> bytes:
     """Return the body of ``POST /v1/generate``."""
     own_members = {
-        'attempt_id': order.attempt_id,
-        'request_id': order.request_id,
-        'max_tokens': order.max_tokens,
-        'priority': order.priority,
+        'attempt_id': request.attempt_id,
+        'request_id': request.request_id,
+        'max_tokens': request.max_tokens,
+        'priority': request.priority,
         'owner': {
-            'node': order.owner.node_id,
-            'incarnation': order.owner.incarnation,
+            'node': request.owner.node_id,
+            'incarnation': request.owner.incarnation,
         },
-        'memory_tokens': order.memory_tokens,
-        'group': order.group,
+        'memory_tokens': request.memory_tokens,
+        'group': request.group,
         'resume_from': {
-            'position': order.resume_position,
-            'text': order.resume_text,
+            'position': request.resume_position,
+            'text': request.resume_text,
         },
-        'time_limit_ms': order.time_limit,
+        'time_limit_ms': request.time_limit,
     }
     opening = json.dumps(own_members).encode().removesuffix(b'}')
-    return b'%b, %b}' % (opening, order.shared_members)
+    return b'%b, %b}' % (opening, request.shared_members)
 
 
 def read_ok_head(
@@ -186,15 +186,15 @@
         exchange.read_head(deadline)
         if exchange.status == http.HTTPStatus.OK:
             return
-        content = exchange.read_all(_MOST_REFUSAL_BYTES, deadline)
+        content = exchange.read_all(_MAX_ERROR_BYTES, deadline)
     except BrokenExchangeError as exc:
         exchange.close(clean=False)
         raise EngineBrokenError(str(exc)) from exc
     exchange.close(clean=True)
-    raise _refusal(exchange, content, engine)
+    raise _response_error(exchange, content, engine)
 
 
-def _members(line: bytes) -> dict[str, Any]:
+def _parse_object(line: bytes) -> dict[str, Any]:
     """Return the object of one line; the decoder's plain path costs half."""
     text = line.decode()
     members, end = _DECODER.raw_decode(text)
@@ -211,7 +211,7 @@
         return f'{engine} refused without a reason.'
 
 
-def _refusal(
+def _response_error(
     exchange: UpstreamExchange, content: bytes, engine: Address
 ) -> Exception:
     text = _error_text(content, engine)
--- a/verbenathread/entry/group_reservations.py
+++ b/verbenathread/entry/group_reservations.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from verbenathread.clock import seconds
-from verbenathread.entry.background_task import Background
+from verbenathread.entry.background_task import BackgroundTask
 from verbenathread.entry.engine_owners import EngineOwners
 from verbenathread.scheduling.groups import GroupRequest
 from verbenathread.scheduling.ledger import START_TIMEOUT
@@ -27,7 +27,7 @@
 
     async def reserve(self) -> Reservation | peer_pb2.ReserveReply:
         """Return the whole group's reservation, or the first refusal."""
-        async with Background(self._hold_all()):
+        async with BackgroundTask(self._hold_all()):
             while True:
                 await self._changed.wait()
                 self._changed.clear()
--- a/verbenathread/entry/held_reservations.py
+++ b/verbenathread/entry/held_reservations.py
@@ -7,7 +7,7 @@
 from verbenathread.types import Millis, Reservation, UpstreamId, Work
 
 
-class Held(NamedTuple):
+class HeldReservation(NamedTuple):
     """A reservation and the work that it is for."""
 
     reservation: Reservation
@@ -20,7 +20,7 @@
 
     def __init__(self) -> None:
         """Hold nothing."""
-        self._held_by_attempt: dict[str, Held] = {}
+        self._held_by_attempt: dict[str, HeldReservation] = {}
         self._failed_by_request: dict[str, set[UpstreamId]] = {}
         self._deadline_by_request: dict[str, Millis] = {}
 
@@ -30,9 +30,11 @@
 
     def add(self, reservation: Reservation, work: Work) -> None:
         """Note a reservation until it is removed."""
-        self._held_by_attempt[reservation.attempt_id] = Held(reservation, work)
+        self._held_by_attempt[reservation.attempt_id] = HeldReservation(
+            reservation, work
+        )
 
-    def progress(self, attempt_id: str, output_tokens: int) -> bool:
+    def record_progress(self, attempt_id: str, output_tokens: int) -> bool:
         """Note how far the output has come; True for its first tokens."""
         held = self._held_by_attempt.get(attempt_id)
         if held is None:
@@ -42,7 +44,7 @@
         )
         return held.output_tokens == 0
 
-    def remove(self, attempt_id: str) -> Held | None:
+    def remove(self, attempt_id: str) -> HeldReservation | None:
         """Forget a reservation; None if it was not held."""
         return self._held_by_attempt.pop(attempt_id, None)
 
@@ -51,7 +53,7 @@
         return tuple(
             peer_pb2.Holding(
                 attempt_id=attempt_id,
-                memory_tokens=_share(held.reservation),
+                memory_tokens=_tokens_per_engine(held.reservation),
                 prompt_tokens=held.work.prompt_tokens,
                 output_tokens=held.output_tokens,
             )
@@ -59,7 +61,7 @@
             if upstream_id in held.reservation.upstream_ids
         )
 
-    def note_failed(self, held: Held, now: Millis) -> None:
+    def record_failure(self, held: HeldReservation, now: Millis) -> None:
         """Remember, until its deadline, where a request failed."""
         request_id = held.work.request_id
         for old_id, deadline in tuple(self._deadline_by_request.items()):
@@ -70,11 +72,11 @@
         failed_ids.update(held.reservation.upstream_ids)
         self._deadline_by_request[request_id] = held.work.deadline
 
-    def failed_ids(self, request_id: str) -> Collection[UpstreamId]:
+    def failed_engine_ids(self, request_id: str) -> Collection[UpstreamId]:
         """Return the engines on which a request failed."""
         return self._failed_by_request.get(request_id, frozenset())
 
 
-def _share(reservation: Reservation) -> int:
+def _tokens_per_engine(reservation: Reservation) -> int:
     """Return the memory on each engine of a reservation."""
     return -(-reservation.memory_tokens // len(reservation.upstream_ids))
--- a/verbenathread/entry/hold_reader.py
+++ b/verbenathread/entry/hold_reader.py
@@ -21,14 +21,14 @@
         self._client = HttpEngineClient(ConnectionPool(clock), clock)
 
     def holds(
-        self, record: UpstreamRecord, limit: Millis
+        self, record: UpstreamRecord, timeout: Millis
     ) -> tuple[EngineHold, ...]:
         """Return the attempts that it holds memory for.
 
         Raises :class:`UnavailableError` when it can't be read in time.
         """
         try:
-            listed = self._client.holds(record.address, limit)
+            listed = self._client.holds(record.address, timeout)
         except (
             EngineBrokenError,
             EngineNotRunError,
--- a/verbenathread/entry/http_frontend.py
+++ b/verbenathread/entry/http_frontend.py
@@ -23,14 +23,14 @@
     SharedSettings,
     Upstreams,
 )
-from verbenathread.entry.model_service import ModelParts, ModelService
+from verbenathread.entry.model_service import ModelDependencies, ModelService
 from verbenathread.entry.plain_client import PlainClient
 from verbenathread.entry.plain_service import PlainDependencies, PlainService
 from verbenathread.entry.reaper import Reaper
-from verbenathread.entry.relay import RelayPorts
+from verbenathread.entry.relay import RelayDependencies
 from verbenathread.entry.retry_budgets import RetryBudgets
 from verbenathread.entry.settler import Settler
-from verbenathread.entry.stream_poller import Pump
+from verbenathread.entry.stream_poller import StreamPoller
 from verbenathread.entry.trace_recorder import TraceRecorder
 from verbenathread.observability.metrics import EntryMetrics
 from verbenathread.scheduling.estimates import OutputEstimator, TokenEstimator
@@ -76,7 +76,7 @@
         )
         self._recorder = recorder or TraceRecorder('', 0, clock)
         self.disconnect_watcher = DisconnectWatcher()
-        self._pump = Pump(clock)
+        self._pump = StreamPoller(clock)
         self.reaper = Reaper(
             self.engine_client,
             ports.reservations,
@@ -127,7 +127,7 @@
         self, ports: FrontendPorts, owner: Owner, metrics: EntryMetrics
     ) -> Services:
         retries = RetryBudgets(self._clock)
-        relay = RelayPorts(
+        relay = RelayDependencies(
             self.engine_client,
             ports.reservations,
             ports.upstreams,
@@ -138,7 +138,7 @@
             owner,
             self._clock,
         )
-        models = ModelParts(
+        models = ModelDependencies(
             ports.settings,
             ports.admissions,
             relay,
--- a/verbenathread/entry/interfaces.py
+++ b/verbenathread/entry/interfaces.py
@@ -102,11 +102,11 @@
     """Claims on a quorum for calls that may not be repeated."""
 
     def claim(
-        self, request: control_pb2.ClaimRequest, limit: Millis
+        self, request: control_pb2.ClaimRequest, timeout: Millis
     ) -> control_pb2.ClaimReply:
         """Record the claim durably before the first byte goes out."""
 
     def settle(
-        self, request: control_pb2.SettleRequest, limit: Millis
+        self, request: control_pb2.SettleRequest, timeout: Millis
     ) -> control_pb2.SettleReply:
         """Record the outcome of the one attempt."""
--- a/verbenathread/entry/model_service.py
+++ b/verbenathread/entry/model_service.py
@@ -17,7 +17,7 @@
     error_event,
 )
 from verbenathread.entry.disconnect_watcher import DisconnectWatcher
-from verbenathread.entry.engine_client import Finish, Piece
+from verbenathread.entry.engine_client import Finish, TokenChunk
 from verbenathread.entry.error_responses import HttpError, refusal_error
 from verbenathread.entry.exchange import Exchange
 from verbenathread.entry.interfaces import Admissions, SharedSettings
@@ -30,7 +30,7 @@
     CallerGoneError,
     ModelRequest,
     Relay,
-    RelayPorts,
+    RelayDependencies,
 )
 from verbenathread.entry.request_state import CallerDisconnect, Deadline
 from verbenathread.entry.trace_recorder import TraceRecorder
@@ -40,15 +40,15 @@
 from verbenathread.types import UpstreamKind, Work
 
 # Time in ms beyond the deadline to write the answer that says so.
-_FINAL_ANSWER_TIME = 2000
+_FINAL_ANSWER_MS = 2000
 
 
-class ModelParts(NamedTuple):
+class ModelDependencies(NamedTuple):
     """What serving a model request needs."""
 
     settings: SharedSettings
     admissions: Admissions
-    relay: RelayPorts
+    relay: RelayDependencies
     watch: DisconnectWatcher
     metrics: EntryMetrics
     prompts: TokenEstimator
@@ -57,12 +57,12 @@
     clock: Clock
 
 
-class _Sink:
+class _AnswerSink:
     """Passes pieces to the caller, or gathers them for a whole answer."""
 
     def __init__(
         self,
-        parts: ModelParts,
+        parts: ModelDependencies,
         exchange: Exchange,
         answer: CompletionFormat,
         work: Work,
@@ -73,9 +73,9 @@
         self._work = work
         self._texts: list[str] = []
         self._first = True
-        self._rest = b''
+        self._unsent = b''
 
-    def pieces(self, pieces: list[Piece]) -> None:
+    def write(self, pieces: list[TokenChunk]) -> None:
         """Take pieces that follow one another without a gap."""
         if not pieces:
             return
@@ -83,32 +83,32 @@
             self._first = False
             self._count_first_token()
         if not self._answer.call.stream:
-            self._gather(pieces)
+            self._collect(pieces)
             return
         block = self._answer.stream_chunks(pieces)
         if not self._exchange.response_started:
             block = self._open() + block
         self._exchange.write(block)
 
-    def pieces_ready(self, pieces: list[Piece]) -> bool:
+    def write_nonblocking(self, pieces: list[TokenChunk]) -> bool:
         """Take pieces without waiting; False if some wait for a flush."""
         if not pieces:
             return True
         if not self._answer.call.stream:
-            self._gather(pieces)
+            self._collect(pieces)
             return True
         block = self._answer.stream_chunks(pieces)
-        self._rest = self._exchange.write_nonblocking(block)
-        return not self._rest
+        self._unsent = self._exchange.write_nonblocking(block)
+        return not self._unsent
 
     def flush(self) -> None:
         """Send what :meth:`pieces_ready` left, waiting for a slow reader."""
-        rest = self._rest
-        self._rest = b''
+        rest = self._unsent
+        self._unsent = b''
         if rest:
             self._exchange.write_remaining(rest)
 
-    def retried(self) -> None:
+    def count_retry(self) -> None:
         """Count another attempt."""
         self._parts.metrics.retries.labels(self._work.service).inc()
 
@@ -129,7 +129,7 @@
         self._exchange.close_after_response()
         self._exchange.write(error_event(content))
 
-    def _gather(self, pieces: list[Piece]) -> None:
+    def _collect(self, pieces: list[TokenChunk]) -> None:
         for piece in pieces:
             self._texts.append(piece.text)
 
@@ -148,7 +148,7 @@
 class ModelService:
     """Serves the requests for models."""
 
-    def __init__(self, parts: ModelParts) -> None:
+    def __init__(self, parts: ModelDependencies) -> None:
         """Serve with ``parts``."""
         self._parts = parts
 
@@ -177,7 +177,7 @@
     def complete(self, exchange: Exchange, *, chat: bool) -> None:
         """Relay one request to an engine and its answer to the caller."""
         account = authenticate(self._parts.settings, exchange)
-        call = _checked(parse_call(exchange.read_body(), chat=chat))
+        call = _unwrap(parse_call(exchange.read_body(), chat=chat))
         service = authorize_service(
             self._parts.settings,
             account,
@@ -185,8 +185,8 @@
             UpstreamKind.ENGINE.value,
         )
         deadline = request_deadline(exchange, service, self._parts.clock)
-        exchange.set_write_deadline(deadline.expires_at + _FINAL_ANSWER_TIME)
-        work = self._work(exchange, account, call, service, deadline)
+        exchange.set_write_deadline(deadline.expires_at + _FINAL_ANSWER_MS)
+        work = self._build_work(exchange, account, call, service, deadline)
         gone = CallerDisconnect()
         request = ModelRequest(
             call,
@@ -201,7 +201,7 @@
         with self._parts.watch.watching(exchange.sock, gone.set):
             self._serve(exchange, request)
 
-    def _work(
+    def _build_work(
         self,
         exchange: Exchange,
         account: Account,
@@ -232,14 +232,14 @@
             exchange.request_id,
             self._parts.clock.wall() // MS_PER_SECOND,
         )
-        sink = _Sink(self._parts, exchange, answer, request.work)
+        sink = _AnswerSink(self._parts, exchange, answer, request.work)
         relay = Relay(self._parts.relay, request, sink)
         outcome = 'failed'
         try:
             finish = relay.run()
             sink.finish(finish)
             outcome = 'completed'
-            self._learn(request, finish)
+            self._update_estimators(request, finish)
         except CallerGoneError as exc:
             outcome = 'caller_gone'
             raise ConnectionAbortedError('The caller hung up.') from exc
@@ -255,7 +255,7 @@
                 request.work.service, outcome
             ).inc()
 
-    def _learn(self, request: ModelRequest, finish: Finish) -> None:
+    def _update_estimators(self, request: ModelRequest, finish: Finish) -> None:
         work = request.work
         service = self._parts.settings.service(work.service)
         if service is None:
@@ -271,7 +271,7 @@
         )
 
 
-def _checked(parsed: ParseResult) -> ModelCall:
+def _unwrap(parsed: ParseResult) -> ModelCall:
     if parsed.is_error():
         raise parsed.error
     return parsed.ok
--- a/verbenathread/entry/reaper.py
+++ b/verbenathread/entry/reaper.py
@@ -29,20 +29,20 @@
 )
 
 # Times in ms: one cancel, and the waits between the cancels of one attempt.
-_CANCEL_TIMEOUT = 1000
-_FIRST_WAIT = 20
-_LONGEST_WAIT = 2000
+_CANCEL_TIMEOUT_MS = 1000
+_INITIAL_BACKOFF_MS = 20
+_MAX_BACKOFF_MS = 2000
 # An engine that did not answer a cancel is left alone this long.
-_SILENT_WAIT = 1000
-_FIRST_RECONCILE = 1000
-_RECONCILE_EVERY = 10_000
-_IDLE_WAIT = 500
+_UNRESPONSIVE_PAUSE_MS = 1000
+_FIRST_RECONCILE_MS = 1000
+_RECONCILE_INTERVAL_MS = 10_000
+_IDLE_WAIT_MS = 500
 _ENGINE_ERRORS = (EngineBrokenError, EngineNotRunError, EngineRejectedError)
 
 _log = get_logger('reaper')
 
 
-class _Cancel(NamedTuple):
+class _PendingCancel(NamedTuple):
     due: Millis
     # Keeps the heap from comparing reservations.
     number: int
@@ -79,20 +79,20 @@
         self._reservations = reservations
         self._upstreams = upstreams
         self._owner = owner
-        self._pending: list[_Cancel] = []
+        self._pending: list[_PendingCancel] = []
         self._numbers = itertools.count()
         self._live_attempts: set[str] = set()
         self._engine_by_id: dict[str, UpstreamRecord] = {}
-        self._silent_until_by_id: dict[str, Millis] = {}
-        self._next_reconcile: Millis = clock.now() + _FIRST_RECONCILE
+        self._paused_until_by_id: dict[str, Millis] = {}
+        self._next_reconcile: Millis = clock.now() + _FIRST_RECONCILE_MS
 
-    def opened(self, attempt_id: str, engine: UpstreamRecord) -> None:
+    def track(self, attempt_id: str, engine: UpstreamRecord) -> None:
         """Count an attempt as live before it is sent."""
         with self._changed:
             self._live_attempts.add(attempt_id)
             self._engine_by_id[engine.upstream_id] = engine
 
-    def ended(self, attempt_id: str) -> None:
+    def untrack(self, attempt_id: str) -> None:
         """Count an attempt as ended cleanly."""
         with self._changed:
             self._live_attempts.discard(attempt_id)
@@ -106,13 +106,13 @@
         """Cancel until confirmed, then release; returns at once."""
         with self._changed:
             self._push(
-                _Cancel(
+                _PendingCancel(
                     self._clock.now(),
                     next(self._numbers),
                     reservation,
                     engines,
                     output_tokens,
-                    _FIRST_WAIT,
+                    _INITIAL_BACKOFF_MS,
                 )
             )
             self._changed.notify_all()
@@ -123,14 +123,14 @@
         Returns how many such holds were found.
         """
         found = 0
-        for hold in self._client.holds(engine.address, _CANCEL_TIMEOUT):
+        for hold in self._client.holds(engine.address, _CANCEL_TIMEOUT_MS):
             if hold.owner.node_id != self._owner.node_id:
                 continue
             if self._is_live(hold.attempt_id, hold.owner.incarnation):
                 continue
             found += 1
             self._client.cancel(
-                engine.address, hold.attempt_id, _CANCEL_TIMEOUT
+                engine.address, hold.attempt_id, _CANCEL_TIMEOUT_MS
             )
         return found
 
@@ -150,11 +150,11 @@
                     return
                 due = self._take_due()
             if due is not None:
-                self._try(due)
+                self._try_cancel(due)
             self._reconcile_when_due()
 
-    def _take_due(self) -> _Cancel | None:
-        wait = _IDLE_WAIT
+    def _take_due(self) -> _PendingCancel | None:
+        wait = _IDLE_WAIT_MS
         if self._pending:
             wait = min(wait, self._pending[0].due - self._clock.now())
         if wait > 0:
@@ -164,9 +164,11 @@
             return self._pending[0]
         return None
 
-    def _try(self, due: _Cancel) -> None:
+    def _try_cancel(self, due: _PendingCancel) -> None:
         try:
-            ended = all(self._cancelled(due, engine) for engine in due.engines)
+            ended = all(
+                self._is_cancelled(due, engine) for engine in due.engines
+            )
         except Exception:
             _log.exception('A cancel failed.', attempt=_attempt_id(due))
             ended = False
@@ -180,26 +182,28 @@
             if ended:
                 self._live_attempts.discard(_attempt_id(due))
             else:
-                wait = min(due.wait * 2, _LONGEST_WAIT)
+                wait = min(due.wait * 2, _MAX_BACKOFF_MS)
                 later = self._clock.now() + due.wait
                 self._push(due._replace(due=later, wait=wait))
             self._changed.notify_all()
 
-    def _push(self, cancel: _Cancel) -> None:
+    def _push(self, cancel: _PendingCancel) -> None:
         heapq.heappush(self._pending, cancel)
 
-    def _cancelled(self, due: _Cancel, engine: UpstreamRecord) -> bool:
-        silent_until = self._silent_until_by_id.get(engine.upstream_id, 0)
+    def _is_cancelled(
+        self, due: _PendingCancel, engine: UpstreamRecord
+    ) -> bool:
+        silent_until = self._paused_until_by_id.get(engine.upstream_id, 0)
         if self._clock.now() < silent_until:
             return self._is_gone(engine)
         try:
             holds = self._client.cancel(
-                engine.address, _attempt_id(due), _CANCEL_TIMEOUT
+                engine.address, _attempt_id(due), _CANCEL_TIMEOUT_MS
             )
         except _ENGINE_ERRORS:
             # The cancels of other engines are not to wait for this one.
-            silent_until = self._clock.now() + _SILENT_WAIT
-            self._silent_until_by_id[engine.upstream_id] = silent_until
+            silent_until = self._clock.now() + _UNRESPONSIVE_PAUSE_MS
+            self._paused_until_by_id[engine.upstream_id] = silent_until
             return self._is_gone(engine)
         return not holds
 
@@ -214,7 +218,7 @@
         now = self._clock.now()
         if now < self._next_reconcile:
             return
-        self._next_reconcile = now + _RECONCILE_EVERY
+        self._next_reconcile = now + _RECONCILE_INTERVAL_MS
         with self._changed:
             engine_by_id = dict(self._engine_by_id)
         for engine in self._known_engines():
@@ -239,5 +243,5 @@
             )
 
 
-def _attempt_id(cancel: _Cancel) -> str:
+def _attempt_id(cancel: _PendingCancel) -> str:
     return cancel.reservation.attempt_id
--- a/verbenathread/entry/relay.py
+++ b/verbenathread/entry/relay.py
@@ -16,9 +16,9 @@
     Batch,
     EngineClient,
     Finish,
-    GenerateOrder,
+    GenerateRequest,
     Owner,
-    Piece,
+    TokenChunk,
     TokenStream,
 )
 from verbenathread.entry.engine_errors import (
@@ -36,7 +36,7 @@
 from verbenathread.entry.reaper import Reaper
 from verbenathread.entry.request_state import CallerDisconnect, Deadline
 from verbenathread.entry.retry_budgets import RetryBudgets
-from verbenathread.entry.stream_poller import Pump
+from verbenathread.entry.stream_poller import StreamPoller
 from verbenathread.observability.logs import get_logger
 from verbenathread.observability.metrics import EntryMetrics
 from verbenathread.schema import settings_pb2
@@ -65,27 +65,27 @@
 class Sink(Protocol):
     """Where the relayed tokens go."""
 
-    def pieces(self, pieces: list[Piece]) -> None:
+    def write(self, pieces: list[TokenChunk]) -> None:
         """Take pieces that follow one another without a gap."""
 
-    def pieces_ready(self, pieces: list[Piece]) -> bool:
+    def write_nonblocking(self, pieces: list[TokenChunk]) -> bool:
         """Take pieces without waiting; False if some wait for a flush."""
 
     def flush(self) -> None:
         """Send what :meth:`pieces_ready` left, waiting for a slow reader."""
 
-    def retried(self) -> None:
+    def count_retry(self) -> None:
         """Note that another attempt is made."""
 
 
-class RelayPorts(NamedTuple):
+class RelayDependencies(NamedTuple):
     """The neighbours that every relay uses."""
 
     client: EngineClient
     reservations: Reservations
     upstreams: Upstreams
     reaper: Reaper
-    pump: Pump
+    poller: StreamPoller
     retries: RetryBudgets
     metrics: EntryMetrics
     owner: Owner
@@ -106,15 +106,15 @@
     """Runs attempts until the answer is whole or must be given up."""
 
     def __init__(
-        self, ports: RelayPorts, request: ModelRequest, sink: Sink
+        self, dependencies: RelayDependencies, request: ModelRequest, sink: Sink
     ) -> None:
         """Relay one request into ``sink``."""
-        self._ports = ports
+        self._deps = dependencies
         self._request = request
         self._sink = sink
         self._position = 0
         # Position at the last report of progress.
-        self._told = -_PROGRESS_TOKENS
+        self._reported_position = -_PROGRESS_TOKENS
         self._finish: Finish | None = None
         self._texts: list[str] = []
         # True once an engine may have begun on the request.
@@ -138,7 +138,7 @@
         Raises :class:`HttpError`, or :class:`CallerGoneError`.
         """
         work = self._request.work
-        self._ports.retries.record_first_attempt(
+        self._deps.retries.record_first_attempt(
             work.service, self._request.policy
         )
         for attempts in itertools.count(1):
@@ -152,12 +152,12 @@
                 fault=str(fault),
                 position=self._position,
             )
-            self._check()
+            self._check_deadline()
             if self._position >= work.most_output_tokens:
                 break
             self._wait_to_retry(attempts, fault)
-            self._sink.retried()
-        return self._full()
+            self._sink.count_retry()
+        return self._finish_at_limit()
 
     def _attempt(self) -> Finish:
         reservation = self._reserve()
@@ -165,19 +165,19 @@
         if not engines:
             self._release(reservation, failed=True)
             raise EngineNotRunError('The engine chosen has gone.')
-        self._ports.reaper.opened(reservation.attempt_id, engines[0])
+        self._deps.reaper.track(reservation.attempt_id, engines[0])
         try:
-            finish = self._exchange(reservation, engines)
+            finish = self._send_and_relay(reservation, engines)
         except (EngineNotRunError, EngineRejectedError) as exc:
-            self._ports.reaper.ended(reservation.attempt_id)
+            self._deps.reaper.untrack(reservation.attempt_id)
             self._release(reservation, failed=True)
             if isinstance(exc, EngineRejectedError):
-                raise _rejected(exc, self.run_state) from exc
+                raise _rejection_error(exc, self.run_state) from exc
             raise
         except BaseException:
-            self._ports.reaper.cancel(reservation, engines, self._position)
+            self._deps.reaper.cancel(reservation, engines, self._position)
             raise
-        self._ports.reaper.ended(reservation.attempt_id)
+        self._deps.reaper.untrack(reservation.attempt_id)
         self._release(reservation, failed=False)
         return finish
 
@@ -185,12 +185,12 @@
         attempt_id = uuid.uuid4().hex
         work = self._request.work
         gone = self._request.gone
-        waiting = self._ports.metrics.waiting.track_inprogress()
-        abandon = partial(self._ports.reservations.abandon, work)
+        waiting = self._deps.metrics.waiting.track_inprogress()
+        abandon = partial(self._deps.reservations.abandon, work)
         with waiting, gone.callback(abandon):
-            granted = self._ports.reservations.reserve(work, attempt_id)
+            granted = self._deps.reservations.reserve(work, attempt_id)
         if isinstance(granted, Refusal):
-            self._check_gone()
+            self._check_caller()
             raise refusal_error(granted, self.run_state)
         if gone.happened:
             self._release(granted, failed=False)
@@ -200,46 +200,46 @@
     def _engines(self, reservation: Reservation) -> tuple[UpstreamRecord, ...]:
         found = []
         for upstream_id in reservation.upstream_ids:
-            record = self._ports.upstreams.get(upstream_id)
+            record = self._deps.upstreams.get(upstream_id)
             if record is None:
                 return ()
             found.append(record)
         return tuple(found)
 
-    def _exchange(
+    def _send_and_relay(
         self, reservation: Reservation, engines: tuple[UpstreamRecord, ...]
     ) -> Finish:
-        order = self._order(reservation, engines)
+        order = self._generate_request(reservation, engines)
         # From here on the engine may have begun, until it says otherwise.
         ran_before = self._may_have_run
         self._may_have_run = True
         try:
-            stream = self._ports.client.generate(
+            stream = self._deps.client.generate(
                 engines[0].address, order, reservation.start_by
             )
-            return self._relay_all(stream, reservation)
+            return self._relay_stream(stream, reservation)
         except (EngineNotRunError, EngineRejectedError):
             self._may_have_run = ran_before
             raise
 
-    def _relay_all(
+    def _relay_stream(
         self, stream: TokenStream, reservation: Reservation
     ) -> Finish:
-        self._ports.reservations.started(reservation)
+        self._deps.reservations.started(reservation)
         with closing(stream), self._request.gone.callback(stream.interrupt):
             return self._relay(stream, reservation)
 
-    def _order(
+    def _generate_request(
         self, reservation: Reservation, engines: tuple[UpstreamRecord, ...]
-    ) -> GenerateOrder:
+    ) -> GenerateRequest:
         request = self._request
-        return GenerateOrder(
+        return GenerateRequest(
             reservation.attempt_id,
             request.work.request_id,
             request.call.shared_members,
             request.work.most_output_tokens,
             reservation.priority,
-            self._ports.owner,
+            self._deps.owner,
             # Each engine of a group holds an equal share.
             -(-reservation.memory_tokens // len(engines)),
             tuple(str(engine.address) for engine in engines[1:]),
@@ -251,51 +251,53 @@
     def _relay(self, stream: TokenStream, reservation: Reservation) -> Finish:
         while True:
             try:
-                finish = self._move(stream, reservation)
+                finish = self._relay_batch(stream, reservation)
             except EngineBrokenError:
-                self._check()
+                self._check_deadline()
                 raise
-            self._check_gone()
+            self._check_caller()
             if finish is not None:
-                self._check_whole(finish)
+                self._check_complete(finish)
                 return finish
 
-    def _move(
+    def _relay_batch(
         self, stream: TokenStream, reservation: Reservation
     ) -> Finish | None:
         """Move tokens until the answer ends or its reader gets slow."""
         batch = stream.read(self._request.deadline.expires_at)
-        self._sink.pieces(self._fresh(batch))
-        self._note(batch, reservation)
+        self._sink.write(self._new_chunks(batch))
+        self._record_progress(batch, reservation)
         if batch.finish is not None or not self._position:
             return batch.finish
-        sock = stream.plain_socket()
+        sock = stream.unframed_socket()
         if sock is None:
             return None
-        step = partial(self._step, stream, reservation)
-        self._ports.pump.drive(sock, step, self._request.deadline.expires_at)
+        step = partial(self._relay_available, stream, reservation)
+        self._deps.poller.poll(sock, step, self._request.deadline.expires_at)
         self._sink.flush()
         return self._finish
 
-    def _step(self, stream: TokenStream, reservation: Reservation) -> bool:
+    def _relay_available(
+        self, stream: TokenStream, reservation: Reservation
+    ) -> bool:
         """Move what has come, in the pump's thread; False to stop there."""
-        batch = stream.read_ready()
+        batch = stream.read_nonblocking()
         if batch is None:
             return True
-        sent = self._sink.pieces_ready(self._fresh(batch))
-        self._note(batch, reservation)
+        sent = self._sink.write_nonblocking(self._new_chunks(batch))
+        self._record_progress(batch, reservation)
         return sent and batch.finish is None
 
-    def _fresh(self, batch: Batch) -> list[Piece]:
+    def _new_chunks(self, batch: Batch) -> list[TokenChunk]:
         """Return the pieces that the caller does not have yet."""
-        fresh: list[Piece] = []
-        for piece in batch.pieces:
+        fresh: list[TokenChunk] = []
+        for piece in batch.chunks:
             end = piece.position + piece.token_count
             if end <= self._position:
                 # The engine doubled what was relayed before.
                 continue
             if piece.position != self._position:
-                self._sink.pieces(fresh)
+                self._sink.write(fresh)
                 raise EngineBrokenError(
                     f'A token is missing at position {self._position}.'
                 )
@@ -304,20 +306,22 @@
             self._position = end
         return fresh
 
-    def _note(self, batch: Batch, reservation: Reservation) -> None:
+    def _record_progress(self, batch: Batch, reservation: Reservation) -> None:
         self._finish = batch.finish
-        if self._position - self._told >= _PROGRESS_TOKENS:
-            self._told = self._position
-            self._ports.reservations.progress(reservation, self._told)
+        if self._position - self._reported_position >= _PROGRESS_TOKENS:
+            self._reported_position = self._position
+            self._deps.reservations.progress(
+                reservation, self._reported_position
+            )
 
-    def _check_whole(self, finish: Finish) -> None:
+    def _check_complete(self, finish: Finish) -> None:
         if finish.output_tokens != self._position:
             raise EngineBrokenError(
                 f'The answer ended at token {self._position} '
                 f'of {finish.output_tokens}.'
             )
 
-    def _full(self) -> Finish:
+    def _finish_at_limit(self) -> Finish:
         """Return the terminator of an answer that only lacks its own."""
         return Finish(
             _LENGTH_REASON, self._request.work.prompt_tokens, self._position
@@ -331,18 +335,18 @@
         outcome = Outcome.UNKNOWN
         if isinstance(fault, EngineNotRunError):
             outcome = Outcome.NOT_RUN
-        retry = self._ports.retries.next_retry(
+        retry = self._deps.retries.next_retry(
             work.service, attempts, outcome, work.deadline
         )
         if isinstance(retry, Refusal):
             _log.info('No retry is made.', reason=retry.message)
-            raise self._given_up(fault, retry)
+            raise self._exhausted_error(fault, retry)
         # Another engine comes next: the Retry-After of one is its own.
         self._request.gone.wait(retry.delay)
-        self._check_gone()
+        self._check_caller()
 
-    def _check(self) -> None:
-        self._check_gone()
+    def _check_deadline(self) -> None:
+        self._check_caller()
         if self._request.deadline.expired():
             raise HttpError(
                 _GATEWAY_TIMEOUT,
@@ -352,16 +356,16 @@
                 run_state=self.run_state,
             )
 
-    def _check_gone(self) -> None:
+    def _check_caller(self) -> None:
         if self._request.gone.happened:
             raise CallerGoneError
 
     def _release(self, reservation: Reservation, *, failed: bool) -> None:
-        self._ports.reservations.release(
+        self._deps.reservations.release(
             reservation, output_tokens=self._position, failed=failed
         )
 
-    def _given_up(self, fault: Exception, refusal: Refusal) -> HttpError:
+    def _exhausted_error(self, fault: Exception, refusal: Refusal) -> HttpError:
         if self._may_have_run:
             return HttpError(
                 _BAD_GATEWAY,
@@ -378,7 +382,9 @@
         )
 
 
-def _rejected(fault: EngineRejectedError, run_state: RunState) -> HttpError:
+def _rejection_error(
+    fault: EngineRejectedError, run_state: RunState
+) -> HttpError:
     return HttpError(
         fault.status, 'rejected_by_engine', str(fault), run_state=run_state
     )
--- a/verbenathread/entry/reservations.py
+++ b/verbenathread/entry/reservations.py
@@ -124,7 +124,7 @@
 
     def progress(self, reservation: Reservation, output_tokens: int) -> None:
         """Tell the owners how far the output has come."""
-        first = self.held.progress(reservation.attempt_id, output_tokens)
+        first = self.held.record_progress(reservation.attempt_id, output_tokens)
         self._tell(
             reservation,
             peer_pb2.HoldUpdate(started=True, output_tokens=output_tokens),
@@ -140,7 +140,7 @@
             return
         now = self._clock.now()
         if failed:
-            self.held.note_failed(held, now)
+            self.held.record_failure(held, now)
         for upstream_id in reservation.upstream_ids:
             self._router(held.work.service).record_done(upstream_id, held.work)
             if failed:
@@ -324,7 +324,7 @@
     ) -> list[UpstreamId]:
         router = self._router(work.service)
         router.policy = self._settings_store.policy(work.service)
-        failed_ids = self.held.failed_ids(work.request_id)
+        failed_ids = self.held.failed_engine_ids(work.request_id)
         now = self._clock.now()
         aside_ids = self._outliers.ejected(now)
         for passed_over in (aside_ids.union(failed_ids), failed_ids, ()):
--- a/verbenathread/entry/stream_poller.py
+++ b/verbenathread/entry/stream_poller.py
@@ -26,7 +26,7 @@
 Step = Callable[[], bool]
 
 
-class _Driven:
+class _PolledStream:
     """One stream that the pump drives."""
 
     def __init__(self, step: Step) -> None:
@@ -55,14 +55,14 @@
             self.done.set()
 
 
-class Pump:
+class StreamPoller:
     """One thread that waits for all streams that are driven."""
 
     def __init__(self, clock: Clock) -> None:
         """Start nothing before :meth:`start`."""
         self._clock = clock
         self._epoll = select.epoll()
-        self._driven_by_descriptor: dict[int, _Driven] = {}
+        self._driven_by_descriptor: dict[int, _PolledStream] = {}
         self._stopping = threading.Event()
         self._thread = threading.Thread(
             target=self._run, name='pump', daemon=True
@@ -78,13 +78,13 @@
         self._thread.join()
         self._epoll.close()
 
-    def drive(self, sock: socket.socket, step: Step, deadline: Millis) -> None:
+    def poll(self, sock: socket.socket, step: Step, deadline: Millis) -> None:
         """Run ``step`` whenever ``sock`` is readable, until it gives back.
 
         Returns when a step returned False or the deadline passed; raises what
         a step raised. No step runs after that.
         """
-        driven = _Driven(step)
+        driven = _PolledStream(step)
         descriptor = sock.fileno()
         self._driven_by_descriptor[descriptor] = driven
         self._epoll.register(descriptor, select.EPOLLIN)
