--- a/verbenathread/entry/admissions.py
+++ b/verbenathread/entry/admissions.py
@@ -1,7 +1,7 @@
-"""Admission at this entry, and usage of accounts told to the cell.
+"""Admission control at this entry, with account usage shared in the cell.
 
-Worker threads ask for admission while the event loop hears of the others'
-usage, so one lock guards the limiter.
+Worker threads request admission while the event loop receives the usage of
+other entries, so one lock guards the limiter.
 """
 
 import threading
@@ -14,7 +14,7 @@
 from verbenathread.schema import peer_pb2, settings_pb2
 from verbenathread.types import Millis, NodeId, Refusal, UpstreamRecord, Work
 
-# Usage is told to a peer this often at most.
+# Minimum time between two reports of usage to a peer.
 USAGE_INTERVAL: Millis = 1000
 
 
@@ -32,8 +32,8 @@
         """Return those of one service."""
 
 
-class _Told(NamedTuple):
-    """What a peer has confirmed to know."""
+class _Confirmed(NamedTuple):
+    """The usage whose receipt a peer has confirmed."""
 
     incarnation: int
     at: Millis
@@ -46,25 +46,25 @@
     def __init__(
         self, entries: int, policies: PolicySource, clock: Clock
     ) -> None:
-        """Share each limit among ``entries``; nothing is admitted yet."""
+        """Share each limit among ``entries`` entries."""
         self._policies = policies
         self._clock = clock
         self._lock = threading.Lock()
         self._limiter = AccountLimiter(entries, clock.now())
         self._admission = Admission(self._limiter)
         self._upstreams: ReadyUpstreams | None = None
-        self._told_by_peer: dict[NodeId, _Told] = {}
-        # Incarnations of the peers that have told all their usage here.
+        self._confirmed_by_peer: dict[NodeId, _Confirmed] = {}
+        # Incarnations of the peers whose whole usage has been received.
         self._incarnation_by_peer: dict[NodeId, int] = {}
 
     def connect(self, upstreams: ReadyUpstreams) -> None:
-        """Refuse at once what the upstreams can't serve together."""
+        """Refuse at admission what ``upstreams`` can't serve together."""
         self._upstreams = upstreams
 
     def admit(
         self, work: Work, account: settings_pb2.AccountSettings
     ) -> Refusal | None:
-        """Count one model request, or refuse it and say when to come back."""
+        """Count one model request, or refuse it with a retry delay."""
         records: Sequence[UpstreamRecord] = ()
         if self._upstreams is not None:
             records = self._upstreams.ready(work.service)
@@ -75,7 +75,7 @@
             )
 
     def done(self, work: Work, output_tokens: int) -> None:
-        """Note the end of an admitted request, however it ended."""
+        """Record the end of an admitted request, whatever its outcome."""
         policy = self._policies.policy(work.service)
         with self._lock:
             self._admission.done(work, policy, output_tokens, self._clock.now())
@@ -90,37 +90,37 @@
             )
 
     def compose(self, peer_id: NodeId, message: peer_pb2.PeerMessage) -> None:
-        """Put in the usage that changed since a peer was last told."""
-        told = self._told_by_peer.get(peer_id)
+        """Add the usage that changed since the peer last confirmed it."""
+        confirmed = self._confirmed_by_peer.get(peer_id)
         now = self._clock.now()
-        if told is not None and now - told.at < USAGE_INTERVAL:
+        if confirmed is not None and now - confirmed.at < USAGE_INTERVAL:
             return
-        message.usages_whole = told is None
+        message.usages_whole = confirmed is None
         with self._lock:
             usages = self._limiter.usage()
         for usage in usages:
             if (
-                told is None
-                or told.usage_by_account.get(usage.account) != usage
+                confirmed is None
+                or confirmed.usage_by_account.get(usage.account) != usage
             ):
                 message.usages.append(peer_pb2.AccountUse(**usage._asdict()))
 
     def answer(
         self, message: peer_pb2.PeerMessage, reply: peer_pb2.PeerReply
     ) -> None:
-        """Count what a peer admitted; its silence counts as no change.
+        """Count what a peer admitted; usage it does not report is unchanged.
 
-        A part is of no use before the whole that it changes.
+        Partial usage is ignored until the whole usage has been received.
         """
         peer_id = message.node_id
-        known = self._incarnation_by_peer.get(peer_id)
+        previous = self._incarnation_by_peer.get(peer_id)
         if message.usages_whole:
             self._incarnation_by_peer[peer_id] = message.incarnation
-        elif known != message.incarnation:
+        elif previous != message.incarnation:
             return
         with self._lock:
-            if known != message.incarnation:
-                # Its earlier life took its long prompts with it.
+            if previous != message.incarnation:
+                # The long prompts of the previous incarnation ended with it.
                 self._limiter.forget_entry(peer_id)
             self._limiter.note_usage(
                 message.node_id, _usages_of(message), self._clock.now()
@@ -132,20 +132,20 @@
         message: peer_pb2.PeerMessage,
         reply: peer_pb2.PeerReply,
     ) -> None:
-        """Note what a peer has been told; one that restarted knows nothing."""
-        told = self._told_by_peer.get(peer_id)
-        if told is not None and told.incarnation != reply.incarnation:
-            self._told_by_peer.pop(peer_id)
+        """Record what a peer received; after its restart, nothing."""
+        confirmed = self._confirmed_by_peer.get(peer_id)
+        if confirmed is not None and confirmed.incarnation != reply.incarnation:
+            self._confirmed_by_peer.pop(peer_id)
             return
-        if told is None:
+        if confirmed is None:
             if not message.usages_whole:
                 return
-            told = _Told(reply.incarnation, 0, {})
-        usage_by_account = told.usage_by_account
+            confirmed = _Confirmed(reply.incarnation, 0, {})
+        usage_by_account = confirmed.usage_by_account
         for usage in _usages_of(message):
             usage_by_account[usage.account] = usage
-        at = self._clock.now() if message.usages else told.at
-        self._told_by_peer[peer_id] = told._replace(at=at)
+        at = self._clock.now() if message.usages else confirmed.at
+        self._confirmed_by_peer[peer_id] = confirmed._replace(at=at)
 
 
 def _usages_of(message: peer_pb2.PeerMessage) -> list[AccountUsage]:
--- a/verbenathread/entry/cell_node.py
+++ b/verbenathread/entry/cell_node.py
@@ -1,4 +1,4 @@
-"""The parts that join an entry to its cell and to control, on one loop."""
+"""Connects an entry to the peers of its cell and to the control plane."""
 
 import asyncio
 import random
@@ -27,16 +27,16 @@
 from verbenathread.settings.node import parse_addresses, parse_peers
 from verbenathread.types import Millis, UpstreamId
 
-# Lease of an upstream whose service is not known here.
+# Lease of an upstream whose service is not in the settings of this node.
 _UNKNOWN_SERVICE_LEASE_MS = 6000
-_FLUSH_TRIES = 10
+_FLUSH_ATTEMPTS = 10
 _FLUSH_PAUSE_MS = 100
 
 _log = get_logger('fabric')
 
 
 class NodeContext(NamedTuple):
-    """What the parts of one node share."""
+    """Settings and sources of time and randomness shared by a node's parts."""
 
     settings: settings_pb2.NodeSettings
     incarnation: int
@@ -45,7 +45,7 @@
 
 
 class CellNode:
-    """Everything between this entry, its peers and control."""
+    """The parts of one entry that talk to peers and to control."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         reader: HoldReader,
         channels: PeerCalls | None = None,
     ) -> None:
-        """Connect the parts; nothing runs before :meth:`start`."""
+        """Create and connect the parts; nothing runs before :meth:`start`."""
         settings = context.settings
         clock = context.clock
         self.settings_store = settings_store
@@ -108,12 +108,12 @@
         self._tasks: tuple[asyncio.Task[None], ...] = ()
 
     async def start(self, listener: socket.socket) -> None:
-        """Serve peers on a bound socket and start every task."""
+        """Serve peers on a bound socket and start all tasks."""
         await self._server.start(listener)
         self.cell.start()
         self.host.start()
         self._tasks = tuple(
-            _watched(work)
+            _create_task(work)
             for work in (
                 self.outbox.run(),
                 self._session.run(),
@@ -123,8 +123,8 @@
         )
 
     async def stop(self) -> None:
-        """Send what is due, hand the leases over, and end."""
-        for _ in range(_FLUSH_TRIES):
+        """Flush pending updates, hand the leases over, and close."""
+        for _ in range(_FLUSH_ATTEMPTS):
             self.outbox.flush()
             if not self.outbox:
                 break
@@ -137,7 +137,7 @@
         await self.close()
 
     async def close(self) -> None:
-        """End every task at once and tell nobody."""
+        """Cancel all tasks at once, without notifying peers or control."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -158,8 +158,8 @@
         return _UNKNOWN_SERVICE_LEASE_MS if settings is None else settings.lease
 
 
-def _watched(work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-    """Start a task whose end by an error is logged at once."""
+def _create_task(work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+    """Start a task whose failure is logged at once."""
     task = asyncio.create_task(work)
     task.add_done_callback(_log_failure)
     return task
@@ -167,4 +167,4 @@
 
 def _log_failure(task: asyncio.Task[None]) -> None:
     if not task.cancelled() and task.exception() is not None:
-        _log.error('A task ended by an error.', exc_info=task.exception())
+        _log.error('Background task failed.', exc_info=task.exception())
--- a/verbenathread/entry/control_session.py
+++ b/verbenathread/entry/control_session.py
@@ -1,4 +1,7 @@
-"""Session of a node with any control process: reports up, settings down."""
+"""Session of a node with a control process.
+
+The node sends its reports and receives updates of the shared settings.
+"""
 
 import asyncio
 import contextlib
@@ -18,15 +21,15 @@
 from verbenathread.schema import control_grpc, control_pb2
 from verbenathread.types import Address
 
-# A report goes up this often, and at once after an update.
-_REPORT_MS = 1000
-_FIRST_BACKOFF_MS = 50
-_LONGEST_BACKOFF_MS = 2000
-# Control sends something every few seconds; after this silence another
-# process is tried.
-_SILENCE_MS = 8000
-# A control process that answers no ping for this long is given up.
-_PING_EVERY_S = 3.0
+# A report is sent this often, and at once after an update.
+_REPORT_INTERVAL_MS = 1000
+_INITIAL_BACKOFF_MS = 50
+_MAX_BACKOFF_MS = 2000
+# Control sends a message every few seconds; without one for this long, another
+# control process is tried.
+_RECEIVE_TIMEOUT_MS = 8000
+# The connection is closed if a ping gets no reply within the timeout.
+_PING_INTERVAL_S = 3.0
 _PING_TIMEOUT_S = 3.0
 
 RPC_ERRORS = (
@@ -45,9 +48,9 @@
 
 
 def control_channel(address: Address) -> Channel:
-    """Return a channel that notices a control process that went silent."""
+    """Return a channel that detects an unresponsive control process."""
     config = Configuration(
-        _keepalive_time=_PING_EVERY_S,
+        _keepalive_time=_PING_INTERVAL_S,
         _keepalive_timeout=_PING_TIMEOUT_S,
         _keepalive_permit_without_calls=False,
         _http2_max_pings_without_data=0,
@@ -56,7 +59,7 @@
 
 
 class ControlSession:
-    """One task that holds a session with one control process at a time."""
+    """Keeps a session with one control process at a time."""
 
     def __init__(
         self,
@@ -65,66 +68,66 @@
         report: Callable[[], control_pb2.NodeReport],
         rng: random.Random,
     ) -> None:
-        """``report`` tells who the node is and what it runs."""
+        """Send what ``report`` returns; apply updates to the store."""
         self._addresses = tuple(addresses)
         self._settings_store = settings_store
         self._report = report
         self._rng = rng
-        self._due = asyncio.Event()
-        # Whether the present session brought anything.
-        self._heard = False
+        self._report_due = asyncio.Event()
+        # Whether the current session received any update.
+        self._received = False
 
     def report_soon(self) -> None:
-        """Send a report now instead of at its time."""
-        self._due.set()
+        """Send the next report now instead of after the interval."""
+        self._report_due.set()
 
     async def run(self) -> None:
-        """Hold a session, with any control process, until cancelled."""
-        backoff = _FIRST_BACKOFF_MS
+        """Keep a session with one of the addresses until cancelled."""
+        backoff = _INITIAL_BACKOFF_MS
         position = self._rng.randrange(len(self._addresses))
         while True:
             address = self._addresses[position % len(self._addresses)]
             position += 1
-            self._heard = False
-            await self._hold(address)
-            if self._heard:
-                backoff = _FIRST_BACKOFF_MS
+            self._received = False
+            await self._run_session(address)
+            if self._received:
+                backoff = _INITIAL_BACKOFF_MS
             jitter = self._rng.uniform(0.5, 1)
             await asyncio.sleep(seconds(int(backoff * jitter)))
-            backoff = min(backoff * 2, _LONGEST_BACKOFF_MS)
+            backoff = min(backoff * 2, _MAX_BACKOFF_MS)
 
-    async def _hold(self, address: Address) -> None:
-        """Hold one session to its end."""
+    async def _run_session(self, address: Address) -> None:
+        """Run one session until it ends."""
         channel = control_channel(address)
         stub = control_grpc.ControlStub(channel)
         try:
             async with stub.Session.open() as stream:
                 await stream.send_message(self._report())
-                await self._follow(stream)
+                await self._apply_updates(stream)
         except RPC_ERRORS as error:
             _log.info(
-                'A session with control ended.',
+                'Control session ended.',
                 control=str(address),
                 why=str(error),
             )
         finally:
             channel.close()
 
-    async def _follow(self, stream: _SessionStream) -> None:
+    async def _apply_updates(self, stream: _SessionStream) -> None:
         async with Background(self._send_reports(stream)):
             while True:
-                async with asyncio.timeout(seconds(_SILENCE_MS)):
+                async with asyncio.timeout(seconds(_RECEIVE_TIMEOUT_MS)):
                     update = await stream.recv_message()
                 if update is None:
                     raise ConnectionResetError('control closed the session')
-                self._heard = True
+                self._received = True
                 if self._settings_store.apply(update):
-                    self._due.set()
+                    self._report_due.set()
 
     async def _send_reports(self, stream: _SessionStream) -> None:
         while True:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(seconds(_REPORT_MS)):
-                    await self._due.wait()
-            self._due.clear()
+                async with asyncio.timeout(seconds(_REPORT_INTERVAL_MS)):
+                    await self._report_due.wait()
+            self._report_due.clear()
             await stream.send_message(self._report())
--- a/verbenathread/entry/engine_owners.py
+++ b/verbenathread/entry/engine_owners.py
@@ -1,4 +1,4 @@
-"""Calls to the owners of engines, in this process or in a peer's."""
+"""Calls to the owners of engines, in this process or on a peer."""
 
 import asyncio
 from collections.abc import Sequence
@@ -14,17 +14,17 @@
 from verbenathread.schema import peer_pb2
 from verbenathread.types import Millis, NodeId, Reservation, UpstreamId
 
-# An owner that does not queue an ask answers it within this time.
-_QUICK_MS = 1000
-# Time that a waiting ask may outlast its deadline on the way back.
-_SLACK_MS = 1000
-_HOLDINGS_MS = 500
-# How often the owner in whose queue an ask waits is looked at.
-_SILENCE_STEP_MS = 250
+# Timeout of a request that must not queue.
+_IMMEDIATE_TIMEOUT_MS = 1000
+# Time beyond its deadline for the reply to a queued request to arrive.
+_REPLY_SLACK_MS = 1000
+_HOLDINGS_TIMEOUT_MS = 500
+# How often to check that the owner of the queue is still alive.
+_LIVENESS_CHECK_MS = 250
 
 
 class EngineOwners:
-    """Finds the owner of an engine and asks it."""
+    """Looks up the owner of an engine and sends it reservation requests."""
 
     def __init__(
         self,
@@ -33,44 +33,44 @@
         channels: PeerCalls,
         clock: Clock,
     ) -> None:
-        """Take the owner side of this process and the way to the others."""
+        """Use ``host`` for engines owned here, ``channels`` for the rest."""
         self._cell = cell
         self._host = host
         self._channels = channels
         self._clock = clock
 
     async def reserve(
-        self, upstream_id: UpstreamId, ask: Ask, *, may_queue: bool
+        self, upstream_id: UpstreamId, request: Ask, *, may_queue: bool
     ) -> Reservation | peer_pb2.ReserveReply:
-        """Ask the owner; a reply that is returned is a refusal."""
+        """Request memory from the owner; a returned reply is a refusal."""
         identity = self._cell.identity
         now = self._clock.now()
-        request = reservation_messages.encode_request(
-            upstream_id, ask, identity.incarnation, now
+        message = reservation_messages.encode_request(
+            upstream_id, request, identity.incarnation, now
         )
-        request.may_queue = may_queue
+        message.may_queue = may_queue
         owner_id = self._cell.engine_leases.owner(upstream_id)
         if owner_id is None:
             return reservation_messages.not_owner_reply('No entry', upstream_id)
-        limit = _QUICK_MS
+        limit = _IMMEDIATE_TIMEOUT_MS
         if may_queue:
-            limit = max(0, ask.work.deadline - now) + _SLACK_MS
+            limit = max(0, request.work.deadline - now) + _REPLY_SLACK_MS
         try:
-            reply = await self._ask(owner_id, request, limit)
+            reply = await self._call(owner_id, message, limit)
         except UnavailableError:
             return reservation_messages.not_owner_reply(owner_id, upstream_id)
         if reply.refusal:
             return reply
-        return self._reservation(owner_id, upstream_id, ask, reply)
+        return self._reservation(owner_id, upstream_id, request, reply)
 
     async def holdings_at(
         self, upstream_id: UpstreamId
     ) -> Sequence[peer_pb2.Holding]:
-        """Return what living peers reserved at one engine."""
+        """Return what the live peers have reserved at one engine."""
         request = peer_pb2.HoldingsRequest(upstream_id=upstream_id)
         replies = await asyncio.gather(
             *[
-                self._channels.holdings(peer_id, request, _HOLDINGS_MS)
+                self._channels.holdings(peer_id, request, _HOLDINGS_TIMEOUT_MS)
                 for peer_id in self._cell.views.alive_ids(self._clock.now())
             ],
             return_exceptions=True,
@@ -82,15 +82,15 @@
             for holding in reply.holdings
         )
 
-    async def _ask(
-        self, owner_id: NodeId, request: peer_pb2.ReserveRequest, limit: Millis
+    async def _call(
+        self, owner_id: NodeId, message: peer_pb2.ReserveRequest, limit: Millis
     ) -> peer_pb2.ReserveReply:
         if owner_id == self._cell.identity.node_id:
-            return await self._host.reserve(request)
+            return await self._host.reserve(message)
         call = asyncio.create_task(
-            self._channels.reserve(owner_id, request, limit)
+            self._channels.reserve(owner_id, message, limit)
         )
-        async with Background(self._cancel_when_silent(owner_id, call)):
+        async with Background(self._cancel_when_dead(owner_id, call)):
             try:
                 await asyncio.wait([call])
             except asyncio.CancelledError:
@@ -98,24 +98,24 @@
                 raise
         if call.cancelled():
             raise PeerUnreachableError(
-                f'{owner_id} was not heard lately: see whether it runs'
+                f'no recent message from {owner_id}: check that it is running'
             )
         return call.result()
 
-    async def _cancel_when_silent(
+    async def _cancel_when_dead(
         self, owner_id: NodeId, call: asyncio.Task[peer_pb2.ReserveReply]
     ) -> None:
-        """End a wait in the queue of an owner that fell silent."""
+        """Cancel a call when its owner stops sending messages."""
         view = self._cell.views.by_id[owner_id]
         while view.alive(self._clock.now()):
-            await asyncio.sleep(seconds(_SILENCE_STEP_MS))
+            await asyncio.sleep(seconds(_LIVENESS_CHECK_MS))
         call.cancel()
 
     def _reservation(
         self,
         owner_id: NodeId,
         upstream_id: UpstreamId,
-        ask: Ask,
+        request: Ask,
         reply: peer_pb2.ReserveReply,
     ) -> Reservation | peer_pb2.ReserveReply:
         start_by: Millis | None = reply.start_by_ms
@@ -125,11 +125,11 @@
             if view.incarnation == reply.owner_incarnation:
                 start_by = view.earliest_local(reply.start_by_ms)
         if start_by is None or start_by <= self._clock.now():
-            # Too late to use: the owner takes the memory back by itself.
+            # Too late to use: the owner reclaims the memory by itself.
             return reservation_messages.not_owner_reply(owner_id, upstream_id)
         return Reservation(
             reservation_id=reply.reservation_id,
-            attempt_id=ask.attempt_id,
+            attempt_id=request.attempt_id,
             upstream_ids=(upstream_id,),
             memory_tokens=reply.memory_tokens,
             start_by=start_by,
--- a/verbenathread/entry/group_reservations.py
+++ b/verbenathread/entry/group_reservations.py
@@ -1,4 +1,4 @@
-"""Reservations over several engines, for prompts larger than one."""
+"""Reservations that span several engines, for prompts too large for one."""
 
 import asyncio
 
@@ -11,15 +11,15 @@
 from verbenathread.schema import peer_pb2
 from verbenathread.types import Reservation, UpstreamId
 
-# Holds are renewed this often until the whole group is held.
+# How often partial grants are renewed until the whole group is reserved.
 _RENEW_MS = START_WITHIN // 3
 
 
 class GroupReservation:
-    """Asks the owners of all engines at once, and keeps what they grant."""
+    """Requests memory from all owners at once and keeps the grants alive."""
 
     def __init__(self, claim: GroupClaim, owners: EngineOwners) -> None:
-        """Take the claim that names the engines."""
+        """Prepare to reserve the engines that ``claim`` names."""
         self._claim = claim
         self._owners = owners
         self._refusal: peer_pb2.ReserveReply | None = None
@@ -27,25 +27,28 @@
 
     async def reserve(self) -> Reservation | peer_pb2.ReserveReply:
         """Return the whole group's reservation, or the first refusal."""
-        async with Background(self._hold_all()):
+        async with Background(self._reserve_all()):
             while True:
                 await self._changed.wait()
                 self._changed.clear()
-                whole = self._claim.whole()
-                if whole is not None:
-                    return whole
+                reservation = self._claim.whole()
+                if reservation is not None:
+                    return reservation
                 if self._refusal is not None:
                     return self._refusal
 
-    async def _hold_all(self) -> None:
-        await asyncio.gather(*map(self._hold, self._claim.members))
+    async def _reserve_all(self) -> None:
+        await asyncio.gather(*map(self._reserve_one, self._claim.members))
 
-    async def _hold(self, upstream_id: UpstreamId) -> None:
-        """Hold one engine until cancelled; ask again when it yielded."""
-        ask = self._claim.ask
+    async def _reserve_one(self, upstream_id: UpstreamId) -> None:
+        """Hold memory of one engine until cancelled.
+
+        If the owner yields it to another group, request it again.
+        """
+        request = self._claim.ask
         while True:
             outcome = await self._owners.reserve(
-                upstream_id, ask, may_queue=True
+                upstream_id, request, may_queue=True
             )
             if isinstance(outcome, peer_pb2.ReserveReply):
                 self._refusal = outcome
@@ -53,12 +56,12 @@
                 return
             self._claim.granted(outcome)
             self._changed.set()
-            ask = await self._renew_until_lost(upstream_id)
+            request = await self._renew_until_lost(upstream_id)
 
     async def _renew_until_lost(self, upstream_id: UpstreamId) -> Ask:
         while True:
             await asyncio.sleep(seconds(_RENEW_MS))
-            # An ask that is sent again renews the time to start.
+            # A repeated request extends the time by which it must start.
             outcome = await self._owners.reserve(
                 upstream_id, self._claim.ask, may_queue=False
             )
--- a/verbenathread/entry/hold_outbox.py
+++ b/verbenathread/entry/hold_outbox.py
@@ -1,10 +1,10 @@
-"""Progress and releases on their way to the owners of engines.
+"""Delivers progress and releases of reservations to the owners of engines.
 
-One update is kept for each reservation, the newest; it stays until the
-owner of the engine has taken it, also over a change of owner. Updates for
-peers travel with the messages of the cell. A release goes at once, and so
-does the first token, from whose moment the owner learns how fast the engine
-is; all else goes with the next message.
+Only the newest update of each reservation is kept, until the owner of the
+engine has accepted it, even if the owner changes. Updates for peers are added
+to the messages of the cell. Two kinds are sent at once: a release, and the
+first token, whose time tells the owner how fast the engine is. All others wait
+for the next message.
 """
 
 import asyncio
@@ -17,22 +17,22 @@
 from verbenathread.schema import peer_pb2
 from verbenathread.types import NodeId, UpstreamState
 
-# Updates without an owner to take them are looked at this often.
-_STEP_MS = 200
+# How often updates that no owner has accepted are tried again.
+_RETRY_INTERVAL_MS = 200
 
 
 class _Pending(NamedTuple):
     update: peer_pb2.HoldUpdate
     urgent: bool
-    # Tells an update from a later one of the same reservation.
+    # Distinguishes updates of the same reservation.
     number: int
 
 
 class HoldOutbox:
-    """Sends updates of holds; rides on the messages of the cell."""
+    """Queues updates of reservations and adds them to cell messages."""
 
     def __init__(self, host: LedgerHost, cell: Cell) -> None:
-        """Start with nothing to send; ``host`` takes what is owned here."""
+        """Start empty; ``host`` accepts updates of engines owned here."""
         self._host = host
         self._cell = cell
         self._pending_by_id: dict[str, _Pending] = {}
@@ -40,18 +40,21 @@
         self._number = 0
 
     def __len__(self) -> int:
-        """Return how many reservations have an update to send."""
+        """Return the number of reservations with a pending update."""
         return len(self._pending_by_id)
 
     def put(self, update: peer_pb2.HoldUpdate, *, urgent: bool = False) -> None:
-        """Send an update soon; it includes what an earlier one told."""
+        """Queue an update, which replaces the previous one.
+
+        An update contains everything that the previous one reported.
+        """
         self._number += 1
         pending = _Pending(update, urgent, self._number)
         self._pending_by_id[_key(update)] = pending
-        self._push(pending)
+        self._deliver(pending)
 
     def compose(self, peer_id: NodeId, message: peer_pb2.PeerMessage) -> None:
-        """Put in the updates whose engines the peer owns."""
+        """Add the updates whose engines the peer owns."""
         sent = {}
         for key, pending in self._pending_by_id.items():
             if self._owner(pending) == peer_id:
@@ -62,7 +65,7 @@
     def answer(
         self, message: peer_pb2.PeerMessage, reply: peer_pb2.PeerReply
     ) -> None:
-        """Take the updates of a peer."""
+        """Apply the updates of a peer."""
         for update in message.hold_updates:
             if not self._host.update(update):
                 reply.not_owned.append(update.upstream_id)
@@ -73,7 +76,7 @@
         message: peer_pb2.PeerMessage,
         reply: peer_pb2.PeerReply,
     ) -> None:
-        """Drop what the peer has taken."""
+        """Drop the updates that the peer has accepted."""
         not_owned = frozenset(reply.not_owned)
         sent = self._sent_by_peer.get(peer_id, {})
         for key, number in sent.items():
@@ -84,17 +87,17 @@
                 self._pending_by_id.pop(key)
 
     async def run(self) -> None:
-        """Try again what no owner has taken, until cancelled."""
+        """Retry the updates that no owner has accepted, until cancelled."""
         while True:
             self.flush()
-            await asyncio.sleep(seconds(_STEP_MS))
+            await asyncio.sleep(seconds(_RETRY_INTERVAL_MS))
 
     def flush(self) -> None:
-        """Try to pass on whatever there is."""
+        """Try to deliver all pending updates."""
         for pending in tuple(self._pending_by_id.values()):
-            self._push(pending)
+            self._deliver(pending)
 
-    def _push(self, pending: _Pending) -> None:
+    def _deliver(self, pending: _Pending) -> None:
         update = pending.update
         owner_id = self._owner(pending)
         record = self._cell.table.get(update.upstream_id)
--- a/verbenathread/entry/ledger_host.py
+++ b/verbenathread/entry/ledger_host.py
@@ -1,8 +1,9 @@
 """Ledgers of the engines whose leases this entry holds.
 
-A new owner first waits until no attempt that an old owner granted can still
-reach the engine, then reads what the engine holds, and only then grants. An
-engine that can't be read stays without an owner: it would not serve either.
+A new owner first waits until no attempt that the previous owner granted can
+still reach the engine. Then it reads what the engine holds, and only then does
+it grant memory. An engine that can't be read stays without an owner: it
+couldn't serve requests either.
 """
 
 import asyncio
@@ -21,13 +22,13 @@
 from verbenathread.schema import peer_pb2, settings_pb2
 from verbenathread.types import Millis, NodeId, UpstreamId, UpstreamRecord
 
-# How often leases are followed and queues are looked at.
-_STEP_MS = 100
-# How often doubtful grants are compared with what the engine lists.
-_RECONCILE_MS = 1000
-# Time that an engine has to list what it holds.
-_READ_MS = 1000
-_READ_AGAIN_MS = 500
+# How often the leases and queues are checked.
+_POLL_INTERVAL_MS = 100
+# How often unconfirmed grants are compared with what the engine lists.
+_RECONCILE_INTERVAL_MS = 1000
+# Timeout for an engine to list what it holds.
+_READ_TIMEOUT_MS = 1000
+_READ_RETRY_MS = 500
 
 _log = get_logger('owner')
 
@@ -38,23 +39,23 @@
     async def holds(
         self, record: UpstreamRecord, limit: Millis
     ) -> Sequence[EngineHold]:
-        """Return the attempts that it holds memory for.
+        """Return the attempts for which the engine holds memory.
 
         Raises :class:`UnavailableError` when it can't be read in time.
         """
 
 
 class HoldingsSource(Protocol):
-    """Asks all entries what they reserved at an engine."""
+    """Queries all entries for their reservations at an engine."""
 
     async def __call__(
         self, upstream_id: UpstreamId
     ) -> Sequence[peer_pb2.Holding]:
-        """Return what those that answer in time hold."""
+        """Return the holdings of the entries that reply in time."""
 
 
 class LedgerHost:
-    """Follows the leases of this entry and serves those who ask."""
+    """Opens a ledger for each leased engine and serves reservations."""
 
     def __init__(
         self,
@@ -64,7 +65,7 @@
         holdings_at: HoldingsSource,
         clock: Clock,
     ) -> None:
-        """Own nothing before :meth:`start`."""
+        """Own no engine before :meth:`start`."""
         self._cell = cell
         self._reader = reader
         self._policy_of = policy_of
@@ -75,12 +76,12 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def start(self) -> None:
-        """Start to follow the leases and to reconcile doubtful grants."""
-        self._spawn(self._follow())
+        """Start to watch the leases and to reconcile unconfirmed grants."""
+        self._spawn(self._watch_leases())
         self._spawn(self._reconcile())
 
     async def close(self) -> None:
-        """Send all waiters elsewhere and end all tasks."""
+        """Refuse all waiters and cancel all tasks."""
         for upstream_id in tuple(self._term_by_id):
             self._lose(upstream_id)
         for task in self._tasks:
@@ -88,17 +89,17 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def owned_ids(self) -> tuple[UpstreamId, ...]:
-        """Return the engines that this entry grants memory of now."""
+        """Return the engines whose memory this entry grants now."""
         return tuple(self._engine_by_id)
 
     def engine(self, upstream_id: UpstreamId) -> OwnedEngine | None:
-        """Return one engine that is owned here, or None."""
+        """Return an engine owned by this entry, or None."""
         return self._engine_by_id.get(upstream_id)
 
     async def reserve(
         self, request: peer_pb2.ReserveRequest
     ) -> peer_pb2.ReserveReply:
-        """Answer an ask for memory, from this entry or a peer."""
+        """Handle a reservation request from this entry or a peer."""
         engine = self.engine(request.upstream_id)
         if engine is None:
             return reservation_messages.not_owner_reply(
@@ -107,7 +108,7 @@
         return await engine.reserve(request)
 
     def update(self, update: peer_pb2.HoldUpdate) -> bool:
-        """Take progress or a release; False if the engine is not owned."""
+        """Apply progress or a release; False if the engine is not owned."""
         engine = self.engine(update.upstream_id)
         if engine is None:
             return False
@@ -115,7 +116,7 @@
         return True
 
     def reports(self) -> tuple[EngineReport, ...]:
-        """Return the load of every engine that is owned here."""
+        """Return the load of every engine owned by this entry."""
         return tuple(
             engine.ledger.report() for engine in self._engine_by_id.values()
         )
@@ -125,14 +126,14 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _follow(self) -> None:
+    async def _watch_leases(self) -> None:
         while True:
-            self._follow_terms()
+            self._update_terms()
             for engine in tuple(self._engine_by_id.values()):
                 engine.grant_waiting()
-            await asyncio.sleep(seconds(_STEP_MS))
+            await asyncio.sleep(seconds(_POLL_INTERVAL_MS))
 
-    def _follow_terms(self) -> None:
+    def _update_terms(self) -> None:
         term_by_id = self._cell.engine_leases.held_terms()
         for owned_id, owned_term in tuple(self._term_by_id.items()):
             if term_by_id.get(owned_id) != owned_term:
@@ -147,7 +148,7 @@
         engine = self._engine_by_id.pop(upstream_id, None)
         if engine is not None:
             engine.close()
-            _log.info('The lease of an engine ended.', engine=upstream_id)
+            _log.info('Engine lease ended.', engine=upstream_id)
 
     async def _take_over(self, upstream_id: UpstreamId, term: int) -> None:
         await asyncio.sleep(seconds(lengthened(START_WITHIN) + ARRIVAL_MS))
@@ -158,21 +159,22 @@
             try:
                 holds = await self._read(record)
             except UnavailableError as error:
-                _log.info('An engine is not readable.', why=str(error))
-                await asyncio.sleep(seconds(_READ_AGAIN_MS))
+                _log.info('Could not read the engine state.', why=str(error))
+                await asyncio.sleep(seconds(_READ_RETRY_MS))
                 continue
             if self._term_by_id.get(upstream_id) == term:
                 self._open(record, holds, term)
             return
 
     async def _read(self, record: UpstreamRecord) -> tuple[EngineHold, ...]:
-        """Return what the engine holds, with what entries reserved for it."""
+        """Return what the engine holds, completed by what entries reserved."""
         holdings = await self._holdings_at(record.upstream_id)
         holding_by_attempt = {
             holding.attempt_id: holding for holding in holdings
         }
-        # The engine is read last: it knows what ended meanwhile.
-        listed = await self._reader.holds(record, _READ_MS)
+        # The engine is read last, so attempts that ended meanwhile are left
+        # out.
+        listed = await self._reader.holds(record, _READ_TIMEOUT_MS)
         return tuple(
             _completed(hold, holding_by_attempt.get(hold.attempt_id))
             for hold in listed
@@ -200,11 +202,11 @@
         )
         engine.adopt(holds)
         self._engine_by_id[upstream_id] = engine
-        _log.info('An engine is owned.', engine=upstream_id, holds=len(holds))
+        _log.info('Engine taken over.', engine=upstream_id, holds=len(holds))
 
     async def _reconcile(self) -> None:
         while True:
-            await asyncio.sleep(seconds(_RECONCILE_MS))
+            await asyncio.sleep(seconds(_RECONCILE_INTERVAL_MS))
             await asyncio.gather(
                 *[
                     self._reconcile_one(upstream_id, engine)
@@ -219,16 +221,16 @@
         if record is None:
             return
         engine.ledger.policy = self._policy_of(record.service)
-        doubtful = engine.unconfirmed_grants(self._is_alive)
-        if not doubtful:
+        unconfirmed = engine.unconfirmed_grants(self._is_alive)
+        if not unconfirmed:
             return
         try:
-            listed = await self._reader.holds(record, _READ_MS)
+            listed = await self._reader.holds(record, _READ_TIMEOUT_MS)
         except UnavailableError:
-            # What can't be read may still be held.
+            # An unreadable engine may still hold the memory.
             return
         listed_ids = frozenset(hold.attempt_id for hold in listed)
-        for grant in doubtful:
+        for grant in unconfirmed:
             engine.reconcile(grant, listed_ids)
 
     def _is_alive(self, entry_id: NodeId, incarnation: int) -> bool:
@@ -244,7 +246,10 @@
 def _completed(
     hold: EngineHold, holding: peer_pb2.Holding | None
 ) -> EngineHold:
-    """Return a hold with the larger memory that its entry reserved."""
+    """Return a hold completed by what its entry reserved for it.
+
+    The larger of both memory sizes counts.
+    """
     if holding is None:
         return hold
     return hold._replace(
--- a/verbenathread/entry/load_reports.py
+++ b/verbenathread/entry/load_reports.py
@@ -1,4 +1,4 @@
-"""Load of engines, from their owners to all entries of the cell."""
+"""Reports of engine load, sent by the owners to all entries of the cell."""
 
 import asyncio
 
@@ -11,15 +11,16 @@
 from verbenathread.schema import peer_pb2
 from verbenathread.types import Millis, NodeId
 
-# Reports are made this often.
-REPORT_MS = 1000
-# A report that is as the last one is left out, but not for longer than this.
+# How often reports are created.
+REPORT_INTERVAL_MS = 1000
+# An unchanged report is sent again only after this time.
 _REPEAT_MS = 10_000
+# Number of length classes in a report.
 _CLASSES = 3
 
 
 class LoadReports:
-    """Rides on the messages of the cell; sends only what changed."""
+    """Adds changed load reports to the messages between entries."""
 
     def __init__(self, clock: Clock) -> None:
         """Start without reports."""
@@ -33,12 +34,12 @@
     def connect(
         self, table: UpstreamTable, reservations: EngineReservations
     ) -> None:
-        """Tell these reservations of every report on an engine known."""
+        """Pass reports on engines in ``table`` to ``reservations``."""
         self._table = table
         self._reservations = reservations
 
     def compose(self, peer_id: NodeId, message: peer_pb2.PeerMessage) -> None:
-        """Put in what changed since the last message to a peer."""
+        """Add the loads that changed since the last message to a peer."""
         sent_at = self._sent_at_by_peer.get(peer_id, 0)
         now = self._clock.now()
         for engine, changed_at in self._changed_at_by_engine.items():
@@ -49,7 +50,7 @@
     def answer(
         self, message: peer_pb2.PeerMessage, reply: peer_pb2.PeerReply
     ) -> None:
-        """Hand on what a peer reports of its engines."""
+        """Pass on what a peer reports about its engines."""
         for load in message.loads:
             record = self._table.by_hash(load.engine)
             if record is None or self._reservations is None:
@@ -64,15 +65,15 @@
         message: peer_pb2.PeerMessage,
         reply: peer_pb2.PeerReply,
     ) -> None:
-        """Need nothing of replies."""
+        """Ignore the reply."""
 
     async def run(self, host: LedgerHost) -> None:
-        """Look at the engines owned here, until cancelled."""
+        """Report on the engines owned by this entry, until cancelled."""
         while True:
-            self._look(host)
-            await asyncio.sleep(seconds(REPORT_MS))
+            self._update(host)
+            await asyncio.sleep(seconds(REPORT_INTERVAL_MS))
 
-    def _look(self, host: LedgerHost) -> None:
+    def _update(self, host: LedgerHost) -> None:
         now = self._clock.now()
         reports = host.reports()
         owned = {hash64(report.upstream_id) for report in reports}
@@ -94,7 +95,7 @@
 
 
 def _is_same(old: peer_pb2.EngineLoad, new: peer_pb2.EngineLoad) -> bool:
-    """Compare two reports but for their sequence."""
+    """Return whether two reports are equal except for their sequence."""
     same = peer_pb2.EngineLoad()
     same.CopyFrom(old)
     same.sequence = new.sequence
--- a/verbenathread/entry/loop_thread.py
+++ b/verbenathread/entry/loop_thread.py
@@ -1,4 +1,4 @@
-"""One event loop in a background thread, for callers that block."""
+"""An event loop in a background thread, for callers that block."""
 
 import asyncio
 import threading
@@ -12,15 +12,15 @@
 
 _Result = TypeVar('_Result')
 _Arguments = ParamSpec('_Arguments')
-# A wait outlasts what it waits for by this much.
-_SLACK_MS = 2000
+# Time beyond the limit of a coroutine that its caller waits for the result.
+_RESULT_SLACK_MS = 2000
 
 
 class LoopThread:
     """Runs coroutines for threads that wait for their results."""
 
     def __init__(self, name: str) -> None:
-        """Start nothing before :meth:`start`."""
+        """Create the loop; it runs after :meth:`start`."""
         self._loop = asyncio.new_event_loop()
         self._thread = threading.Thread(
             target=self._loop.run_forever, name=name, daemon=True
@@ -31,32 +31,32 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """End the loop and its thread."""
+        """Stop the loop and its thread."""
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join()
         self._loop.close()
 
     def run(self, work: Coroutine[Any, Any, _Result], limit: Millis) -> _Result:
-        """Run a coroutine and wait for it.
+        """Run a coroutine and wait for its result.
 
-        Raises :class:`UnavailableError` when the loop is not done a little
-        after ``limit`` ms.
+        Raises :class:`UnavailableError` if there is no result shortly after
+        ``limit`` ms.
         """
         if self._loop.is_closed():
             work.close()
             raise UnavailableError('This entry has stopped; use another one.')
         future = asyncio.run_coroutine_threadsafe(work, self._loop)
         try:
-            return future.result(seconds(limit + _SLACK_MS))
+            return future.result(seconds(limit + _RESULT_SLACK_MS))
         except futures.CancelledError:
             raise UnavailableError(
-                'This entry stops; use another one.'
+                'This entry is stopping; use another one.'
             ) from None
         except futures.TimeoutError:
             future.cancel()
             raise UnavailableError(
-                'The entry did not answer itself in time: give it more '
-                + 'processor time.'
+                'The event loop of this entry did not respond in time: give '
+                + 'the entry more processor time.'
             ) from None
 
     def call_soon(
@@ -65,7 +65,7 @@
         *arguments: _Arguments.args,
         **named: _Arguments.kwargs,
     ) -> None:
-        """Have the loop call something soon, and don't wait for it."""
+        """Schedule a call on the loop without waiting for it."""
         if self._loop.is_closed():
             return
         self._loop.call_soon_threadsafe(lambda: action(*arguments, **named))
--- a/verbenathread/entry/node_auth.py
+++ b/verbenathread/entry/node_auth.py
@@ -1,4 +1,4 @@
-"""What nodes of one cluster show one another with each call."""
+"""Authenticates the calls between the nodes of one cluster."""
 
 import hmac
 from collections.abc import Mapping
@@ -14,23 +14,23 @@
 
 
 class NodeAuth:
-    """The cluster and the key that its nodes share."""
+    """The cluster name and node key that all nodes of a cluster share."""
 
     def __init__(self, node: settings_pb2.NodeSection) -> None:
-        """Take both from the settings of this node."""
+        """Read both from the settings of this node."""
         self.metadata: Mapping[str, str] = {
             _CLUSTER: node.cluster,
             _NODE_KEY: node.node_key,
         }
 
     def guard(self, server: Server) -> None:
-        """Refuse calls to ``server`` from nodes of another cluster."""
+        """Reject calls to ``server`` from nodes of another cluster."""
         listen(server, RecvRequest, self._check)
 
     async def _check(self, event: RecvRequest) -> None:
-        for name, wanted in self.metadata.items():
-            shown = str(event.metadata.get(name, ''))
-            if not hmac.compare_digest(shown.encode(), wanted.encode()):
+        for name, expected in self.metadata.items():
+            received = str(event.metadata.get(name, ''))
+            if not hmac.compare_digest(received.encode(), expected.encode()):
                 raise grpclib.GRPCError(
                     grpclib.Status.UNAUTHENTICATED,
                     'This is a node of another cluster: give both nodes the '
--- a/verbenathread/entry/node_reports.py
+++ b/verbenathread/entry/node_reports.py
@@ -1,4 +1,4 @@
-"""What an entry reports of itself to control."""
+"""Status reports from an entry to control."""
 
 from verbenathread.clock import Clock
 from verbenathread.entry.settings_store import SettingsStore
@@ -7,12 +7,12 @@
 from verbenathread.types import Millis, UpstreamRecord
 
 _ROLE = 'entry'
-# The state of all upstreams is reported again this often.
+# How often the state of all upstreams is reported again without a change.
 _REPEAT_MS = 15_000
 
 
 class NodeReports:
-    """Makes the reports of one entry."""
+    """Builds the reports of one entry."""
 
     def __init__(
         self,
@@ -21,13 +21,13 @@
         settings_store: SettingsStore,
         clock: Clock,
     ) -> None:
-        """Take what the reports tell of."""
+        """Report on these settings, this cell and the settings in force."""
         self._settings = settings
         self._cell = cell
         self._settings_store = settings_store
         self._clock = clock
-        self._told_digest = 0
-        self._tell_again_at: Millis = 0
+        self._reported_digest = 0
+        self._repeat_at: Millis = 0
 
     def report(self) -> control_pb2.NodeReport:
         """Return a report, with all upstreams if something changed."""
@@ -45,9 +45,9 @@
         )
         now = self._clock.now()
         digest = self._cell.table.digest()
-        if digest != self._told_digest or now >= self._tell_again_at:
-            self._told_digest = digest
-            self._tell_again_at = now + _REPEAT_MS
+        if digest != self._reported_digest or now >= self._repeat_at:
+            self._reported_digest = digest
+            self._repeat_at = now + _REPEAT_MS
             report.upstreams.extend(map(_status, self._cell.table))
         return report
 
--- a/verbenathread/entry/node_thread.py
+++ b/verbenathread/entry/node_thread.py
@@ -1,7 +1,7 @@
-"""The inter-process side of one entry, for worker threads that block.
+"""Runs the cell node of an entry on an event loop in its own thread.
 
-``start`` brings the parts of :mod:`verbenathread.entry.cell_node` up on an
-event loop in a thread of its own; the ports hand each call over to it.
+Blocking worker threads use it through the ports, which pass each call to the
+event loop. See :mod:`verbenathread.entry.cell_node` for the node itself.
 """
 
 import asyncio
@@ -27,24 +27,24 @@
 from verbenathread.settings.node import parse_address
 from verbenathread.types import Millis, UpstreamRecord
 
-_START_MS = 5000
-_STOP_MS = 10_000
+_START_TIMEOUT_MS = 5000
+_STOP_TIMEOUT_MS = 10_000
 
 
 class BlockingHoldReader(Protocol):
-    """Reads what an engine holds, in a thread that may wait."""
+    """Reads what an engine holds, in a thread that may block."""
 
     def holds(
         self, record: UpstreamRecord, limit: Millis
     ) -> Sequence[EngineHold]:
-        """Return the attempts that it holds memory for.
+        """Return the attempts for which the engine holds memory.
 
         Raises :class:`.UnavailableError` when it can't be read in time.
         """
 
 
 class NodeThread:
-    """The ports of one entry; they answer once it is started."""
+    """A cell node on its own thread; its ports work once it is started."""
 
     def __init__(
         self,
@@ -52,9 +52,12 @@
         reader: BlockingHoldReader | None = None,
         clock: Clock | None = None,
     ) -> None:
-        """Take the node's settings and what reads holds of engines."""
+        """Create the node and its ports.
+
+        ``reader`` reads what engines hold, over HTTP by default.
+        """
         clock = clock or SystemClock()
-        # Wall time makes a number that grows with each start of this node.
+        # Wall time, so that the number grows with each start of this node.
         self.incarnation = clock.wall()
         rng = random.Random(f'{settings.node.id} {self.incarnation}')
         self._settings = settings
@@ -74,30 +77,30 @@
         )
 
     def start(self) -> None:
-        """Listen for peers and start; returns when peers can connect."""
+        """Listen for peers and start; return when peers can connect."""
         text = self._settings.entry.peer_listen
         try:
             listener = bound_socket(parse_address(text))
         except OSError as error:
             raise SettingsError(
-                f'[entry] peer_listen = {text} can not be listened on '
-                + f'({error.strerror}); end what uses it or write another port.'
+                f'[entry] peer_listen = {text}: cannot listen on this address '
+                + f'({error.strerror}); free the port or choose another one.'
             ) from error
         self._loop.start()
-        self._loop.run(self._node.start(listener), _START_MS)
+        self._loop.run(self._node.start(listener), _START_TIMEOUT_MS)
 
     def stop(self) -> None:
-        """Hand the engine leases over, tell what is due, and end."""
-        self._loop.run(self._node.stop(), _STOP_MS)
+        """Flush pending updates, hand the engine leases over, and stop."""
+        self._loop.run(self._node.stop(), _STOP_TIMEOUT_MS)
         self._loop.stop()
 
     def ready(self) -> bool:
-        """Tell whether shared settings are in force."""
+        """Return whether shared settings are in force."""
         return self._settings_store.revision() > 0
 
 
 class _ThreadedReader:
-    """Reads holds in a thread, so that the loop goes on."""
+    """Reads holds in a thread, so as not to block the event loop."""
 
     def __init__(self, reader: BlockingHoldReader) -> None:
         self._reader = reader
--- a/verbenathread/entry/owned_engine.py
+++ b/verbenathread/entry/owned_engine.py
@@ -1,10 +1,11 @@
 """One engine whose memory this entry owns: its ledger, grants and waiters.
 
-A grant counts as started at once, but for a part of a group, which may yield
-to another group until the whole group is held. Its memory comes back only
-when the entry that asked releases it, or when the engine, read after the last
-moment at which the attempt could reach it, does not list the attempt. So a
-lost message gives no memory out twice.
+A grant counts as started at once, except for a part of a group, which may
+yield to another group until the whole group is reserved. Memory of a grant
+becomes free only when the entry that requested it releases it, or when the
+engine, read after the last moment at which the attempt could have reached it,
+does not list the attempt. So a lost message never causes the same memory to be
+granted twice.
 """
 
 import asyncio
@@ -24,12 +25,12 @@
     Reservation,
 )
 
-# Time that an engine may take to list an attempt which reached it in time.
+# Time that an engine may take to list an attempt that reached it in time.
 ARRIVAL_MS = 500
 
 
 class Grant:
-    """Memory given to one attempt of one entry."""
+    """Memory granted to one attempt of one entry."""
 
     def __init__(
         self,
@@ -39,27 +40,27 @@
         incarnation: int,
         start_by: Millis,
     ) -> None:
-        """Count the attempt as not yet seen at the engine."""
+        """Start as not yet confirmed to run on the engine."""
         self.reservation_id = reservation_id
         self.attempt_id = attempt_id
         self.entry_id = entry_id
-        # 0 when it is not known which life of the entry asked.
+        # 0 if the incarnation of the requesting entry is unknown.
         self.incarnation = incarnation
         self.start_by = start_by
         self.started = False
 
 
 class _Waiter:
-    """An ask in the queue, and the reply that its caller waits for."""
+    """A queued request and the future of its reply."""
 
-    def __init__(self, request: peer_pb2.ReserveRequest) -> None:
-        self.request = request
+    def __init__(self, message: peer_pb2.ReserveRequest) -> None:
+        self.message = message
         loop = asyncio.get_running_loop()
         self.reply: asyncio.Future[peer_pb2.ReserveReply] = loop.create_future()
 
 
 class OwnedEngine:
-    """Gives out the memory of one engine while its lease is held."""
+    """Grants the memory of one engine while its lease is held."""
 
     def __init__(
         self,
@@ -70,7 +71,7 @@
         node_id: NodeId,
         incarnation: int,
     ) -> None:
-        """Take the ledger, after it adopted what the engine holds."""
+        """Start without grants; ``ledger`` accounts for the memory."""
         self.ledger = ledger
         self._holds_lease = holds_lease
         self._clock = clock
@@ -80,7 +81,7 @@
         self._waiter_by_attempt: dict[str, _Waiter] = {}
 
     def adopt(self, holds: Iterable[EngineHold]) -> None:
-        """Start from what the engine lists, at takeover."""
+        """Create grants for what the engine lists at takeover."""
         listed = tuple(holds)
         self.ledger.adopt(listed)
         for hold in listed:
@@ -95,46 +96,46 @@
             self._grant_by_id[grant.reservation_id] = grant
 
     async def reserve(
-        self, request: peer_pb2.ReserveRequest
+        self, message: peer_pb2.ReserveRequest
     ) -> peer_pb2.ReserveReply:
-        """Grant, refuse, or wait in the queue for as long as the call."""
+        """Grant, refuse, or queue the request until the call ends."""
         if not self._holds_lease():
             return self._not_owner()
-        ask = reservation_messages.decode_request(request, self._clock)
-        if ask.group:
-            self._renew(ask.attempt_id)
-        outcome = self.ledger.ask(ask)
+        request = reservation_messages.decode_request(message, self._clock)
+        if request.group:
+            self._renew(request.attempt_id)
+        outcome = self.ledger.ask(request)
         self.grant_waiting()
         if isinstance(outcome, Reservation):
-            return self._granted(outcome, request)
+            return self._grant(outcome, message)
         if isinstance(outcome, Refusal):
             return reservation_messages.encode_refusal(outcome)
-        if not request.may_queue:
-            self.ledger.cancel(ask.attempt_id)
+        if not message.may_queue:
+            self.ledger.cancel(request.attempt_id)
             return peer_pb2.ReserveReply(
                 refusal=reservation_messages.QUEUED,
-                message='The engine has no memory now.',
+                message='The engine has no free memory now.',
                 retry_after_ms=max(1, outcome.expected_wait),
             )
-        return await self._wait(ask, request)
+        return await self._wait(request, message)
 
     def update(self, update: peer_pb2.HoldUpdate) -> None:
-        """Take progress or a release from the entry that holds a grant."""
+        """Apply progress or a release from the entry that holds a grant."""
         grant = self._grant_by_id.get(
             reservation_id(self.ledger.upstream_id, update.attempt_id)
         )
         if grant is None:
             return
         if update.started:
-            self._note_started(grant)
+            self._mark_started(grant)
         if update.released:
             self._drop(grant, update.output_tokens)
         elif update.output_tokens:
-            self._note_started(grant)
+            self._mark_started(grant)
             self.ledger.progress(grant.reservation_id, update.output_tokens)
 
     def grant_waiting(self) -> None:
-        """Answer the waiters for whom there is memory now."""
+        """Reply to the waiters whose requests now fit into free memory."""
         if not self._waiter_by_attempt or not self._holds_lease():
             return
         for reservation in self.ledger.ready():
@@ -142,10 +143,10 @@
             if waiter is None or waiter.reply.done():
                 self.ledger.cancel(reservation.attempt_id)
                 continue
-            waiter.reply.set_result(self._granted(reservation, waiter.request))
+            waiter.reply.set_result(self._grant(reservation, waiter.message))
 
     def close(self) -> None:
-        """Send every waiter elsewhere: the lease is lost."""
+        """Refuse all waiters because the lease is lost."""
         for waiter in self._waiter_by_attempt.values():
             if not waiter.reply.done():
                 waiter.reply.set_result(self._not_owner())
@@ -153,27 +154,27 @@
     def unconfirmed_grants(
         self, is_alive: Callable[[NodeId, int], bool]
     ) -> tuple[Grant, ...]:
-        """Return the grants that only the engine can tell of.
+        """Return the grants that must be compared with the engine's list.
 
-        They were never seen to start, or their entry is dead or restarted,
-        and no attempt can reach the engine any more.
+        Their attempts were never reported as started, or their entry is dead
+        or restarted, and no attempt can reach the engine any more.
         """
         now = self._clock.now()
-        found = []
+        unconfirmed = []
         for grant in self._grant_by_id.values():
             if now <= grant.start_by + ARRIVAL_MS:
                 continue
-            # It may run: the ledger must not let it expire or yield.
+            # It may be running: the ledger must not let it expire or yield.
             self.ledger.started(grant.reservation_id)
             if grant.started and is_alive(grant.entry_id, grant.incarnation):
                 continue
-            found.append(grant)
-        return tuple(found)
+            unconfirmed.append(grant)
+        return tuple(unconfirmed)
 
     def reconcile(self, grant: Grant, listed_ids: frozenset[str]) -> None:
-        """Take what the engine says of a doubtful grant."""
+        """Keep or release an unconfirmed grant by what the engine lists."""
         if self._clock.now() <= grant.start_by + ARRIVAL_MS:
-            # It was renewed while the engine was read.
+            # The grant was renewed while the engine was read.
             return
         if grant.attempt_id in listed_ids:
             grant.started = True
@@ -181,11 +182,11 @@
             self._drop(grant, 0)
 
     async def _wait(
-        self, ask: Ask, request: peer_pb2.ReserveRequest
+        self, request: Ask, message: peer_pb2.ReserveRequest
     ) -> peer_pb2.ReserveReply:
-        waiter = _Waiter(request)
-        self._waiter_by_attempt[ask.attempt_id] = waiter
-        left = max(0, ask.work.deadline - self._clock.now())
+        waiter = _Waiter(message)
+        self._waiter_by_attempt[request.attempt_id] = waiter
+        left = max(0, request.work.deadline - self._clock.now())
         answered = False
         try:
             async with asyncio.timeout(seconds(left)):
@@ -201,7 +202,7 @@
                 )
             )
         finally:
-            self._end_wait(ask.attempt_id, waiter, answered=answered)
+            self._end_wait(request.attempt_id, waiter, answered=answered)
         return reply
 
     def _end_wait(
@@ -211,7 +212,7 @@
             self._waiter_by_attempt.pop(attempt_id)
         if answered:
             return
-        # The caller left; a grant that was on its way to it comes back.
+        # The wait was cancelled; release a grant made in the meantime.
         self.ledger.cancel(attempt_id)
         grant = self._grant_by_id.get(
             reservation_id(self.ledger.upstream_id, attempt_id)
@@ -219,11 +220,12 @@
         if grant is not None:
             self._drop(grant, 0)
 
-    def _granted(
-        self, reservation: Reservation, request: peer_pb2.ReserveRequest
+    def _grant(
+        self, reservation: Reservation, message: peer_pb2.ReserveRequest
     ) -> peer_pb2.ReserveReply:
-        # The clock is read before the lease is checked: a process frozen
-        # between the two grants nothing that could still start later.
+        # Read the clock before checking the lease: if the process is
+        # suspended in between, start_by still counts from the earlier time,
+        # so the grant can't be used to start an attempt later.
         now = self._clock.now()
         if not self._holds_lease():
             self.ledger.cancel(reservation.attempt_id)
@@ -234,13 +236,13 @@
             Grant(
                 reservation.reservation_id,
                 reservation.attempt_id,
-                request.node_id,
-                request.incarnation,
+                message.node_id,
+                message.incarnation,
                 start_by,
             ),
         )
         grant.start_by = start_by
-        if not request.group:
+        if not message.group:
             self.ledger.started(reservation.reservation_id)
         return peer_pb2.ReserveReply(
             reservation_id=reservation.reservation_id,
@@ -251,7 +253,7 @@
         )
 
     def _renew(self, attempt_id: str) -> None:
-        """Renew a part of a group, or give it up to another group."""
+        """Renew a grant of a group, or yield it to another group."""
         grant = self._grant_by_id.get(
             reservation_id(self.ledger.upstream_id, attempt_id)
         )
@@ -261,7 +263,7 @@
             self._grant_by_id.pop(grant.reservation_id)
             self.grant_waiting()
 
-    def _note_started(self, grant: Grant) -> None:
+    def _mark_started(self, grant: Grant) -> None:
         grant.started = True
         self.ledger.started(grant.reservation_id)
 
--- a/verbenathread/entry/peer_channels.py
+++ b/verbenathread/entry/peer_channels.py
@@ -1,4 +1,4 @@
-"""Calls to the other entries of a cell, one channel for each."""
+"""Calls to the other entries of a cell, over one channel to each."""
 
 import asyncio
 import contextlib
@@ -18,24 +18,24 @@
 from verbenathread.types import Millis, NodeId, Peer
 
 _Reply = TypeVar('_Reply')
-_FAULTS = (
+_RPC_ERRORS = (
     grpclib.GRPCError,
     StreamTerminatedError,
     OSError,
     TimeoutError,
     asyncio.TimeoutError,
 )
-# A connection that failed this often in a row is replaced.
-_FAILURES_PER_CONNECTION = 2
+# Consecutive failures after which a connection is replaced.
+_MAX_CONNECTION_FAILURES = 2
 
-_AskStream = grpclib.client.Stream[
+_ReserveStream = grpclib.client.Stream[
     peer_pb2.ReserveRequest, peer_pb2.ReserveReply
 ]
 _LinkStream = grpclib.client.Stream[peer_pb2.PeerMessage, peer_pb2.PeerReply]
 
 
 class _PeerChannel:
-    """The channel to one peer, and its one stream of messages."""
+    """The channel to one peer, with one stream of messages."""
 
     def __init__(self, peer: Peer, auth: NodeAuth) -> None:
         self._peer = peer
@@ -44,10 +44,10 @@
         self._stack = contextlib.AsyncExitStack()
         self._stream: _LinkStream | None = None
         self._failures = 0
-        self.asks = ReservationStream(self._open_asks)
+        self.reservations = ReservationStream(self._open_reserve_stream)
 
     def stub(self) -> peer_grpc.PeerStub:
-        """Return a stub over the channel, made anew if there is none."""
+        """Return a stub over the channel, which is opened if needed."""
         if self._channel is None:
             address = self._peer.address
             self._channel = PeerChannel(address.host, address.port)
@@ -64,33 +64,33 @@
         return await self._stream.recv_message()
 
     async def end_stream(self, *, failed: bool) -> None:
-        """Drop the stream, and the connection after a second failure."""
+        """Close the stream, and the connection after repeated failures."""
         stack = self._stack
         stream = self._stream
         self._stack = contextlib.AsyncExitStack()
         self._stream = None
-        with contextlib.suppress(ProtocolError, *_FAULTS):
+        with contextlib.suppress(ProtocolError, *_RPC_ERRORS):
             if stream is not None:
                 await stream.cancel()
-        with contextlib.suppress(ProtocolError, *_FAULTS):
+        with contextlib.suppress(ProtocolError, *_RPC_ERRORS):
             await stack.aclose()
         self._failures = self._failures + 1 if failed else 0
-        if self._failures >= _FAILURES_PER_CONNECTION:
+        if self._failures >= _MAX_CONNECTION_FAILURES:
             self.close()
 
     def succeeded(self) -> None:
-        """Note that the peer replied."""
+        """Reset the failure count because the peer replied."""
         self._failures = 0
 
     def close(self) -> None:
-        """Close the connection; the next call makes a new one."""
-        self.asks.close()
+        """Close the connection; the next call opens a new one."""
+        self.reservations.close()
         if self._channel is not None:
             self._channel.close()
         self._channel = None
         self._failures = 0
 
-    def _open_asks(self) -> _AskStream:
+    def _open_reserve_stream(self) -> _ReserveStream:
         return self.stub().Reserve.open(metadata=self._auth.metadata)
 
 
@@ -105,12 +105,12 @@
     async def reserve(
         self, peer_id: NodeId, request: peer_pb2.ReserveRequest, limit: Millis
     ) -> peer_pb2.ReserveReply:
-        """Ask the owner of an engine for memory; ends with the caller."""
+        """Request memory of an engine; cancelled together with the call."""
 
     async def holdings(
         self, peer_id: NodeId, request: peer_pb2.HoldingsRequest, limit: Millis
     ) -> peer_pb2.HoldingsReply:
-        """Ask what a peer has reserved at one engine."""
+        """Fetch what a peer has reserved at one engine."""
 
     async def fetch_tree(
         self,
@@ -118,17 +118,17 @@
         request: peer_pb2.FetchTreeRequest,
         limit: Millis,
     ) -> peer_pb2.FetchTreeReply:
-        """Ask a peer for the shared settings that it runs."""
+        """Fetch the shared settings in force at a peer."""
 
     async def close(self) -> None:
-        """End every stream and connection."""
+        """Close all streams and connections."""
 
 
 class PeerChannels:
     """Carries messages and calls to the peers of this entry."""
 
     def __init__(self, peers: Iterable[Peer], auth: NodeAuth) -> None:
-        """Take the other entries of the cell; connect when first used."""
+        """Prepare channels to ``peers``, which connect on first use."""
         self._auth = auth
         self._channel_by_id = {
             peer.node_id: _PeerChannel(peer, auth) for peer in peers
@@ -141,7 +141,7 @@
         channel = self._channel_by_id[peer_id]
         try:
             reply = await channel.exchange(message)
-        except _FAULTS as error:
+        except _RPC_ERRORS as error:
             await channel.end_stream(failed=True)
             raise _unreachable(peer_id, error) from None
         except asyncio.CancelledError:
@@ -149,16 +149,16 @@
             raise
         if reply is None or reply.number != message.number:
             await channel.end_stream(failed=True)
-            raise _unreachable(peer_id, 'it ended the stream')
+            raise _unreachable(peer_id, 'it closed the stream')
         channel.succeeded()
         return reply
 
     async def reserve(
         self, peer_id: NodeId, request: peer_pb2.ReserveRequest, limit: Millis
     ) -> peer_pb2.ReserveReply:
-        """Ask the owner of an engine for memory; ends with the caller."""
+        """Request memory of an engine; cancelled together with the call."""
         try:
-            return await self._channel_by_id[peer_id].asks.request(
+            return await self._channel_by_id[peer_id].reservations.request(
                 request, limit
             )
         except (OSError, TimeoutError) as error:
@@ -167,7 +167,7 @@
     async def holdings(
         self, peer_id: NodeId, request: peer_pb2.HoldingsRequest, limit: Millis
     ) -> peer_pb2.HoldingsReply:
-        """Ask what a peer has reserved at one engine."""
+        """Fetch what a peer has reserved at one engine."""
         return await self._call(
             peer_id,
             lambda stub: stub.Holdings(
@@ -183,7 +183,7 @@
         request: peer_pb2.FetchTreeRequest,
         limit: Millis,
     ) -> peer_pb2.FetchTreeReply:
-        """Ask a peer for the shared settings that it runs."""
+        """Fetch the shared settings in force at a peer."""
         return await self._call(
             peer_id,
             lambda stub: stub.FetchTree(
@@ -194,7 +194,7 @@
         )
 
     async def close(self) -> None:
-        """End every stream and connection."""
+        """Close all streams and connections."""
         for channel in self._channel_by_id.values():
             await channel.end_stream(failed=False)  # noqa: WPS476 - at the end
             channel.close()
@@ -206,12 +206,12 @@
     ) -> _Reply:
         try:
             return await method(self._channel_by_id[peer_id].stub())
-        except _FAULTS as error:
+        except _RPC_ERRORS as error:
             raise _unreachable(peer_id, error) from None
 
 
-def _unreachable(peer_id: NodeId, why: object) -> PeerUnreachableError:
+def _unreachable(peer_id: NodeId, reason: object) -> PeerUnreachableError:
     return PeerUnreachableError(
-        f'{peer_id} could not be reached ({why}): see whether it runs and '
-        + 'whether its peer_listen address is right'
+        f'{peer_id} could not be reached ({reason}): check that it is running '
+        + 'and that its peer_listen address is right'
     )
--- a/verbenathread/entry/peer_server.py
+++ b/verbenathread/entry/peer_server.py
@@ -1,4 +1,4 @@
-"""The gRPC service that an entry offers to the others of its cell."""
+"""The gRPC service that an entry offers to the other entries of its cell."""
 
 import socket
 from collections.abc import Sequence
@@ -18,14 +18,14 @@
 
 
 class LocalHoldings(Protocol):
-    """What this entry has reserved."""
+    """The reservations that this entry holds."""
 
     def at(self, upstream_id: UpstreamId) -> Sequence[peer_pb2.Holding]:
         """Return what is reserved at one engine."""
 
 
 class PeerService(peer_grpc.PeerBase):
-    """Answers the other entries."""
+    """Handles the calls of the other entries."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         holdings: LocalHoldings,
         settings_store: SettingsStore,
     ) -> None:
-        """Take the parts that answer."""
+        """Serve calls with the given parts of this entry."""
         self._cell = cell
         self._host = host
         self._holdings = holdings
@@ -43,7 +43,7 @@
     async def Link(  # noqa: N802 - the name in the schema
         self, stream: Stream[peer_pb2.PeerMessage, peer_pb2.PeerReply]
     ) -> None:
-        """Answer each message of one peer, in order."""
+        """Reply to the messages of one peer, in order."""
         while True:
             message = await stream.recv_message()
             if message is None:
@@ -59,22 +59,22 @@
     async def Reserve(  # noqa: N802 - the name in the schema
         self, stream: Stream[peer_pb2.ReserveRequest, peer_pb2.ReserveReply]
     ) -> None:
-        """Answer asks for memory; every wait ends with the stream."""
+        """Serve reservation requests; every wait ends with the stream."""
         await ReservationStreamServer(self._host, stream).serve()
 
     async def Holdings(  # noqa: N802 - the name in the schema
         self, stream: Stream[peer_pb2.HoldingsRequest, peer_pb2.HoldingsReply]
     ) -> None:
-        """Tell a new owner what is reserved at its engine."""
+        """Return to a new owner what is reserved at its engine."""
         request = await stream.recv_message()
         if request is not None:
-            found = self._holdings.at(request.upstream_id)
-            await stream.send_message(peer_pb2.HoldingsReply(holdings=found))
+            holdings = self._holdings.at(request.upstream_id)
+            await stream.send_message(peer_pb2.HoldingsReply(holdings=holdings))
 
     async def FetchTree(  # noqa: N802 - the name in the schema
         self, stream: Stream[peer_pb2.FetchTreeRequest, peer_pb2.FetchTreeReply]
     ) -> None:
-        """Hand out the shared settings that run here."""
+        """Return the shared settings in force at this entry."""
         request = await stream.recv_message()
         if request is not None:
             update = self._settings_store.update_since(request.revision)
@@ -86,10 +86,10 @@
 
 
 class PeerServer:
-    """Listens for the other entries."""
+    """Listens for calls of the other entries."""
 
     def __init__(self, service: PeerService, auth: NodeAuth) -> None:
-        """Take the service and what its callers must show."""
+        """Prepare to serve callers that ``auth`` accepts."""
         self._service = service
         self._auth = auth
         self._server: Server | None = None
@@ -101,7 +101,7 @@
         await self._server.start(sock=listener)
 
     async def stop(self) -> None:
-        """Stop listening and end every call."""
+        """Stop listening and end all calls."""
         if self._server is not None:
             self._server.close()
             await self._server.wait_closed()
@@ -111,8 +111,8 @@
 def bound_socket(address: Address) -> socket.socket:
     """Return a socket bound to an address; port 0 takes any free port."""
     family = socket.AF_INET6 if ':' in address.host else socket.AF_INET
-    # The event loop turns Nagle's algorithm off only for sockets that name
-    # TCP, and accepted ones take this from the listener.
+    # The event loop disables Nagle's algorithm only for sockets created with
+    # IPPROTO_TCP; accepted sockets inherit this from the listener.
     listener = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     listener.bind(tuple(address))
--- a/verbenathread/entry/reservation_messages.py
+++ b/verbenathread/entry/reservation_messages.py
@@ -1,4 +1,4 @@
-"""Messages about reservations, to and from the types of the scheduler."""
+"""Converts reservation messages to and from the types of the scheduler."""
 
 from typing import Final
 
@@ -14,21 +14,21 @@
     Work,
 )
 
-# Refusals between entries; callers never see them.
+# Refusals between entries; they are never sent to clients.
 NOT_OWNER: Final = 'not_owner'
 QUEUED: Final = 'queued'
 
 
 def encode_request(
-    upstream_id: UpstreamId, ask: Ask, incarnation: int, now: Millis
+    upstream_id: UpstreamId, request: Ask, incarnation: int, now: Millis
 ) -> peer_pb2.ReserveRequest:
-    """Return the message that asks an owner for memory."""
-    work = ask.work
+    """Return the message that requests memory from an owner."""
+    work = request.work
     return peer_pb2.ReserveRequest(
-        node_id=ask.entry_id,
+        node_id=request.entry_id,
         incarnation=incarnation,
         upstream_id=upstream_id,
-        attempt_id=ask.attempt_id,
+        attempt_id=request.attempt_id,
         request_id=work.request_id,
         account=work.account,
         service=work.service,
@@ -38,44 +38,44 @@
         remaining_ms=max(0, work.deadline - now),
         age_ms=max(0, now - work.arrival),
         prefix_hashes=work.prefix_hashes,
-        memory_tokens=ask.memory_tokens,
-        group=ask.group,
-        weight=ask.weight,
-        admitted=ask.admitted,
-        order=ask.order,
+        memory_tokens=request.memory_tokens,
+        group=request.group,
+        weight=request.weight,
+        admitted=request.admitted,
+        order=request.order,
     )
 
 
-def decode_request(request: peer_pb2.ReserveRequest, clock: Clock) -> Ask:
-    """Return the ask in a message, in the time of this node's clock."""
+def decode_request(message: peer_pb2.ReserveRequest, clock: Clock) -> Ask:
+    """Return the request in a message, with times of this node's clock."""
     now = clock.now()
     work = Work(
-        request_id=request.request_id,
-        account=request.account,
-        service=request.service,
-        prompt_tokens=request.prompt_tokens,
-        most_output_tokens=request.most_output_tokens,
-        expected_output_tokens=request.expected_output_tokens,
-        deadline=now + request.remaining_ms,
-        arrival=now - request.age_ms,
-        prefix_hashes=tuple(request.prefix_hashes),
+        request_id=message.request_id,
+        account=message.account,
+        service=message.service,
+        prompt_tokens=message.prompt_tokens,
+        most_output_tokens=message.most_output_tokens,
+        expected_output_tokens=message.expected_output_tokens,
+        deadline=now + message.remaining_ms,
+        arrival=now - message.age_ms,
+        prefix_hashes=tuple(message.prefix_hashes),
     )
     return Ask(
         work,
-        request.attempt_id,
-        request.node_id,
-        request.memory_tokens,
-        weight=request.weight,
-        group=tuple(request.group),
-        admitted=request.admitted,
-        order=request.order,
+        message.attempt_id,
+        message.node_id,
+        message.memory_tokens,
+        weight=message.weight,
+        group=tuple(message.group),
+        admitted=message.admitted,
+        order=message.order,
     )
 
 
 def not_owner_reply(
     node_id: NodeId, upstream_id: UpstreamId
 ) -> peer_pb2.ReserveReply:
-    """Return the refusal of an entry that does not own the engine now."""
+    """Return the refusal of an entry that does not own the engine."""
     return peer_pb2.ReserveReply(
         refusal=NOT_OWNER,
         message=f'{node_id} does not own the memory of {upstream_id} now.',
@@ -83,7 +83,7 @@
 
 
 def encode_refusal(refusal: Refusal) -> peer_pb2.ReserveReply:
-    """Return the message of a refusal by the ledger."""
+    """Return the reply that carries a refusal of the ledger."""
     return peer_pb2.ReserveReply(
         refusal=refusal.reason.value,
         message=refusal.message,
@@ -92,7 +92,7 @@
 
 
 def decode_refusal(reply: peer_pb2.ReserveReply) -> Refusal:
-    """Return the refusal in a reply, as callers may see it."""
+    """Return the refusal in a reply, in a form that clients may see."""
     reason = RefusalReason.OVERLOADED
     if reply.refusal not in {NOT_OWNER, QUEUED}:
         reason = RefusalReason(reply.refusal)
--- a/verbenathread/entry/reservation_stream.py
+++ b/verbenathread/entry/reservation_stream.py
@@ -1,7 +1,7 @@
-"""Asks for memory on one stream to a peer, and their answers.
+"""Reservation requests and their replies, multiplexed on one gRPC stream.
 
-A stream message costs a fraction of a unary call, whose headers are most of
-its processor time.
+A message on a stream costs a fraction of the processor time of a unary call,
+most of which goes into headers.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 from verbenathread.schema import peer_pb2
 from verbenathread.types import Millis
 
-_FAULTS = (
+_STREAM_ERRORS = (
     grpclib.GRPCError,
     ProtocolError,
     StreamTerminatedError,
@@ -32,11 +32,11 @@
 
 
 class ReservationStream:
-    """The asking end; opens the stream with the first ask."""
+    """The client end; opens the stream with the first request."""
 
-    def __init__(self, opens: Callable[[], _ClientStream]) -> None:
-        """Take what makes a new stream."""
-        self._opens = opens
+    def __init__(self, open_stream: Callable[[], _ClientStream]) -> None:
+        """Prepare to open streams with ``open_stream``."""
+        self._open_stream = open_stream
         self._stream: _ClientStream | None = None
         self._number = 0
         self._future_by_number: dict[
@@ -48,7 +48,7 @@
     async def request(
         self, request: peer_pb2.ReserveRequest, limit: Millis
     ) -> peer_pb2.ReserveReply:
-        """Return the answer; the wait at the peer ends with this call.
+        """Return the reply; the wait at the peer ends with this call.
 
         Raises :class:`OSError` or :class:`TimeoutError`.
         """
@@ -60,7 +60,7 @@
         self._future_by_number[number] = future
         try:
             async with asyncio.timeout(seconds(limit)):
-                # A send that is cut off midway would garble the stream.
+                # Cancelling a send midway would corrupt the stream.
                 await asyncio.shield(self._spawn(self._send(request)))
                 return await future
         except (asyncio.CancelledError, TimeoutError):
@@ -70,7 +70,7 @@
             self._future_by_number.pop(number, None)
 
     def close(self) -> None:
-        """End the stream and every wait."""
+        """End the stream and all pending requests."""
         for task in self._tasks:
             task.cancel()
 
@@ -78,7 +78,7 @@
         async with self._sending:
             try:
                 await self._send_on_stream(request)
-            except _FAULTS as error:
+            except _STREAM_ERRORS as error:
                 raise ConnectionResetError(str(error)) from None
 
     async def _send_on_stream(self, request: peer_pb2.ReserveRequest) -> None:
@@ -86,7 +86,7 @@
             await self._stream.send_message(request)
             return
         stack = contextlib.AsyncExitStack()
-        stream = await stack.enter_async_context(self._opens())
+        stream = await stack.enter_async_context(self._open_stream())
         await stream.send_message(request)
         self._stream = stream
         self._spawn(self._read(stack, stream))
@@ -94,17 +94,17 @@
     async def _read(
         self, stack: contextlib.AsyncExitStack, stream: _ClientStream
     ) -> None:
-        """Hand answers on until the stream ends, then fail what waits."""
-        with contextlib.ExitStack() as ending:
-            ending.callback(self._fail_all, stream)
-            with contextlib.suppress(*_FAULTS):
-                await self._hand_on(stream)
-        with contextlib.suppress(*_FAULTS):
+        """Receive replies until the stream ends; fail the pending requests."""
+        with contextlib.ExitStack() as cleanup:
+            cleanup.callback(self._fail_all, stream)
+            with contextlib.suppress(*_STREAM_ERRORS):
+                await self._dispatch_replies(stream)
+        with contextlib.suppress(*_STREAM_ERRORS):
             await stream.cancel()
-        with contextlib.suppress(*_FAULTS):
+        with contextlib.suppress(*_STREAM_ERRORS):
             await stack.aclose()
 
-    async def _hand_on(self, stream: _ClientStream) -> None:
+    async def _dispatch_replies(self, stream: _ClientStream) -> None:
         while True:
             reply = await stream.recv_message()
             if reply is None:
@@ -115,7 +115,7 @@
 
     async def _cancel(self, number: int) -> None:
         if self._stream is None:
-            # The peer ends every wait of a stream that has ended.
+            # The peer cancels every wait of a stream that has ended.
             return
         cancel = peer_pb2.ReserveRequest(number=number, cancel=True)
         with contextlib.suppress(OSError):
@@ -131,30 +131,31 @@
     def _spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
         task = asyncio.create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_done)
         return task
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _on_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled():
-            # Whoever still waits has it; nobody else needs to know.
+            # Mark the exception as retrieved, or asyncio logs it. A caller
+            # that still waits gets it from the task.
             task.exception()
 
 
 class ReservationStreamServer:
-    """The answering end of one stream."""
+    """The server end of one stream."""
 
     def __init__(self, host: LedgerHost, stream: _ServerStream) -> None:
-        """Take who owns engines here."""
+        """Reply with what ``host`` grants from the engines owned here."""
         self._host = host
         self._stream = stream
         self._sending = asyncio.Lock()
         self._task_by_number: dict[int, asyncio.Task[None]] = {}
 
     async def serve(self) -> None:
-        """Answer asks until the stream ends; every wait ends with it."""
-        with contextlib.ExitStack() as ending:
-            ending.callback(self._cancel_all)
+        """Serve requests until the stream ends, which ends every wait."""
+        with contextlib.ExitStack() as cleanup:
+            cleanup.callback(self._cancel_all)
             while True:
                 request = await self._stream.recv_message()
                 if request is None:
@@ -174,9 +175,9 @@
     async def _answer(self, request: peer_pb2.ReserveRequest) -> None:
         reply = await self._host.reserve(request)
         reply.number = request.number
-        # From here on a cancel comes too late: it would garble the stream.
+        # A cancel is ignored from here on: it would corrupt the stream.
         self._task_by_number.pop(request.number, None)
-        with contextlib.suppress(*_FAULTS):
+        with contextlib.suppress(*_STREAM_ERRORS):
             async with self._sending:
                 await self._stream.send_message(reply)
 
--- a/verbenathread/entry/reservations.py
+++ b/verbenathread/entry/reservations.py
@@ -1,8 +1,9 @@
-"""Reservations of engine memory, as the callers' side of an entry asks.
+"""Reserves engine memory for the requests that this entry serves.
 
-The router orders a few engines; the owner of each grants at once or says how
-long the wait is; if nobody grants at once, the ask waits at the shortest
-queue. An owner that is gone sends the ask to the next engine.
+The router orders a few candidate engines. The owner of each one grants the
+memory at once or replies with the expected wait. If none grants at once, the
+request waits in the queue with the shortest wait. If an owner has gone, the
+next engine is tried.
 """
 
 import asyncio
@@ -36,37 +37,38 @@
     Work,
 )
 
-# Pause before engines are chosen anew, after no owner could be asked.
-_AGAIN_MS = 100
-# How long an ask waits for an engine to announce itself.
-_NO_ENGINE_MS = 1000
-# How long it waits for engines that are there to get an owner: longer than
-# the lease of an owner that died and the wait of the next one.
-_NO_OWNER_MS = 12_000
+# Pause before the next round when no owner could be reached.
+_ROUND_PAUSE_MS = 100
+# How long a request waits for an engine to announce itself.
+_NO_ENGINE_TIMEOUT_MS = 1000
+# How long it waits for announced engines to get an owner: longer than the
+# lease of an owner that died plus the takeover delay of the next one.
+_NO_OWNER_TIMEOUT_MS = 12_000
 _RETRY_AFTER_MS = 2000
 
-# How long the engines with an owner are taken for the same ones; who owns
-# them is asked anew each time.
-_CANDIDATES_MS = 200
+# Lifetime of the cached list of engines that have an owner. The owners
+# themselves are not cached but looked up for each call.
+_CANDIDATES_TTL_MS = 200
 
 _Outcome = Reservation | Refusal
 
 
 class _Candidates(NamedTuple):
-    """The engines of a service that have an owner, in order."""
+    """The engines of a service that have an owner, sorted."""
 
     engines: tuple[UpstreamRecord, ...]
-    # Memory of the largest one.
+    # Memory of the largest engine.
     largest_tokens: int
+    # The ready upstreams from which ``engines`` was computed.
     ready: tuple[UpstreamRecord, ...]
-    looked_at: Millis
+    computed_at: Millis
 
 
 _NO_CANDIDATES = _Candidates((), 0, (), 0)
 
 
 class EngineReservations:
-    """Reserves memory at the owners of engines; runs on the event loop."""
+    """Reserves memory with the owners of engines; runs on the event loop."""
 
     def __init__(
         self,
@@ -77,7 +79,7 @@
         clock: Clock,
         rng: random.Random,
     ) -> None:
-        """Hold nothing at first."""
+        """Start with no reservations."""
         self.held = HeldReservations()
         self._outliers = OutlierTracker()
         self._cell = cell
@@ -91,7 +93,7 @@
         self._task_by_request: dict[str, asyncio.Task[_Outcome]] = {}
 
     async def reserve(self, work: Work, attempt_id: str) -> _Outcome:
-        """Wait for memory until the deadline of the work."""
+        """Wait for memory until the deadline of ``work``."""
         task = asyncio.create_task(self._reserve(work, attempt_id))
         self._task_by_request[work.request_id] = task
         try:
@@ -102,7 +104,9 @@
         finally:
             self._task_by_request.pop(work.request_id, None)
         if task.cancelled():
-            return Refusal(RefusalReason.NO_UPSTREAM, 'The caller has gone.', 0)
+            return Refusal(
+                RefusalReason.NO_UPSTREAM, 'The client disconnected.', 0
+            )
         outcome = task.result()
         if isinstance(outcome, Reservation):
             self.held.add(outcome, work)
@@ -113,19 +117,19 @@
         return outcome
 
     def abandon(self, work: Work) -> None:
-        """Stop waiting: the caller has gone."""
+        """Cancel a pending reservation because the client disconnected."""
         task = self._task_by_request.get(work.request_id)
         if task is not None:
             task.cancel()
 
     def started(self, reservation: Reservation) -> None:
-        """Tell the owners that the engine has taken the attempt."""
-        self._tell(reservation, peer_pb2.HoldUpdate(started=True))
+        """Report to the owners that the engine accepted the attempt."""
+        self._send_update(reservation, peer_pb2.HoldUpdate(started=True))
 
     def progress(self, reservation: Reservation, output_tokens: int) -> None:
-        """Tell the owners how far the output has come."""
+        """Report the output tokens generated so far to the owners."""
         first = self.held.progress(reservation.attempt_id, output_tokens)
-        self._tell(
+        self._send_update(
             reservation,
             peer_pb2.HoldUpdate(started=True, output_tokens=output_tokens),
             urgent=first,
@@ -134,7 +138,7 @@
     def release(
         self, reservation: Reservation, *, output_tokens: int, failed: bool
     ) -> None:
-        """Give the memory back once the engines hold nothing of it."""
+        """Release the memory once the engines hold none of it."""
         held = self.held.remove(reservation.attempt_id)
         if held is None:
             return
@@ -147,7 +151,7 @@
                 self._outliers.note_failure(upstream_id, now)
             else:
                 self._outliers.note_success(upstream_id)
-        self._tell(
+        self._send_update(
             reservation,
             peer_pb2.HoldUpdate(
                 released=True, failed=failed, output_tokens=output_tokens
@@ -156,38 +160,38 @@
         )
 
     def note_report(self, report: EngineReport) -> None:
-        """Take the load of an engine from its owner."""
+        """Pass the load that an owner reports on to the router."""
         record = self._cell.table.get(report.upstream_id)
         if record is not None:
             router = self._router(record.service)
             router.note_report(report, self._clock.now())
 
     async def _reserve(self, work: Work, attempt_id: str) -> _Outcome:
-        asked_at = self._clock.now()
+        waiting_since = self._clock.now()
         while True:
             candidates = self._candidates(work.service)
-            outcome = await self._round(work, attempt_id, candidates)
+            outcome = await self._try_candidates(work, attempt_id, candidates)
             if outcome is not None:
                 return outcome
             now = self._clock.now()
             if candidates.engines:
-                # There was an owner to ask, which is gone by now.
-                asked_at = now
-            patience = _NO_ENGINE_MS
+                # There was an owner, but it has gone in the meantime.
+                waiting_since = now
+            timeout = _NO_ENGINE_TIMEOUT_MS
             if self._cell.table.ready(work.service):
-                patience = _NO_OWNER_MS
-            if now >= min(asked_at + patience, work.deadline):
+                timeout = _NO_OWNER_TIMEOUT_MS
+            if now >= min(waiting_since + timeout, work.deadline):
                 return Refusal(
                     RefusalReason.NO_UPSTREAM,
                     f'No engine of {work.service} takes work now; retry later.',
                     _RETRY_AFTER_MS,
                 )
-            await asyncio.sleep(seconds(_AGAIN_MS))
+            await asyncio.sleep(seconds(_ROUND_PAUSE_MS))
 
-    async def _round(
+    async def _try_candidates(
         self, work: Work, attempt_id: str, candidates: _Candidates
     ) -> _Outcome | None:
-        """Choose and ask once; None if no owner could be asked."""
+        """Choose engines and try them once; None if no owner was reached."""
         engines = candidates.engines
         if not engines:
             return None
@@ -207,25 +211,25 @@
             )
         if size > 1:
             members = _members(order, engines, size)
-            return await self._group(work, attempt_id, members, needed)
-        ask = Ask(
+            return await self._reserve_group(work, attempt_id, members, needed)
+        request = Ask(
             work,
             attempt_id,
             self._cell.identity.node_id,
             needed,
             weight=self._weight(work.account),
         )
-        return await self._single(ask, order)
+        return await self._reserve_single(request, order)
 
-    async def _single(
-        self, ask: Ask, order: Sequence[UpstreamId]
+    async def _reserve_single(
+        self, request: Ask, order: Sequence[UpstreamId]
     ) -> _Outcome | None:
         refusals: list[peer_pb2.ReserveReply] = []
         walk = CandidateWalk(order, CURRENT.second_ask)
         for upstream_id in iter(walk.next, None):
-            # One after the other, or two owners would hold memory for it.
+            # Sequential: in parallel, two owners could grant it memory.
             outcome = await self._owners.reserve(  # noqa: WPS476 - see above
-                upstream_id, ask, may_queue=False
+                upstream_id, request, may_queue=False
             )
             if isinstance(outcome, Reservation):
                 return outcome
@@ -234,28 +238,30 @@
                 continue
             wait = outcome.retry_after_ms
             if walk.stays(upstream_id, wait):
-                return await self._wait_at(  # noqa: WPS476 - see above
-                    upstream_id, ask, wait
+                return await self._wait_in_queue(  # noqa: WPS476 - see above
+                    upstream_id, request, wait
                 )
-        return _soonest(refusals)
+        return _soonest_retry(refusals)
 
-    async def _wait_at(
-        self, upstream_id: UpstreamId, ask: Ask, expected_wait: Millis
+    async def _wait_in_queue(
+        self, upstream_id: UpstreamId, request: Ask, expected_wait: Millis
     ) -> _Outcome | None:
-        """Wait in one engine's queue; None when it is time to look again."""
-        policy = self._settings_store.policy(ask.work.service)
-        patience = look_again_after(ask.work, expected_wait, policy, CURRENT)
-        limit = None if patience is None else seconds(patience)
+        """Wait in one engine's queue; None if engines must be chosen anew."""
+        policy = self._settings_store.policy(request.work.service)
+        timeout = look_again_after(request.work, expected_wait, policy, CURRENT)
+        limit = None if timeout is None else seconds(timeout)
         try:
             async with asyncio.timeout(limit):
-                return _final(
-                    await self._owners.reserve(upstream_id, ask, may_queue=True)
+                return _outcome_of(
+                    await self._owners.reserve(
+                        upstream_id, request, may_queue=True
+                    )
                 )
         except TimeoutError:
-            # The cancelled ask leaves the queue of the owner.
+            # The cancelled call removes the request from the owner's queue.
             return None
 
-    async def _group(
+    async def _reserve_group(
         self,
         work: Work,
         attempt_id: str,
@@ -274,17 +280,19 @@
         try:
             outcome = await GroupReservation(claim, self._owners).reserve()
         except asyncio.CancelledError:
-            self._give_back(claim)
+            self._release_group(claim)
             raise
         if isinstance(outcome, peer_pb2.ReserveReply):
-            self._give_back(claim)
-        return _final(outcome)
+            self._release_group(claim)
+        return _outcome_of(outcome)
 
-    def _give_back(self, claim: GroupClaim) -> None:
+    def _release_group(self, claim: GroupClaim) -> None:
         for held in claim.held():
-            self._tell(held, peer_pb2.HoldUpdate(released=True), urgent=True)
+            self._send_update(
+                held, peer_pb2.HoldUpdate(released=True), urgent=True
+            )
 
-    def _tell(
+    def _send_update(
         self,
         reservation: Reservation,
         update: peer_pb2.HoldUpdate,
@@ -292,18 +300,21 @@
         urgent: bool = False,
     ) -> None:
         for upstream_id in reservation.upstream_ids:
-            told = peer_pb2.HoldUpdate()
-            told.CopyFrom(update)
-            told.upstream_id = upstream_id
-            told.attempt_id = reservation.attempt_id
-            self._outbox.put(told, urgent=urgent)
+            engine_update = peer_pb2.HoldUpdate()
+            engine_update.CopyFrom(update)
+            engine_update.upstream_id = upstream_id
+            engine_update.attempt_id = reservation.attempt_id
+            self._outbox.put(engine_update, urgent=urgent)
 
     def _candidates(self, service: str) -> _Candidates:
         ready = self._cell.table.ready(service)
-        known = self._candidates_by_service.get(service, _NO_CANDIDATES)
+        cached = self._candidates_by_service.get(service, _NO_CANDIDATES)
         now = self._clock.now()
-        if known.ready is ready and now - known.looked_at < _CANDIDATES_MS:
-            return known
+        if (
+            cached.ready is ready
+            and now - cached.computed_at < _CANDIDATES_TTL_MS
+        ):
+            return cached
         leases = self._cell.engine_leases
         engines = sorted(
             record
@@ -312,9 +323,9 @@
             and leases.owner(record.upstream_id) is not None
         )
         largest = max((engine.memory_tokens for engine in engines), default=0)
-        found = _Candidates(tuple(engines), largest, ready, now)
-        self._candidates_by_service[service] = found
-        return found
+        candidates = _Candidates(tuple(engines), largest, ready, now)
+        self._candidates_by_service[service] = candidates
+        return candidates
 
     def _order(
         self, work: Work, engines: Sequence[UpstreamRecord]
@@ -323,12 +334,12 @@
         router.policy = self._settings_store.policy(work.service)
         failed_ids = self.held.failed_ids(work.request_id)
         now = self._clock.now()
-        aside_ids = self._outliers.put_aside(now)
-        for passed_over in (aside_ids.union(failed_ids), failed_ids, ()):
-            order = router.choose(work, engines, now, passed_over)
+        ejected_ids = self._outliers.put_aside(now)
+        for excluded_ids in (ejected_ids.union(failed_ids), failed_ids, ()):
+            order = router.choose(work, engines, now, excluded_ids)
             if order:
                 return order
-        # Only what failed before is left; it is tried once more.
+        # Only engines that failed this request are left: try them once more.
         return order
 
     def _router(self, service: str) -> Router:
@@ -346,7 +357,7 @@
 def _members(
     order: Sequence[UpstreamId], engines: Sequence[UpstreamRecord], size: int
 ) -> list[UpstreamId]:
-    """Return the best engines, filled up with others in their order."""
+    """Return the ordered engines, filled up with the remaining ones."""
     rest = [
         engine.upstream_id
         for engine in engines
@@ -355,20 +366,25 @@
     return [*order, *rest][:size]
 
 
-def _soonest(refusals: Sequence[peer_pb2.ReserveReply]) -> Refusal | None:
-    """Return the refusal that says to come back first; None without one."""
-    final = [
+def _soonest_retry(
+    refusals: Sequence[peer_pb2.ReserveReply],
+) -> Refusal | None:
+    """Return the refusal with the shortest retry delay, or None."""
+    from_owners = [
         refusal
         for refusal in refusals
         if refusal.refusal != reservation_messages.NOT_OWNER
     ]
-    if not final:
+    if not from_owners:
         return None
-    soonest = min(final, key=lambda refusal: refusal.retry_after_ms)
+    soonest = min(from_owners, key=lambda refusal: refusal.retry_after_ms)
     return reservation_messages.decode_refusal(soonest)
 
 
-def _final(outcome: Reservation | peer_pb2.ReserveReply) -> _Outcome | None:
+def _outcome_of(
+    outcome: Reservation | peer_pb2.ReserveReply,
+) -> _Outcome | None:
+    """Return a reservation or refusal; None if the peer isn't the owner."""
     if isinstance(outcome, Reservation):
         return outcome
     if outcome.refusal == reservation_messages.NOT_OWNER:
--- a/verbenathread/entry/settings_fetcher.py
+++ b/verbenathread/entry/settings_fetcher.py
@@ -1,7 +1,7 @@
-"""Shared settings from peers, when control brings none.
+"""Fetches shared settings from peers when control sends none.
 
-Every message between entries names the revision that its sender runs. An
-entry that stays behind for a while fetches the later tree from that peer.
+Every message between entries carries the sender's revision in force. An entry
+that stays behind for a while fetches the newer settings from that peer.
 """
 
 import asyncio
@@ -13,30 +13,30 @@
 from verbenathread.schema import control_pb2, peer_pb2
 from verbenathread.types import NodeId
 
-# Control has this long to bring a revision before a peer is asked.
-_PATIENCE_MS = 1000
-_FETCH_MS = 2000
+# How long control has to send a revision before it is fetched from a peer.
+_CONTROL_TIMEOUT_MS = 1000
+_FETCH_TIMEOUT_MS = 2000
 
 
 class SettingsFetcher:
-    """Rides on the messages of the cell, and fetches what is later."""
+    """Compares revisions through cell messages and fetches newer settings."""
 
     def __init__(
         self, settings_store: SettingsStore, channels: PeerCalls
     ) -> None:
-        """Take the tree to keep up to date."""
+        """Keep ``settings_store`` up to date."""
         self._settings_store = settings_store
         self._channels = channels
         self._revision_by_peer: dict[NodeId, int] = {}
 
     def compose(self, peer_id: NodeId, message: peer_pb2.PeerMessage) -> None:
-        """Name the revision in force here."""
+        """Add the revision in force on this node."""
         message.revision = self._settings_store.revision()
 
     def answer(
         self, message: peer_pb2.PeerMessage, reply: peer_pb2.PeerReply
     ) -> None:
-        """Note the revision that a peer runs."""
+        """Record the revision in force at a peer."""
         self._revision_by_peer[message.node_id] = message.revision
 
     def absorb(
@@ -45,30 +45,32 @@
         message: peer_pb2.PeerMessage,
         reply: peer_pb2.PeerReply,
     ) -> None:
-        """Need nothing of replies."""
+        """Ignore the reply."""
 
     async def run(self) -> None:
-        """Fetch from the peer that is furthest ahead, until cancelled."""
+        """Fetch from the peer with the newest revision, until cancelled."""
         while True:
             if self._settings_store.revision():
-                await asyncio.sleep(seconds(_PATIENCE_MS))
+                await asyncio.sleep(seconds(_CONTROL_TIMEOUT_MS))
             else:
-                await asyncio.sleep(seconds(_PATIENCE_MS // 10))
-            later_by_peer = {
+                await asyncio.sleep(seconds(_CONTROL_TIMEOUT_MS // 10))
+            newer_by_peer = {
                 peer_id: revision
                 for peer_id, revision in self._revision_by_peer.items()
                 if revision > self._settings_store.revision()
             }
-            if later_by_peer:
-                latest_id = max(later_by_peer, key=later_by_peer.__getitem__)
-                await self._fetch(latest_id)
+            if newer_by_peer:
+                newest_id = max(newer_by_peer, key=newer_by_peer.__getitem__)
+                await self._fetch(newest_id)
 
     async def _fetch(self, peer_id: NodeId) -> None:
         request = peer_pb2.FetchTreeRequest(
             revision=self._settings_store.revision()
         )
         try:
-            reply = await self._channels.fetch_tree(peer_id, request, _FETCH_MS)
+            reply = await self._channels.fetch_tree(
+                peer_id, request, _FETCH_TIMEOUT_MS
+            )
         except UnavailableError:
             self._revision_by_peer.pop(peer_id, None)
             return
--- a/verbenathread/entry/settings_store.py
+++ b/verbenathread/entry/settings_store.py
@@ -1,4 +1,7 @@
-"""The shared settings in force on this node, which never go back."""
+"""The shared settings in force on this node.
+
+Their revision only increases.
+"""
 
 import threading
 from collections.abc import Iterable, Mapping
@@ -12,7 +15,7 @@
 
 
 class _InForce(NamedTuple):
-    """One revision, replaced as a whole."""
+    """One immutable revision of the settings."""
 
     revision: int
     branch_by_path: Mapping[str, control_pb2.Branch]
@@ -20,7 +23,7 @@
 
 
 class SettingsStore:
-    """Answers from the tree in force; any thread may read."""
+    """Provides the settings in force; any thread may read."""
 
     def __init__(self) -> None:
         """Start without settings, at revision 0."""
@@ -54,7 +57,7 @@
         return self._in_force.tree.policy(service)
 
     def update_since(self, revision: int) -> control_pb2.TreeUpdate:
-        """Return the whole tree, or nothing if ``revision`` is as late."""
+        """Return all settings, or an empty update if nothing is newer."""
         current = self._in_force
         if current.revision <= revision:
             return control_pb2.TreeUpdate(revision=current.revision)
@@ -65,7 +68,7 @@
         )
 
     def apply(self, update: control_pb2.TreeUpdate) -> bool:
-        """Put an update in force unless it is no later; say whether it was."""
+        """Put a newer update in force; return whether it was newer."""
         with self._lock:
             current = self._in_force
             if update.revision <= current.revision:
@@ -75,7 +78,7 @@
                 {path: branch.text for path, branch in branch_by_path.items()}
             )
             self._in_force = _InForce(update.revision, branch_by_path, tree)
-        _log.info('Settings are in force.', revision=update.revision)
+        _log.info('Shared settings applied.', revision=update.revision)
         return True
 
 
