--- a/verbenathread/entry/owned_engine.py
+++ b/verbenathread/entry/owned_engine.py
@@ -14,8 +14,8 @@
 from verbenathread.clock import Clock, seconds
 from verbenathread.entry import reservation_messages
 from verbenathread.scheduling.holds import reservation_id
-from verbenathread.scheduling.ledger import START_WITHIN, EngineLedger
-from verbenathread.scheduling.messages import Ask, EngineHold
+from verbenathread.scheduling.ledger import START_TIMEOUT, EngineLedger
+from verbenathread.scheduling.messages import EngineHold, ReservationRequest
 from verbenathread.schema import peer_pb2
 from verbenathread.types import (
     Millis,
@@ -83,7 +83,7 @@
     def adopt(self, holds: Iterable[EngineHold]) -> None:
         """Create grants for what the engine lists at takeover."""
         listed = tuple(holds)
-        self.ledger.adopt(listed)
+        self.ledger.restore(listed)
         for hold in listed:
             grant = Grant(
                 reservation_id(self.ledger.upstream_id, hold.attempt_id),
@@ -104,7 +104,7 @@
         request = reservation_messages.decode_request(message, self._clock)
         if request.group:
             self._renew(request.attempt_id)
-        outcome = self.ledger.ask(request)
+        outcome = self.ledger.reserve(request)
         self.grant_waiting()
         if isinstance(outcome, Reservation):
             return self._grant(outcome, message)
@@ -132,13 +132,15 @@
             self._drop(grant, update.output_tokens)
         elif update.output_tokens:
             self._mark_started(grant)
-            self.ledger.progress(grant.reservation_id, update.output_tokens)
+            self.ledger.record_progress(
+                grant.reservation_id, update.output_tokens
+            )
 
     def grant_waiting(self) -> None:
         """Reply to the waiters whose requests now fit into free memory."""
         if not self._waiter_by_attempt or not self._holds_lease():
             return
-        for reservation in self.ledger.ready():
+        for reservation in self.ledger.take_grants():
             waiter = self._waiter_by_attempt.get(reservation.attempt_id)
             if waiter is None or waiter.reply.done():
                 self.ledger.cancel(reservation.attempt_id)
@@ -165,7 +167,7 @@
             if now <= grant.start_by + ARRIVAL_MS:
                 continue
             # It may be running: the ledger must not let it expire or yield.
-            self.ledger.started(grant.reservation_id)
+            self.ledger.mark_started(grant.reservation_id)
             if grant.started and is_alive(grant.entry_id, grant.incarnation):
                 continue
             unconfirmed.append(grant)
@@ -182,7 +184,7 @@
             self._drop(grant, 0)
 
     async def _wait(
-        self, request: Ask, message: peer_pb2.ReserveRequest
+        self, request: ReservationRequest, message: peer_pb2.ReserveRequest
     ) -> peer_pb2.ReserveReply:
         waiter = _Waiter(message)
         self._waiter_by_attempt[request.attempt_id] = waiter
@@ -230,7 +232,7 @@
         if not self._holds_lease():
             self.ledger.cancel(reservation.attempt_id)
             return self._not_owner()
-        start_by = now + START_WITHIN
+        start_by = now + START_TIMEOUT
         grant = self._grant_by_id.setdefault(
             reservation.reservation_id,
             Grant(
@@ -243,7 +245,7 @@
         )
         grant.start_by = start_by
         if not message.group:
-            self.ledger.started(reservation.reservation_id)
+            self.ledger.mark_started(reservation.reservation_id)
         return peer_pb2.ReserveReply(
             reservation_id=reservation.reservation_id,
             memory_tokens=reservation.memory_tokens,
@@ -265,7 +267,7 @@
 
     def _mark_started(self, grant: Grant) -> None:
         grant.started = True
-        self.ledger.started(grant.reservation_id)
+        self.ledger.mark_started(grant.reservation_id)
 
     def _drop(self, grant: Grant, output_tokens: int) -> None:
         self._grant_by_id.pop(grant.reservation_id)
--- a/verbenathread/entry/reservation_messages.py
+++ b/verbenathread/entry/reservation_messages.py
@@ -3,7 +3,7 @@
 from typing import Final
 
 from verbenathread.clock import Clock
-from verbenathread.scheduling.messages import Ask
+from verbenathread.scheduling.messages import ReservationRequest
 from verbenathread.schema import peer_pb2
 from verbenathread.types import (
     Millis,
@@ -20,7 +20,10 @@
 
 
 def encode_request(
-    upstream_id: UpstreamId, request: Ask, incarnation: int, now: Millis
+    upstream_id: UpstreamId,
+    request: ReservationRequest,
+    incarnation: int,
+    now: Millis,
 ) -> peer_pb2.ReserveRequest:
     """Return the message that requests memory from an owner."""
     work = request.work
@@ -42,11 +45,13 @@
         group=request.group,
         weight=request.weight,
         admitted=request.admitted,
-        order=request.order,
+        order=request.group_timestamp,
     )
 
 
-def decode_request(message: peer_pb2.ReserveRequest, clock: Clock) -> Ask:
+def decode_request(
+    message: peer_pb2.ReserveRequest, clock: Clock
+) -> ReservationRequest:
     """Return the request in a message, with times of this node's clock."""
     now = clock.now()
     work = Work(
@@ -60,7 +65,7 @@
         arrival=now - message.age_ms,
         prefix_hashes=tuple(message.prefix_hashes),
     )
-    return Ask(
+    return ReservationRequest(
         work,
         message.attempt_id,
         message.node_id,
@@ -68,7 +73,7 @@
         weight=message.weight,
         group=tuple(message.group),
         admitted=message.admitted,
-        order=message.order,
+        group_timestamp=message.order,
     )
 
 
--- a/verbenathread/entry/reservations.py
+++ b/verbenathread/entry/reservations.py
@@ -19,9 +19,9 @@
 from verbenathread.entry.hold_outbox import HoldOutbox
 from verbenathread.entry.settings_store import SettingsStore
 from verbenathread.membership.cell import Cell
-from verbenathread.scheduling.candidates import CandidateWalk, look_again_after
-from verbenathread.scheduling.groups import GroupClaim, group_size
-from verbenathread.scheduling.messages import Ask, EngineReport
+from verbenathread.scheduling.candidates import CandidateIterator, reroute_delay
+from verbenathread.scheduling.groups import GroupRequest, group_size
+from verbenathread.scheduling.messages import EngineReport, ReservationRequest
 from verbenathread.scheduling.outliers import OutlierTracker
 from verbenathread.scheduling.router import Router
 from verbenathread.scheduling.tuning import CURRENT
@@ -112,8 +112,8 @@
             self.held.add(outcome, work)
             for upstream_id in outcome.upstream_ids:
                 now = self._clock.now()
-                self._router(work.service).note_sent(upstream_id, work, now)
-                self._outliers.note_sent(upstream_id, now)
+                self._router(work.service).record_sent(upstream_id, work, now)
+                self._outliers.record_sent(upstream_id, now)
         return outcome
 
     def abandon(self, work: Work) -> None:
@@ -146,11 +146,11 @@
         if failed:
             self.held.note_failed(held, now)
         for upstream_id in reservation.upstream_ids:
-            self._router(held.work.service).note_done(upstream_id, held.work)
+            self._router(held.work.service).record_done(upstream_id, held.work)
             if failed:
-                self._outliers.note_failure(upstream_id, now)
+                self._outliers.record_failure(upstream_id, now)
             else:
-                self._outliers.note_success(upstream_id)
+                self._outliers.record_success(upstream_id)
         self._send_update(
             reservation,
             peer_pb2.HoldUpdate(
@@ -164,7 +164,7 @@
         record = self._cell.table.get(report.upstream_id)
         if record is not None:
             router = self._router(record.service)
-            router.note_report(report, self._clock.now())
+            router.record_report(report, self._clock.now())
 
     async def _reserve(self, work: Work, attempt_id: str) -> _Outcome:
         waiting_since = self._clock.now()
@@ -212,7 +212,7 @@
         if size > 1:
             members = _members(order, engines, size)
             return await self._reserve_group(work, attempt_id, members, needed)
-        request = Ask(
+        request = ReservationRequest(
             work,
             attempt_id,
             self._cell.identity.node_id,
@@ -222,11 +222,11 @@
         return await self._reserve_single(request, order)
 
     async def _reserve_single(
-        self, request: Ask, order: Sequence[UpstreamId]
+        self, request: ReservationRequest, order: Sequence[UpstreamId]
     ) -> _Outcome | None:
         refusals: list[peer_pb2.ReserveReply] = []
-        walk = CandidateWalk(order, CURRENT.second_ask)
-        for upstream_id in iter(walk.next, None):
+        candidates = CandidateIterator(order, CURRENT.wait_threshold)
+        for upstream_id in iter(candidates.next, None):
             # Sequential: in parallel, two owners could grant it memory.
             outcome = await self._owners.reserve(  # noqa: WPS476 - see above
                 upstream_id, request, may_queue=False
@@ -237,18 +237,21 @@
                 refusals.append(outcome)
                 continue
             wait = outcome.retry_after_ms
-            if walk.stays(upstream_id, wait):
+            if candidates.accepts_wait(upstream_id, wait):
                 return await self._wait_in_queue(  # noqa: WPS476 - see above
                     upstream_id, request, wait
                 )
         return _soonest_retry(refusals)
 
     async def _wait_in_queue(
-        self, upstream_id: UpstreamId, request: Ask, expected_wait: Millis
+        self,
+        upstream_id: UpstreamId,
+        request: ReservationRequest,
+        expected_wait: Millis,
     ) -> _Outcome | None:
         """Wait in one engine's queue; None if engines must be chosen anew."""
         policy = self._settings_store.policy(request.work.service)
-        timeout = look_again_after(request.work, expected_wait, policy, CURRENT)
+        timeout = reroute_delay(request.work, expected_wait, policy, CURRENT)
         limit = None if timeout is None else seconds(timeout)
         try:
             async with asyncio.timeout(limit):
@@ -269,7 +272,7 @@
         needed: int,
     ) -> _Outcome | None:
         age = self._clock.now() - work.arrival
-        claim = GroupClaim(
+        group = GroupRequest(
             work,
             attempt_id,
             self._cell.identity.node_id,
@@ -278,16 +281,16 @@
             self._clock.wall() - age,
         )
         try:
-            outcome = await GroupReservation(claim, self._owners).reserve()
+            outcome = await GroupReservation(group, self._owners).reserve()
         except asyncio.CancelledError:
-            self._release_group(claim)
+            self._release_group(group)
             raise
         if isinstance(outcome, peer_pb2.ReserveReply):
-            self._release_group(claim)
+            self._release_group(group)
         return _outcome_of(outcome)
 
-    def _release_group(self, claim: GroupClaim) -> None:
-        for held in claim.held():
+    def _release_group(self, group: GroupRequest) -> None:
+        for held in group.member_reservations():
             self._send_update(
                 held, peer_pb2.HoldUpdate(released=True), urgent=True
             )
@@ -334,7 +337,7 @@
         router.policy = self._settings_store.policy(work.service)
         failed_ids = self.held.failed_ids(work.request_id)
         now = self._clock.now()
-        ejected_ids = self._outliers.put_aside(now)
+        ejected_ids = self._outliers.ejected(now)
         for excluded_ids in (ejected_ids.union(failed_ids), failed_ids, ()):
             order = router.choose(work, engines, now, excluded_ids)
             if order:
