--- a/tests/node_network.py
+++ b/tests/node_network.py
@@ -1,4 +1,4 @@
-"""Entries in one virtual loop, joined in memory, over fake engines."""
+"""Cell nodes on one virtual loop, connected in memory, with fake engines."""
 
 import asyncio
 import random
@@ -47,7 +47,7 @@
 
 
 class FakeEngines:
-    """What each engine holds, as it would list it."""
+    """The attempts that each engine holds, as it would list them."""
 
     def __init__(self) -> None:
         self.holds_by_id: dict[str, dict[str, EngineHold]] = {}
@@ -55,7 +55,7 @@
 
     async def holds(self, record, limit):
         if record.upstream_id in self.unreadable:
-            raise UnavailableError('the engine is away')
+            raise UnavailableError('the engine is unavailable')
         return tuple(self.holds_by_id.get(record.upstream_id, {}).values())
 
     def run(self, reservation, owner_id):
@@ -71,16 +71,16 @@
 
 
 class NodeNetwork:
-    """Entries by identifier; ``cut_ids`` reach nobody."""
+    """Entries by identifier; those in ``isolated_ids`` reach no other one."""
 
     def __init__(self, size):
         self.ids = tuple(f'entry-{number}' for number in range(size))
         self.engines = FakeEngines()
         self.node_by_id = {}
-        self.cut_ids = set()
+        self.isolated_ids = set()
         self.reply_delay_s = 0.001
-        # Seconds that an ask takes, by the asking entry and the engine.
-        self.delay_by_ask = {}
+        # Delay of a reservation request in seconds, by (sender, engine).
+        self.delay_by_request = {}
         self.attempts = 0
 
     async def start(self, node_id, incarnation=1, revision=1):
@@ -111,7 +111,7 @@
     def announce(self, *names):
         for name in names:
             for node_id, node in self.node_by_id.items():
-                if node_id not in self.cut_ids:
+                if node_id not in self.isolated_ids:
                     node.cell.announce(engine(name))
 
     async def keep_announcing(self, *names):
@@ -155,50 +155,50 @@
 
 
 class _MemoryCalls:
-    """Calls that arrive in memory, or never when an end is cut off."""
+    """In-memory calls, which never arrive if either end is isolated."""
 
     def __init__(self, network, node_id):
         self._network = network
         self._node_id = node_id
 
     async def exchange(self, peer_id, message):
-        node = await self._reach(peer_id)
+        node = await self._connect(peer_id)
         copy = peer_pb2.PeerMessage.FromString(message.SerializeToString())
         reply = node.cell.answer(copy)
-        await self._reach(peer_id)
+        await self._connect(peer_id)
         return reply
 
     async def reserve(self, peer_id, request, limit):
         path = (self._node_id, request.upstream_id)
-        await asyncio.sleep(self._network.delay_by_ask.get(path, 0))
-        node = await self._reach(peer_id)
+        await asyncio.sleep(self._network.delay_by_request.get(path, 0))
+        node = await self._connect(peer_id)
         reply = await node.host.reserve(request)
         await asyncio.sleep(self._network.reply_delay_s)
-        if peer_id in self._network.cut_ids:
-            # The connection stays open and brings nothing.
+        if peer_id in self._network.isolated_ids:
+            # The connection stays open, but no data arrives.
             await asyncio.sleep(NEVER_S)
         return reply
 
     async def holdings(self, peer_id, request, limit):
-        node = await self._reach(peer_id)
+        node = await self._connect(peer_id)
         found = node.reservations.held.at(request.upstream_id)
         return peer_pb2.HoldingsReply(holdings=found)
 
     async def fetch_tree(self, peer_id, request, limit):
-        node = await self._reach(peer_id)
+        node = await self._connect(peer_id)
         update = node.settings_store.update_since(request.revision)
         return peer_pb2.FetchTreeReply(
             revision=update.revision, branches=update.branches
         )
 
     async def close(self):
-        """Nothing is open."""
+        """Do nothing: there are no connections."""
 
-    async def _reach(self, peer_id):
+    async def _connect(self, peer_id):
         await asyncio.sleep(0.001)
-        if self._network.cut_ids & {peer_id, self._node_id}:
+        if self._network.isolated_ids & {peer_id, self._node_id}:
             await asyncio.sleep(1)
-            raise PeerUnreachableError('cut off')
+            raise PeerUnreachableError('isolated')
         if peer_id not in self._network.node_by_id:
             raise PeerUnreachableError('dead')
         return self._network.node_by_id[peer_id]
--- a/tests/test_entry_admissions.py
+++ b/tests/test_entry_admissions.py
@@ -1,4 +1,4 @@
-"""Tests of limits over the entries of a cell, and of retry budgets."""
+"""Tests of account limits over the entries of a cell, and retry budgets."""
 
 import random
 import unittest
@@ -44,11 +44,15 @@
 
 
 class CellOfAdmissions:
-    """Entries that exchange messages once a second, some of them lost."""
+    """Entries that exchange messages once a second, some of which are lost.
 
-    def __init__(self, loses):
+    ``lost_part`` returns which part of an exchange is lost, by its number:
+    ``'message'``, ``'reply'`` or neither.
+    """
+
+    def __init__(self, lost_part):
         self.clock = ManualClock()
-        self.loses = loses
+        self.lost_part = lost_part
         self.by_id = {f'e{number}': self.make() for number in range(ENTRIES)}
         self.incarnation_by_id = dict.fromkeys(self.by_id, 1)
         self.exchanges = 0
@@ -75,18 +79,18 @@
             node_id=node_id, incarnation=self.incarnation_by_id[node_id]
         )
         sender.compose(peer_id, message)
-        kind = self.loses(self.exchanges)
-        if kind == 'message':
+        lost = self.lost_part(self.exchanges)
+        if lost == 'message':
             return
         reply = peer_pb2.PeerReply(
             node_id=peer_id, incarnation=self.incarnation_by_id[peer_id]
         )
         receiver.answer(message, reply)
-        if kind != 'reply':
+        if lost != 'reply':
             sender.absorb(peer_id, message, reply)
 
     def run(self, seconds, restart_at=None):
-        """Ask at every entry at every step; return how many were admitted."""
+        """Send a call to each entry at each step; return how many it admits."""
         admitted = 0
         for step in range(seconds * 1000 // STEP_MS):
             if step * STEP_MS == restart_at:
@@ -100,7 +104,7 @@
         return admitted
 
 
-def nothing(number):
+def no_loss(number):
     return ''
 
 
@@ -118,34 +122,35 @@
 
 class CellAdmissionsTest(unittest.TestCase):
     def test_flooding_account_stays_within_the_bound(self):
-        # The bound that scheduling.limits states, the lag being 2 s here.
+        # The bound documented in scheduling.limits, with a lag of 2 s.
         lag = 2 * 1000
         bound = (
             RATE
             * (SECONDS * 1000 + BURST + LOCAL_SHARE_FACTOR * (BURST + lag))
             / 1000
         ) + ENTRIES
-        for loses in (nothing, every_third_reply, every_third_message):
-            with self.subTest(loses=loses.__name__):
-                admitted = CellOfAdmissions(loses).run(SECONDS)
+        for lost_part in (no_loss, every_third_reply, every_third_message):
+            with self.subTest(lost_part=lost_part.__name__):
+                admitted = CellOfAdmissions(lost_part).run(SECONDS)
                 self.assertLessEqual(admitted, bound)
-                # The limit is there to be used too.
+                # Most of the limit can be used, too.
                 self.assertGreater(admitted, RATE * SECONDS * 0.8)
 
-    def test_cut_off_entries_keep_to_their_even_shares(self):
+    def test_partitioned_entries_keep_to_even_shares(self):
         admitted = CellOfAdmissions(all_lost).run(SECONDS)
         bound = RATE * (SECONDS + LOCAL_SHARE_FACTOR * (BURST + 5000) / 1000)
         self.assertLessEqual(admitted, bound + ENTRIES)
 
-    def test_a_restarted_entry_is_told_anew(self):
-        cell = CellOfAdmissions(nothing)
+    def test_restarted_entry_receives_the_whole_usage(self):
+        cell = CellOfAdmissions(no_loss)
         before = cell.run(SECONDS)
         after = cell.run(SECONDS, restart_at=0)
-        # One burst of the new entry, and no debt from totals of long ago.
+        # The restarted entry adds one burst at most; usage totals from before
+        # its restart don't count against the account.
         self.assertLess(abs(after - before), RATE * BURST / 1000 * 2)
 
-    def test_a_restart_ends_the_long_prompts_it_cut_off(self):
-        cell = CellOfAdmissions(nothing)
+    def test_restart_ends_the_long_prompts_of_an_entry(self):
+        cell = CellOfAdmissions(no_loss)
         cell.exchange()
         work = Work('r', 'a', 's', 200_000, 10, 10, 600_000, 0)
         cell.account.long_prompts = 1
@@ -162,8 +167,8 @@
         cell.exchange()
         self.assertIsNone(cell.by_id['e1'].admit(work, cell.account))
 
-    def test_a_refusal_says_when_to_come_back(self):
-        cell = CellOfAdmissions(nothing)
+    def test_refusal_has_a_usable_retry_delay(self):
+        cell = CellOfAdmissions(no_loss)
         answers = [
             cell.by_id['e1'].admit_call('flood', cell.account)
             for _ in range(RATE * 10)
@@ -176,7 +181,7 @@
 
 
 class RetryBudgetsTest(unittest.TestCase):
-    def test_an_outage_spends_its_own_budget(self):
+    def test_outage_spends_only_the_budget_of_its_service(self):
         budgets = RetryBudgets(ManualClock(), random.Random(1))
         policy = Policies().policy('')
         attempts = 0
--- a/tests/test_entry_cell_node.py
+++ b/tests/test_entry_cell_node.py
@@ -1,4 +1,4 @@
-"""Tests of the fabric over real connections on loopback."""
+"""Tests of cell nodes over real connections on loopback."""
 
 import asyncio
 import random
@@ -28,12 +28,12 @@
 
 LOOPBACK = Address('127.0.0.1', 0)
 CLAIM_MS = 800
-# Bounds of waits in real time; far above what they take.
+# Timeout of waits in real time, far above what they usually take.
 LIMIT_MS = 30_000
 
 
 class FakeControl:
-    """A control process that answers as a test tells it to."""
+    """A control process whose replies the test sets."""
 
     def __init__(self):
         self.tree = control_pb2.TreeUpdate()
@@ -41,7 +41,7 @@
         self.changed = asyncio.Event()
         self.code = control_pb2.OK
         self.leader = ''
-        self.lost_answers = 0
+        self.lost_replies = 0
         self.claims = []
         self.address = ''
 
@@ -61,8 +61,8 @@
         self.changed.set()
 
     async def wait_reports(self, count):
-        wanted = len(self.reports) + count
-        await until(lambda: len(self.reports) >= wanted, LIMIT_MS)
+        expected_count = len(self.reports) + count
+        await until(lambda: len(self.reports) >= expected_count, LIMIT_MS)
 
     async def Session(self, stream):  # noqa: N802 - the name in the schema
         self.reports.append(await stream.recv_message())
@@ -83,8 +83,8 @@
     async def Claim(self, stream):  # noqa: N802 - the name in the schema
         request = await stream.recv_message()
         self.claims.append(request.attempt_id)
-        if self.lost_answers:
-            self.lost_answers -= 1
+        if self.lost_replies:
+            self.lost_replies -= 1
             raise grpclib.GRPCError(grpclib.Status.UNAVAILABLE)
         answer = control_pb2.Answer(code=self.code, leader=self.leader)
         await stream.send_message(
@@ -186,7 +186,7 @@
 
         asyncio.run(main())
 
-    def test_a_node_with_another_key_is_not_heard(self):
+    def test_node_with_another_key_is_rejected(self):
         async def main():
             cell = Nodes(2)
             first = await cell.start(0)
@@ -202,14 +202,15 @@
 
 
 class SettingsDeliveryTest(unittest.TestCase):
-    def test_updates_are_taken_reported_and_never_lowered(self):
+    def test_newer_updates_are_applied_and_reported(self):
         async def main():
             control = await FakeControl().start()
             cell = Nodes(1, control.address)
             await cell.start(0, revision=0)
             for revision, expected in ((7, 7), (3, 7), (9, 9)):
                 control.publish(tree_update(revision))
-                # Two reports later the first one made after it has come.
+                # The second report from now was created after the update
+                # arrived.
                 await control.wait_reports(2)  # noqa: WPS476 - in order
                 self.assertEqual(control.reports[-1].revision, expected)
             await cell.close()
@@ -217,7 +218,7 @@
 
         asyncio.run(main())
 
-    def test_a_lost_control_process_is_replaced_by_another(self):
+    def test_session_moves_to_another_control_process(self):
         async def main():
             first = await FakeControl().start()
             second = await FakeControl().start()
@@ -236,7 +237,7 @@
 
         asyncio.run(main())
 
-    def test_peers_hand_settings_out_while_control_is_away(self):
+    def test_settings_come_from_peers_without_control(self):
         async def main():
             cell = Nodes(3)
             nodes = await asyncio.gather(
@@ -256,11 +257,11 @@
 
 class ClaimTest(unittest.TestCase):
     def claim(self, *controls):
-        """Return the reply, or the error that stands for it."""
+        """Return the reply, or the exception raised instead."""
 
         async def main():
             await asyncio.gather(*[control.start() for control in controls])
-            # The first one does not lead and names the last.
+            # The first one is a follower and names the last as the leader.
             controls[0].leader = controls[-1].address
             client = ClaimsClient(
                 [
@@ -282,19 +283,19 @@
 
         return asyncio.run(main())
 
-    def test_the_leader_is_found(self):
+    def test_claim_is_redirected_to_the_leader(self):
         follower, leader = FakeControl(), FakeControl()
         follower.code = control_pb2.NOT_LEADER
         reply = self.claim(follower, leader)
         self.assertEqual(reply.state, control_pb2.CLAIM_HELD)
 
-    def test_outcomes_are_kept_apart(self):
+    def test_outcomes_are_distinguished(self):
         for name, code, lost, expected in (
-            ('resend resolves', control_pb2.OK, 1, control_pb2.ClaimReply),
-            ('never answered', control_pb2.OK, 999, UnknownOutcomeError),
+            ('retry succeeds', control_pb2.OK, 1, control_pb2.ClaimReply),
+            ('no reply', control_pb2.OK, 999, UnknownOutcomeError),
             ('no quorum', control_pb2.NO_QUORUM, 0, UnavailableError),
             (
-                'no quorum after a lost answer',
+                'no quorum after a lost reply',
                 control_pb2.NO_QUORUM,
                 1,
                 UnknownOutcomeError,
@@ -303,18 +304,18 @@
             with self.subTest(name):
                 control = FakeControl()
                 control.code = code
-                control.lost_answers = lost
+                control.lost_replies = lost
                 self.assertIsInstance(self.claim(control), expected)
                 self.assertEqual(set(control.claims), {'a1'})
 
 
-class BlockingTest(unittest.TestCase):
-    def test_ports_answer_from_worker_threads(self):
+class NodeThreadTest(unittest.TestCase):
+    def test_ports_work_from_worker_threads(self):
         settings = node_settings('entry-0', 'entry-0@127.0.0.1:1')
-        fabric = NodeThread(settings)
-        fabric.start()
-        self.assertFalse(fabric.ready())
-        ports = fabric.ports
+        thread = NodeThread(settings)
+        thread.start()
+        self.assertFalse(thread.ready())
+        ports = thread.ports
         ports.upstreams.announce(engine('e1'))
         self.assertEqual(
             ports.upstreams.by_service('draft-desk'), (engine('e1'),)
@@ -327,6 +328,6 @@
         self.assertIsInstance(refused, Refusal)
         with self.assertRaises(UnavailableError):
             ports.claims.claim(control_pb2.ClaimRequest(), 200)
-        fabric.stop()
+        thread.stop()
         with self.assertRaises(UnavailableError):
             ports.upstreams.leave('e1', 1)
--- a/tests/test_entry_reservation_stream.py
+++ b/tests/test_entry_reservation_stream.py
@@ -1,4 +1,4 @@
-"""Tests of asks on one stream, over a real connection on loopback."""
+"""Tests of reservation requests on one stream, over loopback."""
 
 import asyncio
 import unittest
@@ -20,7 +20,7 @@
 
 
 class FakeHost:
-    """Answers with the attempt, at once or when the test lets it."""
+    """Replies with the attempt, at once or when the test releases it."""
 
     def __init__(self):
         self.waiting = set()
@@ -57,9 +57,9 @@
             server = Server([host])
             await server.start(sock=listener)
             channel = Channel(*listener.getsockname())
-            asks = ReservationStream(peer_grpc.PeerStub(channel).Reserve.open)
-            await method(case, host, asks, channel)
-            asks.close()
+            stream = ReservationStream(peer_grpc.PeerStub(channel).Reserve.open)
+            await method(case, host, stream, channel)
+            stream.close()
             channel.close()
             server.close()
             await server.wait_closed()
@@ -69,36 +69,36 @@
     return run
 
 
-def ask(asks, attempt_id, may_queue=False, limit=LIMIT_MS):
+def send(stream, attempt_id, may_queue=False, limit=LIMIT_MS):
     request = peer_pb2.ReserveRequest(
         attempt_id=attempt_id, may_queue=may_queue
     )
-    return asyncio.create_task(asks.request(request, limit))
+    return asyncio.create_task(stream.request(request, limit))
 
 
-class AskStreamTest(unittest.TestCase):
+class ReservationStreamTest(unittest.TestCase):
     @over_loopback
-    async def test_answers_find_their_asks_in_any_order(
-        self, host, asks, channel
+    async def test_replies_match_their_requests_in_any_order(
+        self, host, stream, channel
     ):
-        slow = [ask(asks, f'slow-{number}', True) for number in range(20)]
-        quick = [ask(asks, f'quick-{number}') for number in range(20)]
+        slow = [send(stream, f'slow-{number}', True) for number in range(20)]
+        quick = [send(stream, f'quick-{number}') for number in range(20)]
         replies = await asyncio.gather(*quick)
         self.assertFalse(any(task.done() for task in slow))
         host.released.set()
         replies += await asyncio.gather(*slow)
         names = [reply.reservation_id for reply in replies]
-        wanted = [f'quick-{number}' for number in range(20)]
-        wanted += [f'slow-{number}' for number in range(20)]
-        self.assertEqual(names, wanted)
+        expected = [f'quick-{number}' for number in range(20)]
+        expected += [f'slow-{number}' for number in range(20)]
+        self.assertEqual(names, expected)
 
     @over_loopback
-    async def test_a_wait_ends_at_the_peer_with_its_caller(
-        self, host, asks, channel
+    async def test_cancelled_call_ends_the_wait_at_the_peer(
+        self, host, stream, channel
     ):
-        leaving = ask(asks, 'leaving', True)
-        late = ask(asks, 'late', True, 300)
-        staying = ask(asks, 'staying', True)
+        leaving = send(stream, 'leaving', True)
+        late = send(stream, 'late', True, 300)
+        staying = send(stream, 'staying', True)
         await until(lambda: len(host.waiting) == 3, LIMIT_MS)
         leaving.cancel()
         self.assertTrue(
@@ -109,12 +109,14 @@
         self.assertEqual((await staying).reservation_id, 'staying')
 
     @over_loopback
-    async def test_a_lost_connection_ends_both_ends(self, host, asks, channel):
-        waiting = ask(asks, 'waiting', True)
+    async def test_lost_connection_ends_the_waits_at_both_ends(
+        self, host, stream, channel
+    ):
+        waiting = send(stream, 'waiting', True)
         await until(lambda: host.waiting, LIMIT_MS)
         channel.close()
         with self.assertRaises(ConnectionResetError):
             await waiting
         self.assertTrue(await until(lambda: not host.waiting, LIMIT_MS))
-        reply = await ask(asks, 'again')
+        reply = await send(stream, 'again')
         self.assertEqual(reply.reservation_id, 'again')
--- a/tests/test_entry_reservations.py
+++ b/tests/test_entry_reservations.py
@@ -1,4 +1,4 @@
-"""Tests of memory that is promised once over all entries, under faults."""
+"""Tests that memory is granted only once over all entries, under faults."""
 
 import asyncio
 import unittest
@@ -12,7 +12,8 @@
 from verbenathread.types import RefusalReason, Reservation
 
 MEMORY = 400_000
-# Silence after a start, a round, and the wait of a new owner.
+# Time for an engine to get its first owner: silence after a start, a message
+# round and the takeover delay.
 OWNED_MS = 12_000
 
 
@@ -30,7 +31,7 @@
                     lambda: all(map(network.owner, names)), OWNED_MS
                 )
                 case.assertTrue(owned)
-                # Others learn of the owner with its next renewal.
+                # The other entries learn of the owner with its next renewal.
                 await asyncio.sleep(2)
                 await method(case, network)
                 renewals.cancel()
@@ -43,32 +44,32 @@
     return wrap
 
 
-def others(network, name):
+def non_owners(network, name):
     owner = network.owner(name)
     return [node_id for node_id in network.node_by_id if node_id != owner]
 
 
 class MemoryTest(unittest.TestCase):
     @with_engines(5, 'e1')
-    async def test_entries_that_ask_at_once_share_one_memory(self, network):
+    async def test_concurrent_requests_share_one_memory(self, network):
         network.reply_delay_s = 0.3
-        asks = [
+        tasks = [
             asyncio.create_task(network.reserve(node_id, 150_000))
             for node_id in network.ids
         ]
-        done, waiting = await asyncio.wait(asks, timeout=3)
+        done, waiting = await asyncio.wait(tasks, timeout=3)
         granted = [
-            ask.result()
-            for ask in done
-            if isinstance(ask.result(), Reservation)
+            task.result()
+            for task in done
+            if isinstance(task.result(), Reservation)
         ]
         self.assertEqual(len(waiting), 3)
         self.assertEqual(len(granted), 2)
         self.assertEqual(network.free('e1'), MEMORY - 300_000)
 
     @with_engines(3, 'e1')
-    async def test_release_lets_the_next_waiter_in(self, network):
-        first, second = others(network, 'e1')
+    async def test_release_grants_the_memory_to_the_next_waiter(self, network):
+        first, second = non_owners(network, 'e1')
         held = await network.reserve(first, 300_000)
         network.engines.run(held, first)
         waiting = asyncio.create_task(network.reserve(second, 300_000))
@@ -83,7 +84,7 @@
 
     @with_engines(3, 'e1')
     async def test_owner_learns_the_prefill_rate_at_once(self, network):
-        user = others(network, 'e1')[0]
+        user = non_owners(network, 'e1')[0]
         reservations = network.node_by_id[user].reservations
         host = network.node_by_id[network.owner('e1')].host
         before = host.engine('e1').ledger.report().prefill_us
@@ -92,7 +93,7 @@
                 user, 101_000
             )
             reservations.started(held)
-            # 100,000 tokens in 0.2 s: 2 ms for 1,000.
+            # 100,000 tokens in 0.2 s: 2 ms per 1,000 tokens.
             await asyncio.sleep(0.2)  # noqa: WPS476 - the prefill
             reservations.progress(held, 1)
             await asyncio.sleep(0.2)  # noqa: WPS476 - the output
@@ -101,8 +102,8 @@
         self.assertLess(learned, before / 5)
 
     @with_engines(3, 'e1')
-    async def test_caller_that_leaves_the_queue_takes_nothing(self, network):
-        first, second = others(network, 'e1')
+    async def test_abandoned_request_takes_no_memory(self, network):
+        first, second = non_owners(network, 'e1')
         held = await network.reserve(first, 300_000)
         work = network.work(300_000)
         reservations = network.node_by_id[second].reservations
@@ -118,7 +119,7 @@
         self.assertEqual(network.free('e1'), MEMORY)
 
     @with_engines(3, 'e1', 'e2', 'e3')
-    async def test_group_is_held_whole_or_not_at_all(self, network):
+    async def test_group_is_reserved_whole_or_not_at_all(self, network):
         group = await network.reserve('entry-0', 900_000)
         self.assertEqual(group.upstream_ids, ('e1', 'e2', 'e3'))
         network.engines.run(group, 'entry-0')
@@ -137,34 +138,37 @@
         self.assertEqual(free, [MEMORY, MEMORY, MEMORY])
 
     @with_engines(5, 'e1', 'e2', 'e3')
-    async def test_two_groups_never_wait_for_each_other(self, network):
+    async def test_two_groups_never_deadlock(self, network):
         names = ('e1', 'e2', 'e3')
         owners = set(map(network.owner, names))
         users = sorted(set(network.ids) - owners)[:2]
-        # Each comes first at an engine at which the other comes last.
-        network.delay_by_ask = {(users[0], 'e1'): 0.1, (users[1], 'e2'): 0.1}
-        asks = {
+        # At e1 the second user's request arrives first, at e2 the first one's.
+        network.delay_by_request = {
+            (users[0], 'e1'): 0.1,
+            (users[1], 'e2'): 0.1,
+        }
+        user_by_task = {
             asyncio.create_task(network.reserve(user, 900_000)): user
             for user in users
         }
-        waiting = set(asks)
+        waiting = set(user_by_task)
         while waiting:
             done, waiting = await asyncio.wait(
                 waiting, timeout=20, return_when=asyncio.FIRST_COMPLETED
             )
             self.assertEqual(len(done), 1)
-            for ask in done:
-                whole = ask.result()
-                self.assertIsInstance(whole, Reservation)
-                network.engines.run(whole, asks[ask])
+            for task in done:
+                group = task.result()
+                self.assertIsInstance(group, Reservation)
+                network.engines.run(group, user_by_task[task])
                 await asyncio.sleep(1)  # noqa: WPS476 - one at a time
-                network.engines.end(whole)
-                network.node_by_id[asks[ask]].reservations.release(
-                    whole, output_tokens=1, failed=False
+                network.engines.end(group)
+                network.node_by_id[user_by_task[task]].reservations.release(
+                    group, output_tokens=1, failed=False
                 )
 
     @with_engines(3, 'e1', 'e2', 'e3')
-    async def test_half_held_group_gives_its_parts_back(self, network):
+    async def test_abandoned_group_releases_its_parts(self, network):
         held = await asyncio.gather(
             *[network.reserve('entry-0', 350_000) for _ in range(3)]
         )
@@ -193,7 +197,7 @@
 
 class TakeoverTest(unittest.TestCase):
     async def new_owner(self, network, name, old):
-        """Wait for a new owner; return it and how long it waited."""
+        """Wait for a new owner; return it and its takeover delay in ms."""
         loop = asyncio.get_running_loop()
         leased = await until(
             lambda: any(
@@ -212,8 +216,8 @@
         return network.owner(name), int((loop.time() - began) * 1000)
 
     @with_engines(5, 'e1')
-    async def test_new_owner_adopts_what_still_runs(self, network):
-        user = others(network, 'e1')[0]
+    async def test_new_owner_restores_running_attempts(self, network):
+        user = non_owners(network, 'e1')[0]
         held = await network.reserve(user, 150_000)
         network.engines.run(held, user)
         network.node_by_id[user].reservations.started(held)
@@ -233,7 +237,7 @@
         self.assertEqual(network.free('e1'), MEMORY)
 
     @with_engines(5, 'e1')
-    async def test_no_takeover_of_an_engine_that_cannot_be_read(self, network):
+    async def test_no_takeover_of_an_unreadable_engine(self, network):
         old = network.owner('e1')
         network.engines.unreadable.add('e1')
         await network.kill(old)
@@ -244,20 +248,20 @@
         self.assertTrue(moved)
 
     @with_engines(5, 'e1', 'e2')
-    async def test_owner_cut_off_refuses_and_work_goes_elsewhere(self, network):
+    async def test_new_owner_replaces_a_partitioned_one(self, network):
         old = network.owner('e1')
-        network.cut_ids.add(old)
+        network.isolated_ids.add(old)
         await self.new_owner(network, 'e1', old)
         isolated = network.node_by_id[old]
         self.assertEqual(isolated.cell.engine_leases.term('e1'), 0)
         refused = await network.reserve(old, 5000)
         self.assertNotIsInstance(refused, Reservation)
-        user = others(network, 'e1')[0]
+        user = non_owners(network, 'e1')[0]
         granted = await network.reserve(user, 5000)
         self.assertIsInstance(granted, Reservation)
 
     @with_engines(5, 'e1', 'e2')
-    async def test_a_wait_ends_with_a_silent_owner(self, network):
+    async def test_wait_moves_on_from_an_unreachable_owner(self, network):
         owners = {network.owner('e1'), network.owner('e2')}
         user = (set(network.ids) - owners).pop()
         held = await asyncio.gather(
@@ -268,9 +272,9 @@
         waiting = asyncio.create_task(network.reserve(user, 350_000))
         await asyncio.sleep(1)
         self.assertFalse(waiting.done())
-        network.cut_ids.update(owners)
+        network.isolated_ids.update(owners)
         await asyncio.sleep(30)
-        # Every memory is still in use; the wait went on at new owners.
+        # All memory is still in use; the request waits at new owners.
         self.assertFalse(waiting.done())
         network.engines.end(held[0])
         network.node_by_id[user].reservations.release(
@@ -280,19 +284,19 @@
         self.assertEqual(waiting.result().upstream_ids, held[0].upstream_ids)
 
     @with_engines(5, 'e1')
-    async def test_owner_that_overslept_its_lease_refuses(self, network):
+    async def test_owner_suspended_past_its_lease_refuses(self, network):
         old = network.owner('e1')
         frozen = network.node_by_id[old].host.engine('e1')
-        # Its tasks stand still; its memory of the ledger does not change.
+        # Its tasks are stopped, but its ledger keeps its state.
         await network.kill(old)
         await self.new_owner(network, 'e1', old)
-        request = _request(network, old)
+        request = _reserve_message(network, old)
         reply = await frozen.reserve(request)
         self.assertEqual(reply.refusal, 'not_owner')
 
     @with_engines(3, 'e1')
-    async def test_a_grant_that_comes_late_is_not_used(self, network):
-        user = others(network, 'e1')[0]
+    async def test_late_grant_is_not_used(self, network):
+        user = non_owners(network, 'e1')[0]
         network.reply_delay_s = (START_TIMEOUT + 100) / 1000
         outcome = await network.reserve(user, 5000, 40_000)
         self.assertNotIsInstance(outcome, Reservation)
@@ -304,7 +308,7 @@
 class ReconcileTest(unittest.TestCase):
     @with_engines(3, 'e1')
     async def test_memory_of_a_dead_entry_stays_in_use(self, network):
-        user = others(network, 'e1')[0]
+        user = non_owners(network, 'e1')[0]
         held = await network.reserve(user, 150_000)
         network.engines.run(held, user)
         await network.kill(user)
@@ -315,24 +319,24 @@
         self.assertEqual(network.free('e1'), MEMORY)
 
     @with_engines(3, 'e1')
-    async def test_lost_start_does_not_give_memory_out_twice(self, network):
-        user = others(network, 'e1')[0]
+    async def test_lost_start_report_does_not_free_the_memory(self, network):
+        user = non_owners(network, 'e1')[0]
         held = await network.reserve(user, 300_000)
         network.engines.run(held, user)
-        network.cut_ids.add(user)
+        network.isolated_ids.add(user)
         await asyncio.sleep(10)
         self.assertEqual(network.free('e1'), MEMORY - 300_000)
 
     @with_engines(3, 'e1')
-    async def test_grant_that_never_started_comes_back(self, network):
-        user = others(network, 'e1')[0]
+    async def test_grant_that_never_started_is_released(self, network):
+        user = non_owners(network, 'e1')[0]
         await network.reserve(user, 300_000)
         await network.kill(user)
         await asyncio.sleep(6)
         self.assertEqual(network.free('e1'), MEMORY)
 
 
-def _request(network, node_id):
+def _reserve_message(network, node_id):
     work = network.work(5000)
-    ask = ReservationRequest(work, 'late', node_id, 5000)
-    return reservation_messages.encode_request('e1', ask, 1, work.arrival)
+    request = ReservationRequest(work, 'late', node_id, 5000)
+    return reservation_messages.encode_request('e1', request, 1, work.arrival)
--- a/tests/virtual_loop.py
+++ b/tests/virtual_loop.py
@@ -1,7 +1,7 @@
-"""An event loop whose time passes only while every task waits.
+"""An event loop with virtual time, which advances only while all tasks wait.
 
-A test that sleeps for an hour of loop time ends at once, and ends the same
-way each run.
+A test that sleeps for an hour of loop time takes no real time, and its
+outcome is the same on each run.
 """
 
 import asyncio
@@ -13,7 +13,7 @@
 
 
 class _SkippingSelector(selectors.DefaultSelector):
-    """Polls the sockets and skips the loop's time over every wait."""
+    """Polls the sockets and advances the virtual time instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -25,7 +25,7 @@
             return ready
         if timeout is None:
             raise RuntimeError(
-                'every task waits for something that never comes'
+                'deadlock: all tasks wait and no timer is scheduled'
             )
         self.skipped += max(0, timeout)
         return []
--- a/verbenathread/entry/load_reports.py
+++ b/verbenathread/entry/load_reports.py
@@ -57,7 +57,7 @@
                 continue
             report = _report_of(load, record.upstream_id, record.memory_tokens)
             if report is not None:
-                self._reservations.note_report(report)
+                self._reservations.record_report(report)
 
     def absorb(
         self,
@@ -91,7 +91,7 @@
             self._load_by_engine[load.engine] = load
             self._changed_at_by_engine[load.engine] = changed_at
             if self._reservations is not None:
-                self._reservations.note_report(report)
+                self._reservations.record_report(report)
 
 
 def _is_same(old: peer_pb2.EngineLoad, new: peer_pb2.EngineLoad) -> bool:
--- a/verbenathread/entry/reservations.py
+++ b/verbenathread/entry/reservations.py
@@ -159,7 +159,7 @@
             urgent=True,
         )
 
-    def note_report(self, report: EngineReport) -> None:
+    def record_report(self, report: EngineReport) -> None:
         """Pass the load that an owner reports on to the router."""
         record = self._cell.table.get(report.upstream_id)
         if record is not None:
