--- a/verbenathread/entry/admissions.py
+++ b/verbenathread/entry/admissions.py
@@ -54,7 +54,7 @@
         self._admission = Admission(self._limiter)
         self._upstreams: ReadyUpstreams | None = None
         self._confirmed_by_peer: dict[NodeId, _Confirmed] = {}
-        # Incarnations of the peers whose whole usage has been received.
+        # Incarnations of the peers that have sent their full usage.
         self._incarnation_by_peer: dict[NodeId, int] = {}
 
     def connect(self, upstreams: ReadyUpstreams) -> None:
@@ -112,7 +112,7 @@
     ) -> None:
         """Count what a peer admitted; usage it does not report is unchanged.
 
-        Partial usage is ignored until the whole usage has been received.
+        Partial usage is ignored until the full usage has been received.
         """
         peer_id = message.node_id
         previous = self._incarnation_by_peer.get(peer_id)
--- a/verbenathread/entry/cell_node.py
+++ b/verbenathread/entry/cell_node.py
@@ -113,8 +113,8 @@
         self.cell.start()
         self.host.start()
         self._tasks = tuple(
-            _create_task(work)
-            for work in (
+            _create_task(coroutine)
+            for coroutine in (
                 self.outbox.run(),
                 self._session.run(),
                 self._fetcher.run(),
@@ -158,9 +158,9 @@
         return _UNKNOWN_SERVICE_LEASE_MS if settings is None else settings.lease
 
 
-def _create_task(work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+def _create_task(coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
     """Start a task whose failure is logged at once."""
-    task = asyncio.create_task(work)
+    task = asyncio.create_task(coroutine)
     task.add_done_callback(_log_failure)
     return task
 
--- a/verbenathread/entry/ledger_host.py
+++ b/verbenathread/entry/ledger_host.py
@@ -83,7 +83,7 @@
     async def close(self) -> None:
         """Refuse all waiters and cancel all tasks."""
         for upstream_id in tuple(self._term_by_id):
-            self._lose(upstream_id)
+            self._close_engine(upstream_id)
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -121,8 +121,8 @@
             engine.ledger.report() for engine in self._engine_by_id.values()
         )
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.create_task(work)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -137,13 +137,13 @@
         term_by_id = self._cell.engine_leases.held_terms()
         for owned_id, owned_term in tuple(self._term_by_id.items()):
             if term_by_id.get(owned_id) != owned_term:
-                self._lose(owned_id)
+                self._close_engine(owned_id)
         for engine_id, term in term_by_id.items():
             if engine_id not in self._term_by_id:
                 self._term_by_id[engine_id] = term
                 self._spawn(self._take_over(engine_id, term))
 
-    def _lose(self, upstream_id: UpstreamId) -> None:
+    def _close_engine(self, upstream_id: UpstreamId) -> None:
         self._term_by_id.pop(upstream_id)
         engine = self._engine_by_id.pop(upstream_id, None)
         if engine is not None:
@@ -163,7 +163,7 @@
                 await asyncio.sleep(seconds(_READ_RETRY_MS))
                 continue
             if self._term_by_id.get(upstream_id) == term:
-                self._open(record, holds, term)
+                self._open_engine(record, holds, term)
             return
 
     async def _read(self, record: UpstreamRecord) -> tuple[EngineHold, ...]:
@@ -180,7 +180,7 @@
             for hold in listed
         )
 
-    def _open(
+    def _open_engine(
         self,
         record: UpstreamRecord,
         holds: tuple[EngineHold, ...],
@@ -200,7 +200,7 @@
             node_id=self._cell.identity.node_id,
             incarnation=self._cell.identity.incarnation,
         )
-        engine.adopt(holds)
+        engine.restore(holds)
         self._engine_by_id[upstream_id] = engine
         _log.info('Engine taken over.', engine=upstream_id, holds=len(holds))
 
--- a/verbenathread/entry/loop_thread.py
+++ b/verbenathread/entry/loop_thread.py
@@ -36,16 +36,18 @@
         self._thread.join()
         self._loop.close()
 
-    def run(self, work: Coroutine[Any, Any, _Result], limit: Millis) -> _Result:
+    def run(
+        self, coroutine: Coroutine[Any, Any, _Result], limit: Millis
+    ) -> _Result:
         """Run a coroutine and wait for its result.
 
         Raises :class:`UnavailableError` if there is no result shortly after
         ``limit`` ms.
         """
         if self._loop.is_closed():
-            work.close()
+            coroutine.close()
             raise UnavailableError('This entry has stopped; use another one.')
-        future = asyncio.run_coroutine_threadsafe(work, self._loop)
+        future = asyncio.run_coroutine_threadsafe(coroutine, self._loop)
         try:
             return future.result(seconds(limit + _RESULT_SLACK_MS))
         except futures.CancelledError:
--- a/verbenathread/entry/owned_engine.py
+++ b/verbenathread/entry/owned_engine.py
@@ -80,8 +80,8 @@
         self._grant_by_id: dict[str, Grant] = {}
         self._waiter_by_attempt: dict[str, _Waiter] = {}
 
-    def adopt(self, holds: Iterable[EngineHold]) -> None:
-        """Create grants for what the engine lists at takeover."""
+    def restore(self, holds: Iterable[EngineHold]) -> None:
+        """Restore the grants of a previous owner from the engine's list."""
         listed = tuple(holds)
         self.ledger.restore(listed)
         for hold in listed:
@@ -188,10 +188,10 @@
     ) -> peer_pb2.ReserveReply:
         waiter = _Waiter(message)
         self._waiter_by_attempt[request.attempt_id] = waiter
-        left = max(0, request.work.deadline - self._clock.now())
+        remaining = max(0, request.work.deadline - self._clock.now())
         answered = False
         try:
-            async with asyncio.timeout(seconds(left)):
+            async with asyncio.timeout(seconds(remaining)):
                 reply = await waiter.reply
             answered = True
         except TimeoutError:
--- a/verbenathread/entry/reservation_stream.py
+++ b/verbenathread/entry/reservation_stream.py
@@ -128,8 +128,10 @@
             if not future.done():
                 future.set_exception(ConnectionResetError('the stream ended'))
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        task = asyncio.create_task(work)
+    def _spawn(
+        self, coroutine: Coroutine[Any, Any, None]
+    ) -> asyncio.Task[None]:
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._on_done)
         return task
--- a/verbenathread/entry/reservations.py
+++ b/verbenathread/entry/reservations.py
@@ -175,7 +175,7 @@
                 return outcome
             now = self._clock.now()
             if candidates.engines:
-                # There was an owner, but it has gone in the meantime.
+                # An owner existed but has gone in the meantime.
                 waiting_since = now
             timeout = _NO_ENGINE_TIMEOUT_MS
             if self._cell.table.ready(work.service):
