--- a/tests/standins/platform_worker.py
+++ b/tests/standins/platform_worker.py
@@ -8,13 +8,13 @@
 from verbenathread.types import Address
 
 
-class Seen:
+class ReceivedRequest:
     """A request as it reached the worker."""
 
     def __init__(self, head: bytes, body: bytes) -> None:
         """Split the head."""
         first, *lines = head.decode('latin-1').split('\r\n')
-        self.line = first
+        self.request_line = first
         self.header_by_name = {}
         for line in lines:
             name, _, text = line.partition(':')
@@ -28,7 +28,7 @@
         return self.header_by_name['attempt-id']
 
 
-Script = Callable[[Seen, asyncio.StreamWriter], Awaitable[None]]
+Script = Callable[[ReceivedRequest, asyncio.StreamWriter], Awaitable[None]]
 
 
 class PlatformWorker:
@@ -38,12 +38,12 @@
         """Answer as ``worker_id``."""
         self.worker_id = worker_id
         self.script = script
-        self.seen: list[Seen] = []
+        self.requests: list[ReceivedRequest] = []
         self.connections = 0
         self.closed_early = 0
         self.probes = 0
         # Accepts connections and says nothing to a probe.
-        self.is_dark = False
+        self.is_unresponsive = False
 
     async def start(self) -> Address:
         """Listen on a free port."""
@@ -69,7 +69,7 @@
         try:
             while not writer.is_closing():
                 head = await reader.readuntil(b'\r\n\r\n')
-                seen = Seen(head, b'')
+                seen = ReceivedRequest(head, b'')
                 length = int(seen.header_by_name.get('content-length', '0'))
                 seen.body = await reader.readexactly(length)
                 await self._answer(seen, writer)
@@ -81,19 +81,25 @@
         finally:
             writer.close()
 
-    async def _answer(self, seen: Seen, writer: asyncio.StreamWriter) -> None:
-        if not seen.line.startswith('GET /report '):
-            self.seen.append(seen)
+    async def _answer(
+        self, seen: ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> None:
+        if not seen.request_line.startswith('GET /report '):
+            self.requests.append(seen)
             await self.script(seen, writer)
             return
         self.probes += 1
-        if self.is_dark:
+        if self.is_unresponsive:
             await asyncio.sleep(30)
-        writer.write(plain(REPORT))
+        writer.write(unsigned_response(REPORT))
 
 
-def answer(
-    seen: Seen, body: bytes, *, status: str = '200 OK', extra: str = ''
+def signed_response(
+    seen: ReceivedRequest,
+    body: bytes,
+    *,
+    status: str = '200 OK',
+    extra: str = '',
 ) -> bytes:
     """Return a signed answer with its length."""
     head = (
@@ -109,7 +115,7 @@
 )
 
 
-def plain(body: bytes) -> bytes:
+def unsigned_response(body: bytes) -> bytes:
     """Return an answer that names no attempt."""
     return b'HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b' % (
         len(body),
@@ -117,14 +123,14 @@
     )
 
 
-def refusal(status: str = '503 Service Unavailable') -> bytes:
+def not_executed_response(status: str = '503 Service Unavailable') -> bytes:
     """Return the answer of a worker that did not run the request."""
     return (
         f'HTTP/1.1 {status}\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n'
     ).encode()
 
 
-def stream_head(seen: Seen) -> bytes:
+def stream_head(seen: ReceivedRequest) -> bytes:
     """Return the head of a stream in chunks."""
     return (
         f'HTTP/1.1 200 OK\r\nAttempt-Id: {seen.attempt_id}\r\n'
--- a/tests/standins/processes.py
+++ b/tests/standins/processes.py
@@ -25,8 +25,8 @@
             stdout=subprocess.PIPE,
         )
         assert self.process.stdout is not None
-        self.members = json.loads(self.process.stdout.readline())
-        self.address = self.members['address']
+        self.announcement = json.loads(self.process.stdout.readline())
+        self.address = self.announcement['address']
 
     def announce(
         self,
@@ -34,7 +34,7 @@
         key: str = 'announce-key',
         verb: str = 'announce',
     ) -> int:
-        return post_announcement(entry, verb, key, self.members)
+        return post_announcement(entry, verb, key, self.announcement)
 
     def kill(self) -> None:
         """SIGKILL, as a VM that is lost."""
@@ -58,17 +58,17 @@
             handler = service_handler(self.options)
             self.state = handler.bookings
         self.server = StandInServer(('127.0.0.1', 0), handler)
-        self.members = announcement(
+        self.announcement = announcement(
             self.options, self.server.server_address, memory_tokens=400_000
         )
-        self.address = self.members['address']
+        self.address = self.announcement['address']
         self.thread = threading.Thread(
             target=self.server.serve_forever, args=(0.02,), daemon=True
         )
         self.thread.start()
 
     def announce(self, entry, key='announce-key', verb='announce'):
-        return post_announcement(entry, verb, key, self.members)
+        return post_announcement(entry, verb, key, self.announcement)
 
     def stop(self):
         self.server.shutdown()
--- a/tests/test_directory_cluster.py
+++ b/tests/test_directory_cluster.py
@@ -11,13 +11,13 @@
 from tests.gateway_harness import Answer, read_answer
 from verbenathread.clock import SystemClock
 from verbenathread.directory.daemon import DirectoryDaemon
-from verbenathread.directory.damage import set_aside
+from verbenathread.directory.damage import quarantine_folder
 from verbenathread.directory.seeds import SeedFile
 from verbenathread.exceptions import StorageError
 from verbenathread.gateway.view import View
 from verbenathread.gateway.watch import DirectoryWatch
 from verbenathread.platform.bodies import decode_config
-from verbenathread.platform.calls import DirectoryHttp
+from verbenathread.platform.directory_handler import DirectoryHandler
 from verbenathread.rpc_channel import PeerChannel
 from verbenathread.schema.directory_grpc import DirectoryStub
 from verbenathread.schema.directory_pb2 import WatchRequest
@@ -120,7 +120,7 @@
             )
         )
         settings = load_node_settings(str(path))
-        daemon = DirectoryDaemon(settings, str(path), DirectoryHttp)
+        daemon = DirectoryDaemon(settings, str(path), DirectoryHandler)
         await daemon.start()
         self.daemon_by_number[number] = daemon
 
@@ -341,7 +341,7 @@
         segment.write_bytes(content)
         with self.assertRaises(StorageError) as caught:
             await self.start(1)
-        set_aside(str(folder), caught.exception)
+        quarantine_folder(str(folder), caught.exception)
         await self.start(1)
         await self.until(self.is_healed)
         kept = self.folder / 'log1-damaged' / segment.name
--- a/tests/test_entry_relay.py
+++ b/tests/test_entry_relay.py
@@ -65,7 +65,7 @@
         )
 
     def record(self, engine):
-        return self.entry.upstreams.get(engine.members['upstream_id'])
+        return self.entry.upstreams.get(engine.announcement['upstream_id'])
 
     def assert_nothing_held(self, *engines):
         for engine in engines:
--- a/tests/test_gateway_relay.py
+++ b/tests/test_gateway_relay.py
@@ -6,11 +6,11 @@
 from tests.gateway_harness import GatewayHarness, read_answer, request
 from tests.standins.platform_worker import (
     LAST_CHUNK,
-    answer,
     chunk,
     event,
-    refusal,
+    not_executed_response,
     reset,
+    signed_response,
     stream_head,
 )
 
@@ -19,22 +19,24 @@
 
 async def whole(seen, writer):
     """Answer a plain call."""
-    writer.write(answer(seen, b'booked'))
+    writer.write(signed_response(seen, b'booked'))
 
 
 async def fail(seen, writer):
     """Answer that the call failed."""
-    writer.write(answer(seen, b'no', status='500 Internal Server Error'))
+    writer.write(
+        signed_response(seen, b'no', status='500 Internal Server Error')
+    )
 
 
 async def refuse(seen, writer):
     """Run nothing."""
-    writer.write(refusal())
+    writer.write(not_executed_response())
 
 
 async def elsewhere(seen, writer):
     """Answer as another worker at this address."""
-    writer.write(refusal('421 Misdirected Request'))
+    writer.write(not_executed_response('421 Misdirected Request'))
 
 
 async def vanish(seen, writer):
@@ -44,7 +46,7 @@
 
 async def cut_short(seen, writer):
     """Break off in the body."""
-    writer.write(answer(seen, b'booked')[:-3])
+    writer.write(signed_response(seen, b'booked')[:-3])
     await writer.drain()
     reset(writer)
 
@@ -57,26 +59,30 @@
 async def unsigned(seen, writer):
     """Answer with success that no worker signed."""
     writer.write(
-        answer(seen, b'booked').replace(b'Response-Stamp', b'Other-Header')
+        signed_response(seen, b'booked').replace(
+            b'Response-Stamp', b'Other-Header'
+        )
     )
 
 
 async def twice(seen, writer):
     """Send a second answer behind the first."""
-    writer.write(answer(seen, b'booked') + answer(seen, b'again'))
+    writer.write(
+        signed_response(seen, b'booked') + signed_response(seen, b'again')
+    )
 
 
 async def late_answer_first(seen, writer):
     """Send the answer to another request first."""
-    other = answer(seen, b'other').replace(
+    other = signed_response(seen, b'other').replace(
         seen.attempt_id.encode(), b'another1'
     )
-    writer.write(other + answer(seen, b'booked'))
+    writer.write(other + signed_response(seen, b'booked'))
 
 
 async def unframed(seen, writer):
     """End the answer with the connection."""
-    content = answer(seen, b'booked')
+    content = signed_response(seen, b'booked')
     writer.write(content.replace(b'Content-Length: 6', b'Connection: close'))
     await writer.drain()
     writer.close()
@@ -84,7 +90,7 @@
 
 async def unframed_reset(seen, writer):
     """Reset where the connection's end would end the answer."""
-    content = answer(seen, b'booked').replace(
+    content = signed_response(seen, b'booked').replace(
         b'Content-Length: 6', b'Connection: close'
     )
     writer.write(content[:-2])
@@ -153,7 +159,7 @@
         )
 
     def runs(self):
-        return sum(len(one.seen) for one in self.harness.workers)
+        return sum(len(one.requests) for one in self.harness.workers)
 
 
 class PlainTest(GatewayTest):
@@ -216,8 +222,10 @@
             body=b'\x00bed',
         )
         worker = self.harness.workers[0]
-        seen = worker.seen[0]
-        self.assertEqual(seen.line, 'POST /hold/a%20b?x=1&y=%2F HTTP/1.1')
+        seen = worker.requests[0]
+        self.assertEqual(
+            seen.request_line, 'POST /hold/a%20b?x=1&y=%2F HTTP/1.1'
+        )
         self.assertEqual(seen.body, b'\x00bed')
         headers = seen.header_by_name
         self.assertEqual(headers['tenant'], 'night')
@@ -243,7 +251,7 @@
     async def test_a_caller_that_leaves_ends_the_work(self):
         async def slow(seen, writer):
             await asyncio.sleep(0.3)
-            writer.write(answer(seen, b'booked'))
+            writer.write(signed_response(seen, b'booked'))
             await writer.drain()
 
         await self.serve('ledger', slow)
@@ -288,7 +296,7 @@
             with self.subTest(script=script.__name__):
                 self.harness = GatewayHarness()
                 await self.serve('desk', script, stream)
-                self.harness.workers[0].is_dark = script is fall_silent
+                self.harness.workers[0].is_unresponsive = script is fall_silent
                 answered = await self.harness.ask('/note/1')
                 self.assertEqual(answered.status, 200)
                 self.assertTrue(answered.whole)
--- a/tests/test_http1_server.py
+++ b/tests/test_http1_server.py
@@ -22,11 +22,11 @@
         self.requests: list[Request] = []
         self.delay = 0
 
-    async def handle(self, request, reply):
+    async def handle(self, request, response):
         self.requests.append(request)
         if self.delay:
             await asyncio.sleep(self.delay)
-        reply.send(200, (), request.method + b' ' + request.body)
+        response.send(200, (), request.method + b' ' + request.body)
 
 
 class Waits:
@@ -35,15 +35,15 @@
     def __init__(self, gone: asyncio.Event) -> None:
         self.gone = gone
 
-    async def handle(self, request, reply):
-        reply.on_gone = self.gone.set
+    async def handle(self, request, response):
+        response.on_disconnect = self.gone.set
         await self.gone.wait()
 
 
 class Fails:
     """Raises an error that nobody expects."""
 
-    async def handle(self, request, reply):
+    async def handle(self, request, response):
         raise KeyError('inside')
 
 
--- a/tests/test_serving_registry.py
+++ b/tests/test_serving_registry.py
@@ -3,7 +3,7 @@
 import itertools
 import unittest
 
-from verbenathread.directory.machine import DirectoryMachine, entry_of
+from verbenathread.directory.machine import DirectoryMachine, encode_worker
 from verbenathread.schema import directory_pb2 as messages
 from verbenathread.serving.registry import Registry
 from verbenathread.serving.types import Worker, WorkerState
@@ -102,7 +102,7 @@
         machine = DirectoryMachine()
         self.put(machine, 4, b'body')
         for one in (worker(), worker('w2', port=81, state=DRAINING)):
-            command = messages.DirectoryCommand(put_worker=entry_of(one))
+            command = messages.DirectoryCommand(put_worker=encode_worker(one))
             machine.apply(2, command.SerializeToString())
         other = DirectoryMachine()
         other.restore(machine.snapshot())
--- a/tools/soak/workers.py
+++ b/tools/soak/workers.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from tests.standins import platform_worker as standin
-from tests.standins.platform_worker import PlatformWorker, Seen
+from tests.standins.platform_worker import PlatformWorker, ReceivedRequest
 from tools.soak.findings import Findings
 from tools.soak.loopback_proxy import LoopbackProxy
 from verbenathread.clock import Clock, seconds
@@ -96,12 +96,16 @@
         """Note that a ticket is used no more."""
         self._used.discard(ticket_id)
 
-    async def _answer(self, seen: Seen, writer: asyncio.StreamWriter) -> None:
-        if seen.line.startswith('POST /order '):
+    async def _answer(
+        self, seen: ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> None:
+        if seen.request_line.startswith('POST /order '):
             writer.write(self._order(json.loads(seen.body)))
             return
         if seen.header_by_name.get('expect-instance') != self.worker_id:
-            writer.write(standin.refusal('421 Misdirected Request'))
+            writer.write(
+                standin.not_executed_response('421 Misdirected Request')
+            )
             return
         self._check(seen)
         if self._random.random() < self.fault_share:
@@ -112,11 +116,11 @@
         else:
             await self._book(seen, writer)
 
-    def _check(self, seen: Seen) -> None:
+    def _check(self, seen: ReceivedRequest) -> None:
         headers = seen.header_by_name
         self._findings.arrived.add(seen.attempt_id)
         # Probes of versions use public routes.
-        account = '' if 'GET /v' in seen.line else ACCOUNT
+        account = '' if 'GET /v' in seen.request_line else ACCOUNT
         if headers.get('tenant', '') != account:
             self._findings.breach('UNASKED', f'account of {seen.attempt_id}')
         if 'authorization' in headers:
@@ -129,11 +133,13 @@
             late = now - self.drained_at
             self._findings.breach('DRAIN', f'{self.worker_id} {late} ms late')
 
-    async def _spoil(self, seen: Seen, writer: asyncio.StreamWriter) -> bool:
+    async def _spoil(
+        self, seen: ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> bool:
         """Fail a request in one of several ways; False to serve it as well."""
         fault = self._random.choice(('busy', 'lost', 'hang', 'extra', 'error'))
         if fault == 'busy':
-            writer.write(standin.refusal())
+            writer.write(standin.not_executed_response())
         elif fault == 'lost':
             self._note_run(seen)
             standin.reset(writer)
@@ -143,39 +149,51 @@
         elif fault == 'error':
             self._note_run(seen)
             writer.write(
-                standin.answer(seen, b'', status='500 Internal Server Error')
+                standin.signed_response(
+                    seen, b'', status='500 Internal Server Error'
+                )
             )
         else:
             # The late answer to a request that nobody waits for any more.
-            other = Seen(b'GET / HTTP/1.1\r\nAttempt-Id: nobody\r\n', b'')
-            writer.write(standin.answer(other, b'not yours'))
+            other = ReceivedRequest(
+                b'GET / HTTP/1.1\r\nAttempt-Id: nobody\r\n', b''
+            )
+            writer.write(standin.signed_response(other, b'not yours'))
             return False
         return True
 
-    def _note_run(self, seen: Seen) -> None:
-        if seen.line.startswith('POST /hold/'):
+    def _note_run(self, seen: ReceivedRequest) -> None:
+        if seen.request_line.startswith('POST /hold/'):
             self._findings.ran(seen.attempt_id)
 
-    async def _book(self, seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def _book(
+        self, seen: ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> None:
         self._note_run(seen)
         await asyncio.sleep(seconds(_WORK))
-        writer.write(standin.answer(seen, f'done {seen.attempt_id}'.encode()))
+        writer.write(
+            standin.signed_response(seen, f'done {seen.attempt_id}'.encode())
+        )
 
-    async def _generate(self, seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def _generate(
+        self, seen: ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> None:
         tickets = self._named_tickets(seen)
         for engine, ticket_id in tickets:
             if not engine.use(ticket_id):
-                writer.write(standin.refusal())
+                writer.write(standin.not_executed_response())
                 return
         with contextlib.ExitStack() as stack:
             for engine, ticket_id in tickets:
                 stack.callback(engine.leave, ticket_id)
             await self._stream(seen, writer)
 
-    async def _stream(self, seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def _stream(
+        self, seen: ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> None:
         writer.write(standin.stream_head(seen))
         # The path names the number of events.
-        last = int(seen.line.split()[1].split('/')[2])
+        last = int(seen.request_line.split()[1].split('/')[2])
         first = int(seen.header_by_name.get('last-event-id', '0')) + 1
         for number in range(first, last + 1):
             writer.write(standin.chunk(standin.event(number, seen.attempt_id)))
@@ -183,7 +201,9 @@
             await asyncio.sleep(seconds(_EVENT_STEP))
         writer.write(standin.LAST_CHUNK)
 
-    def _named_tickets(self, seen: Seen) -> list[tuple['SoakWorker', str]]:
+    def _named_tickets(
+        self, seen: ReceivedRequest
+    ) -> list[tuple['SoakWorker', str]]:
         tickets = []
         for holder in seen.header_by_name.get('helpers', '').split(','):
             address, _, ticket_id = holder.partition('/')
@@ -196,7 +216,7 @@
         ticket_id = str(said['id'])
         if said['operation'] == 'release':
             self._ticket_by_id.pop(ticket_id, None)
-            return standin.plain(b'{"free":0}')
+            return standin.unsigned_response(b'{"free":0}')
         tokens = int(str(said['tokens']))
         # Dropped first are the tickets whose lease is over.
         others = [held for held in self.tickets() if held != ticket_id]
@@ -205,4 +225,4 @@
             return b'HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n'
         until = self._clock.now() + int(str(said['hold-ms']))
         self._ticket_by_id[ticket_id] = _Ticket(tokens, until)
-        return standin.plain(b'{"free":1}')
+        return standin.unsigned_response(b'{"free":1}')
--- a/verbenathread/daemons.py
+++ b/verbenathread/daemons.py
@@ -111,17 +111,17 @@
     settings: settings_pb2.NodeSettings, path: str
 ) -> None:
     from verbenathread.directory.daemon import DirectoryDaemon
-    from verbenathread.directory.damage import set_aside
-    from verbenathread.platform.calls import DirectoryHttp
+    from verbenathread.directory.damage import quarantine_folder
+    from verbenathread.platform.directory_handler import DirectoryHandler
 
     stopping = _stop_event()
-    daemon = DirectoryDaemon(settings, path, DirectoryHttp)
+    daemon = DirectoryDaemon(settings, path, DirectoryHandler)
     try:
         await daemon.start()
     except StorageError as damage:
-        set_aside(settings.directory.data_folder, damage)
+        quarantine_folder(settings.directory.data_folder, damage)
         settings.directory.bootstrap = False
-        daemon = DirectoryDaemon(settings, path, DirectoryHttp)
+        daemon = DirectoryDaemon(settings, path, DirectoryHandler)
         await daemon.start()
     except OSError as error:
         raise SettingsError(
@@ -130,7 +130,7 @@
         )
     asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, daemon.reload)
     _freeze_startup()
-    failed = asyncio.create_task(daemon.failed())
+    failed = asyncio.create_task(daemon.wait_failed())
     await asyncio.wait(
         (failed, asyncio.create_task(stopping.wait())),
         return_when=asyncio.FIRST_COMPLETED,
--- a/verbenathread/directory/calls.py
+++ b/verbenathread/directory/calls.py
@@ -7,7 +7,7 @@
 from verbenathread.clock import Clock, seconds
 from verbenathread.consensus.machine import Applied
 from verbenathread.consensus.settings import ReplicaStatus
-from verbenathread.directory.machine import DirectoryMachine, entry_of
+from verbenathread.directory.machine import DirectoryMachine, encode_worker
 from verbenathread.exceptions import UnavailableError, VerbenathreadError
 from verbenathread.observability.logs import get_logger
 from verbenathread.schema import directory_pb2 as messages
@@ -17,16 +17,16 @@
 _log = get_logger('directory')
 
 # Callers try another process after a second without an answer.
-_CALL_LIMIT: Millis = 900
+_CALL_TIMEOUT: Millis = 900
 # Heartbeats missed until a worker that says nothing is no longer offered to
 # gateways, which find out by themselves much sooner.
-_HEARTBEATS_MISSED = 6
-_SILENCE_STEP: Millis = 1000
+_MAX_MISSED_HEARTBEATS = 6
+_SILENCE_CHECK_INTERVAL: Millis = 1000
 # The quickest level of zlib: a tenth of the size in a tenth of the time.
-_COMPRESSION = 1
+_COMPRESSION_LEVEL = 1
 
 
-class Log(Protocol):
+class ReplicatedLog(Protocol):
     """What these calls need of a replica."""
 
     async def propose(self, command: bytes, limit: Millis) -> Applied:
@@ -44,7 +44,7 @@
 
     def __init__(
         self,
-        log: Log,
+        log: ReplicatedLog,
         machine: DirectoryMachine,
         clock: Clock,
         worker_heartbeat: Millis,
@@ -53,9 +53,9 @@
         self._log = log
         self._machine = machine
         self._clock = clock
-        self._silence = _HEARTBEATS_MISSED * worker_heartbeat
-        self._heard_by_id: dict[str, Millis] = {}
-        self._led = False
+        self._silence_limit = _MAX_MISSED_HEARTBEATS * worker_heartbeat
+        self._heartbeat_time_by_id: dict[str, Millis] = {}
+        self._was_leader = False
 
     async def put_config(self, version: int, body: bytes) -> None:
         """Bring a checked configuration in force, unless it is not newer."""
@@ -63,36 +63,36 @@
         if version <= held:
             _log.info('A configuration is not newer.', got=version, held=held)
             return
-        packed = zlib.compress(body, _COMPRESSION)
+        packed = zlib.compress(body, _COMPRESSION_LEVEL)
         put = messages.PutConfig(version=version, body=packed)
         await self._propose(messages.DirectoryCommand(put_config=put))
         _log.info('A configuration is in force.', version=version)
 
     async def get_config(self) -> bytes:
         """Return the newest configuration; raises UnavailableError."""
-        await self._log.barrier(_CALL_LIMIT)
+        await self._log.barrier(_CALL_TIMEOUT)
         if not self._machine.config_body:
             raise UnavailableError(
                 'There is no configuration yet; send one first.'
             )
         return self.config_body()
 
-    async def note_worker(self, worker: Worker) -> None:
+    async def record_worker(self, worker: Worker) -> None:
         """Take what a worker says of itself; return once it is safe."""
         registry = self._machine.registry
         if not self._log.status().is_leader:
-            await self._log.barrier(_CALL_LIMIT)
+            await self._log.barrier(_CALL_TIMEOUT)
         held = registry.worker_by_id.get(worker.worker_id)
         if worker.state is WorkerState.GONE and held is not None:
             worker = held._replace(
                 state=WorkerState.GONE, born=worker.born or held.born
             )
         if held is None or held.born <= worker.born:
-            self._heard_by_id[worker.worker_id] = self._clock.now()
+            self._heartbeat_time_by_id[worker.worker_id] = self._clock.now()
         if not registry.is_news(worker):
             return
         await self._propose(
-            messages.DirectoryCommand(put_worker=entry_of(worker))
+            messages.DirectoryCommand(put_worker=encode_worker(worker))
         )
         _log.info(
             'A worker changed.',
@@ -104,7 +104,7 @@
             sequence=worker.sequence,
         )
 
-    def knows_worker(self, worker_id: str, service: str) -> bool:
+    def has_worker(self, worker_id: str, service: str) -> bool:
         """Tell whether the registry holds this worker of this service."""
         held = self._machine.registry.worker_by_id.get(worker_id)
         return held is not None and held.service == service
@@ -117,23 +117,23 @@
         """Return the configuration held here, as its operator sent it."""
         return zlib.decompress(self._machine.config_body)
 
-    async def watch_silence(self) -> None:
+    async def watch_heartbeats(self) -> None:
         """Drop workers that say nothing, while this process leads."""
         while True:
-            await asyncio.sleep(seconds(_SILENCE_STEP))
+            await asyncio.sleep(seconds(_SILENCE_CHECK_INTERVAL))
             leads = self._log.status().is_leader
-            if leads and not self._led:
+            if leads and not self._was_leader:
                 # What was said to the leader before is not known here.
-                self._heard_by_id.clear()
-            self._led = leads
+                self._heartbeat_time_by_id.clear()
+            self._was_leader = leads
             if leads:
                 await self._drop_silent()
 
     async def _drop_silent(self) -> None:
         now = self._clock.now()
         for worker in tuple(self._machine.registry.living()):
-            heard = self._heard_by_id.setdefault(worker.worker_id, now)
-            if now - heard < self._silence:
+            heard = self._heartbeat_time_by_id.setdefault(worker.worker_id, now)
+            if now - heard < self._silence_limit:
                 continue
             drop = messages.DropWorker(
                 worker_id=worker.worker_id, born=worker.born
@@ -150,7 +150,7 @@
                 )
             except VerbenathreadError as error:
                 _log.warning('It stays for now.', reason=str(error))
-            self._heard_by_id.pop(worker.worker_id, None)
+            self._heartbeat_time_by_id.pop(worker.worker_id, None)
 
     async def _propose(self, command: messages.DirectoryCommand) -> None:
-        await self._log.propose(command.SerializeToString(), _CALL_LIMIT)
+        await self._log.propose(command.SerializeToString(), _CALL_TIMEOUT)
--- a/verbenathread/directory/damage.py
+++ b/verbenathread/directory/damage.py
@@ -12,9 +12,9 @@
 _log = get_logger('directory')
 
 
-def set_aside(data_folder: str, error: StorageError) -> None:
+def quarantine_folder(data_folder: str, error: StorageError) -> None:
     """Move the files of a damaged folder away; raise any other error."""
-    if not _is_damage(error):
+    if not _is_data_damage(error):
         raise error
     folder = Path(data_folder)
     aside = folder.with_name(f'{folder.name}-damaged')
@@ -30,7 +30,7 @@
     )
 
 
-def _is_damage(error: StorageError) -> bool:
+def _is_data_damage(error: StorageError) -> bool:
     """Tell whether the folder is at fault, and not the disk or the caller."""
     text = str(error)
     return 'damaged' in text or 'missing' in text
--- a/verbenathread/directory/machine.py
+++ b/verbenathread/directory/machine.py
@@ -24,7 +24,7 @@
         if kind == 'put_config':
             self._put_config(read.put_config)
         elif kind == 'put_worker':
-            self.registry.merge(worker_of(read.put_worker))
+            self.registry.merge(decode_worker(read.put_worker))
             self.registry_changes += 1
         elif kind == 'drop_worker':
             drop = read.drop_worker
@@ -40,7 +40,7 @@
             )
         )
         for worker in self.registry.worker_by_id.values():
-            image.workers.append(entry_of(worker))
+            image.workers.append(encode_worker(worker))
         return image.SerializeToString()
 
     def restore(self, image: bytes) -> None:
@@ -50,7 +50,7 @@
         self.config_body = read.config.body
         self.registry = Registry()
         for entry in read.workers:
-            self.registry.merge(worker_of(entry))
+            self.registry.merge(decode_worker(entry))
         self.registry_changes += 1
 
     def _put_config(self, put: messages.PutConfig) -> None:
@@ -60,7 +60,7 @@
             self.config_body = put.body
 
 
-def worker_of(entry: messages.WorkerEntry) -> Worker:
+def decode_worker(entry: messages.WorkerEntry) -> Worker:
     """Return the worker that a message holds."""
     return Worker(
         worker_id=entry.worker_id,
@@ -74,7 +74,7 @@
     )
 
 
-def entry_of(worker: Worker) -> messages.WorkerEntry:
+def encode_worker(worker: Worker) -> messages.WorkerEntry:
     """Return the message that holds a worker."""
     return messages.WorkerEntry(
         worker_id=worker.worker_id,
--- a/verbenathread/directory/measures.py
+++ b/verbenathread/directory/metrics.py
@@ -3,7 +3,7 @@
 from prometheus_client import CollectorRegistry, Counter, Gauge
 
 
-class DirectoryMeasures:
+class DirectoryMetrics:
     """Gauges of the log and of the state that it builds."""
 
     def __init__(self) -> None:
--- a/verbenathread/directory/seeds.py
+++ b/verbenathread/directory/seeds.py
@@ -11,7 +11,7 @@
 _log = get_logger('directory')
 
 
-def seed_peers(text: str, directory_port: int) -> tuple[Address, ...]:
+def parse_seeds(text: str, directory_port: int) -> tuple[Address, ...]:
     """Return where the seeds serve nodes."""
     peers = []
     for address in parse_addresses(text):
@@ -59,4 +59,4 @@
         self, settings: settings_pb2.NodeSettings
     ) -> tuple[Address, ...]:
         part = getattr(settings, self._section)
-        return seed_peers(part.seeds, part.directory_port)
+        return parse_seeds(part.seeds, part.directory_port)
--- a/verbenathread/directory/service.py
+++ b/verbenathread/directory/service.py
@@ -11,8 +11,8 @@
 from verbenathread.clock import Clock, seconds
 from verbenathread.consensus.replica import Replica
 from verbenathread.consensus.waiting import Signal
-from verbenathread.directory.healing import Healer
-from verbenathread.directory.machine import DirectoryMachine, entry_of
+from verbenathread.directory.machine import DirectoryMachine, encode_worker
+from verbenathread.directory.membership import MembershipManager
 from verbenathread.exceptions import UnavailableError
 from verbenathread.observability.logs import get_logger
 from verbenathread.schema import directory_pb2 as messages
@@ -23,18 +23,18 @@
 _log = get_logger('directory')
 
 # A gateway hears from the leader at least this often.
-TICK: Millis = 500
+_UPDATE_INTERVAL: Millis = 500
 # Configurations that follow one another faster than this are merged: the
 # newest counts alone, and each is parsed by every gateway.
-_CONFIG_PAUSE: Millis = 200
-_BARRIER_LIMIT: Millis = 1000
+_CONFIG_INTERVAL: Millis = 200
+_BARRIER_TIMEOUT: Millis = 1000
 # How long a gateway is kept waiting for an election. One that was sent away
 # would ask around all the while, at the cost of the voters' processors; it
 # takes a process for silent after 600 ms.
-_ELECTION_LIMIT: Millis = 400
+_ELECTION_TIMEOUT: Millis = 400
 
 
-class _Sent(NamedTuple):
+class _SentState(NamedTuple):
     """What one gateway was sent."""
 
     config_version: int
@@ -49,13 +49,13 @@
         self,
         replica: Replica,
         machine: DirectoryMachine,
-        healer: Healer,
+        membership: MembershipManager,
         clock: Clock,
     ) -> None:
         """Serve what ``machine`` holds."""
         self._replica = replica
         self._machine = machine
-        self._healer = healer
+        self._membership = membership
         self._clock = clock
         self._changed = Signal(clock)
         self._gateway_by_id: dict[NodeId, messages.NodeAddress] = {}
@@ -67,9 +67,11 @@
         applied = 0
         while True:
             try:
-                applied = await self._replica.wait_applied(applied, TICK)
+                applied = await self._replica.wait_applied(
+                    applied, _UPDATE_INTERVAL
+                )
             except UnavailableError:
-                await asyncio.sleep(seconds(TICK))
+                await asyncio.sleep(seconds(_UPDATE_INTERVAL))
             members = tuple(self.directory_peers())
             if members != self._members:
                 self._members = members
@@ -92,9 +94,9 @@
         request = await stream.recv_message()
         if request is None:
             return
-        await self._replica.wait_leader(_ELECTION_LIMIT)
+        await self._replica.wait_leader(_ELECTION_TIMEOUT)
         try:
-            await self._replica.barrier(_BARRIER_LIMIT)
+            await self._replica.barrier(_BARRIER_TIMEOUT)
         except UnavailableError:
             await stream.send_message(
                 messages.WatchUpdate(leader=self._leader())
@@ -105,8 +107,8 @@
         self._gateway_by_id[gateway.node_id] = gateway
         self._fleet_changes += 1
         with contextlib.ExitStack() as stack:
-            stack.callback(self._forget, gateway)
-            await self._feed(stream, _Sent(request.config_version))
+            stack.callback(self._remove_gateway, gateway)
+            await self._send_updates(stream, _SentState(request.config_version))
 
     async def Join(  # noqa: N802  the generated base sets the name
         self, stream: Stream[messages.JoinRequest, messages.JoinReply]
@@ -119,33 +121,33 @@
         if self._replica.status().is_leader:
             node = request.node
             peer = Peer(node.node_id, Address(node.host, node.port))
-            reply.member = self._healer.ask(peer, request.store_id)
+            reply.member = self._membership.request_join(peer, request.store_id)
         for peer in self.directory_peers():
-            reply.directory.append(_node_of(peer))
+            reply.directory.append(_encode_peer(peer))
         await stream.send_message(reply)
 
-    def _forget(self, gateway: messages.NodeAddress) -> None:
+    def _remove_gateway(self, gateway: messages.NodeAddress) -> None:
         _log.info('A gateway watches no more.', gateway=gateway.node_id)
         if self._gateway_by_id.get(gateway.node_id) is gateway:
             self._gateway_by_id.pop(gateway.node_id)
             self._fleet_changes += 1
 
-    async def _feed(
+    async def _send_updates(
         self,
         stream: Stream[messages.WatchRequest, messages.WatchUpdate],
-        sent: _Sent,
+        sent: _SentState,
     ) -> None:
         while self._replica.status().is_leader:
-            update, now_sent = self._update(sent)
+            update, now_sent = self._build_update(sent)
             await stream.send_message(update)
             if now_sent.config_version != sent.config_version:
-                await asyncio.sleep(seconds(_CONFIG_PAUSE))
+                await asyncio.sleep(seconds(_CONFIG_INTERVAL))
             sent = now_sent
-            lacks = functools.partial(self._lacks, sent)
-            await self._changed.until(lacks, TICK)
+            lacks = functools.partial(self._has_changes, sent)
+            await self._changed.until(lacks, _UPDATE_INTERVAL)
         await stream.send_message(messages.WatchUpdate(leader=self._leader()))
 
-    def _lacks(self, sent: _Sent) -> bool:
+    def _has_changes(self, sent: _SentState) -> bool:
         machine = self._machine
         return (
             machine.config_version > sent.config_version
@@ -153,7 +155,9 @@
             or self._fleet_changes != sent.fleet_changes
         )
 
-    def _update(self, sent: _Sent) -> tuple[messages.WatchUpdate, _Sent]:
+    def _build_update(
+        self, sent: _SentState
+    ) -> tuple[messages.WatchUpdate, _SentState]:
         machine = self._machine
         update = messages.WatchUpdate(leads=True)
         if machine.config_version > sent.config_version:
@@ -162,14 +166,16 @@
         if machine.registry_changes != sent.registry_changes:
             update.workers.SetInParent()
             for worker in machine.registry.living():
-                update.workers.workers.append(entry_of(worker))
+                update.workers.workers.append(encode_worker(worker))
         if self._fleet_changes != sent.fleet_changes:
             update.fleet.SetInParent()
             for peer in self.directory_peers():
-                update.fleet.directory.append(_node_of(peer))
+                update.fleet.directory.append(_encode_peer(peer))
             update.fleet.gateways.extend(self._gateway_by_id.values())
         newest = max(machine.config_version, sent.config_version)
-        now_sent = _Sent(newest, machine.registry_changes, self._fleet_changes)
+        now_sent = _SentState(
+            newest, machine.registry_changes, self._fleet_changes
+        )
         return update, now_sent
 
     def _leader(self) -> messages.NodeAddress | None:
@@ -177,10 +183,10 @@
         if not status.leader_address:
             return None
         address = parse_address(status.leader_address)
-        return _node_of(Peer(status.leader, address))
+        return _encode_peer(Peer(status.leader, address))
 
 
-def _node_of(peer: Peer) -> messages.NodeAddress:
+def _encode_peer(peer: Peer) -> messages.NodeAddress:
     return messages.NodeAddress(
         node_id=peer.node_id, host=peer.address.host, port=peer.address.port
     )
--- a/verbenathread/gateway/attempt.py
+++ b/verbenathread/gateway/attempt.py
@@ -9,7 +9,7 @@
 from verbenathread.gateway.events import EventSplitter
 from verbenathread.http1.client import ClientConnection, Ending
 from verbenathread.http1.messages import ResponseHead
-from verbenathread.http1.reply import Reply
+from verbenathread.http1.response import ResponseWriter
 from verbenathread.serving.dialect import Dialect
 from verbenathread.types import Millis
 
@@ -45,7 +45,7 @@
     """The caller's answer to a stream, over all sends that feed it."""
 
     def __init__(
-        self, reply: Reply, dialect: Dialect, last_event_id: int | None
+        self, reply: ResponseWriter, dialect: Dialect, last_event_id: int | None
     ) -> None:
         """Write to ``reply`` from the event after ``last_event_id`` on."""
         self._reply = reply
@@ -129,7 +129,7 @@
 
         ``probe`` tells whether a worker that is silent still lives.
         """
-        self._connection.ask(request, self)
+        self._connection.send_request(request, self)
         while not self._result.done():
             heard = self.first_event_at is not None
             limit = stall.later if heard else stall.first
@@ -152,7 +152,7 @@
 
     def press(self, held: bool) -> None:  # noqa: FBT001
         """Read no faster than the caller does."""
-        self._connection.hold_back(held)
+        self._connection.set_reading_paused(held)
 
     def accepts(self, head: ResponseHead) -> bool:
         """Tell whether this head answers our request."""
@@ -223,4 +223,4 @@
     def _stop(self, verdict: Verdict) -> None:
         if not self._result.done():
             self._result.set_result(Result(verdict))
-            self._connection.drop_sink()
+            self._connection.discard()
--- a/verbenathread/gateway/exchange.py
+++ b/verbenathread/gateway/exchange.py
@@ -15,8 +15,8 @@
 from verbenathread.gateway.parts import Parts
 from verbenathread.gateway.reports import PROBE_LIMIT
 from verbenathread.http1.client import ClientConnection
-from verbenathread.http1.messages import Request, ResponseHead, write_request
-from verbenathread.http1.reply import Reply
+from verbenathread.http1.messages import Request, ResponseHead, encode_request
+from verbenathread.http1.response import ResponseWriter
 from verbenathread.observability.logs import get_logger
 from verbenathread.observability.metrics import length_label
 from verbenathread.serving.dialect import CallerRequest, Onward
@@ -58,7 +58,7 @@
 class Exchange:
     """Serves one request until the caller has its answer."""
 
-    def __init__(self, parts: Parts, job: Job, reply: Reply) -> None:
+    def __init__(self, parts: Parts, job: Job, reply: ResponseWriter) -> None:
         """Answer ``job`` on ``reply``."""
         self._parts = parts
         self._job = job
@@ -77,12 +77,12 @@
         # A failure that a worker signed, kept while another one is tried.
         self._failure: Result | None = None
         self._refused: Refused | None = None
-        reply.on_gone = self._on_gone
-        reply.on_pressure = self._on_pressure
+        reply.on_disconnect = self._on_gone
+        reply.on_backpressure = self._on_pressure
 
     async def run(self) -> None:
         """Go on until the request is answered or its caller left."""
-        while not self._reply.done and not self._reply.is_gone:
+        while not self._reply.done and not self._reply.is_disconnected:
             left = self._job.deadline - self._parts.clock.now()
             if left <= 0:
                 self._give_up(_TIMED_OUT, 'out of time', None)
@@ -93,7 +93,7 @@
                 self._give_up(_UNAVAILABLE, chosen.reason, chosen.retry_after)
                 return
             await self._try(chosen)
-        if self._reply.is_gone and not self._reply.done:
+        if self._reply.is_disconnected and not self._reply.done:
             self._note('abandoned', '')
 
     async def _try(self, choice: Choice) -> None:
@@ -128,7 +128,7 @@
                     _UNAVAILABLE, 'no worker takes connections', _SOON
                 )
             return
-        if self._reply.is_gone:
+        if self._reply.is_disconnected:
             self._parts.pool.give_back(choice.worker, connection)
             return
         if self._sends and not self._take_repeat():
@@ -215,7 +215,7 @@
             holders=choice.holders,
         )
         headers = self._parts.dialect.worker_headers(job.request, onward)
-        return write_request(
+        return encode_request(
             job.request.method, job.request.target, headers, job.request.body
         )
 
@@ -341,7 +341,7 @@
             retry_after=retry_after,
             route=job.matched.route.name,
             sends=self._sends,
-            took=self._parts.clock.now() - job.request.arrived,
+            took=self._parts.clock.now() - job.request.received_at,
             config=self._parts.view.config_version,
             view_age=self._parts.clock.now() - self._parts.view.fed_at,
             candidates=None if refused is None else refused.candidates,
@@ -356,7 +356,7 @@
         measures = self._parts.measures
         first = attempt.first_event_at
         if prompt is not None and first is not None:
-            waited = (first - self._job.request.arrived) / _MS_PER_SECOND
+            waited = (first - self._job.request.received_at) / _MS_PER_SECOND
             measures.first_event.labels(length_label(prompt.tokens)).observe(
                 waited
             )
@@ -368,7 +368,7 @@
             worker=choice.worker.worker_id,
             verdict=result.verdict.value,
             status=None if result.head is None else result.head.status,
-            queued=started - self._job.request.arrived,
+            queued=started - self._job.request.received_at,
             forecast=choice.first_in,
             beside=choice.beside,
             parts=1 + len(choice.parts),
--- a/verbenathread/gateway/handler.py
+++ b/verbenathread/gateway/handler.py
@@ -8,7 +8,7 @@
 from verbenathread.gateway.exchange import Exchange, Job
 from verbenathread.gateway.parts import Parts
 from verbenathread.http1.messages import Request
-from verbenathread.http1.reply import Reply
+from verbenathread.http1.response import ResponseWriter
 from verbenathread.observability.logs import get_logger
 from verbenathread.serving.dialect import BadRequest, CallerRequest
 from verbenathread.serving.routes import (
@@ -49,7 +49,7 @@
         """Serve with ``parts``."""
         self._parts = parts
 
-    async def handle(self, request: Request, reply: Reply) -> None:
+    async def handle(self, request: Request, reply: ResponseWriter) -> None:
         """Answer one request."""
         parts = self._parts
         caller = parts.dialect.read_request(request)
@@ -74,7 +74,7 @@
             self._refuse(caller.attempt_id, status, message, reply)
             return
         job = self._job(request, caller, matched)
-        parts.budget.note_request(job.service.name, request.arrived)
+        parts.budget.note_request(job.service.name, request.received_at)
         await Exchange(parts, job, reply).run()
 
     async def _wait_for_config(
@@ -84,7 +84,7 @@
         limit = _CONFIG_WAIT
         if caller.time_left is not None:
             limit = min(limit, caller.time_left // _WAIT_PART)
-        until = request.arrived + limit
+        until = request.received_at + limit
         parts = self._parts
         while parts.view.table is None and parts.clock.now() < until:
             await asyncio.sleep(seconds(_LOOK_EVERY))
@@ -101,14 +101,16 @@
         limit = route.time_limit
         if caller.time_left is not None:
             limit = min(limit, caller.time_left)
-        return Job(request, caller, matched, service, request.arrived + limit)
+        return Job(
+            request, caller, matched, service, request.received_at + limit
+        )
 
     def _refuse(
         self,
         attempt_id: str,
         status: int,
         message: str,
-        reply: Reply,
+        reply: ResponseWriter,
         retry_after: Millis | None = None,
     ) -> None:
         parts = self._parts
--- a/verbenathread/gateway/watch.py
+++ b/verbenathread/gateway/watch.py
@@ -8,7 +8,7 @@
 from grpclib.client import Channel
 
 from verbenathread.clock import Clock, seconds
-from verbenathread.directory.machine import worker_of
+from verbenathread.directory.machine import decode_worker
 from verbenathread.directory.seeds import SeedFile
 from verbenathread.exceptions import SettingsError
 from verbenathread.gateway.view import View, peer_at
@@ -154,7 +154,7 @@
             self._take_config(update.config)
         if update.HasField('workers'):
             self._view.take_workers(
-                worker_of(entry) for entry in update.workers.workers
+                decode_worker(entry) for entry in update.workers.workers
             )
         if update.HasField('fleet'):
             self._view.take_nodes(
--- a/verbenathread/gateway/worker_call.py
+++ b/verbenathread/gateway/worker_call.py
@@ -6,7 +6,7 @@
 from verbenathread.clock import Clock, seconds
 from verbenathread.gateway.pool import ConnectionPool
 from verbenathread.http1.client import Ending
-from verbenathread.http1.messages import ResponseHead, write_request
+from verbenathread.http1.messages import ResponseHead, encode_request
 from verbenathread.serving.dialect import Call
 from verbenathread.serving.types import Worker
 from verbenathread.types import Millis
@@ -48,8 +48,8 @@
             return None
         answer = _Answer()
         host = (b'Host', str(worker.address).encode())
-        connection.ask(
-            write_request(
+        connection.send_request(
+            encode_request(
                 call.method, call.target, (host, *call.headers), call.body
             ),
             answer,
@@ -58,7 +58,7 @@
         if answer.future.done():
             self._pool.give_back(worker, connection)
             return answer.future.result()
-        connection.drop_sink()
+        connection.discard()
         return None
 
 
--- a/verbenathread/http1/client.py
+++ b/verbenathread/http1/client.py
@@ -10,18 +10,18 @@
 from verbenathread.http1.messages import ResponseHead, index_headers
 from verbenathread.types import Address, Millis
 
-_INFORMAL = 200
-_BODILESS = frozenset((204, 304))
+_FIRST_FINAL_STATUS = 200
+_NO_BODY_STATUSES = frozenset((204, 304))
 _LENGTH = b'content-length'
 _ENCODING = b'transfer-encoding'
 _CONNECTION = b'connection'
 _KEEP_ALIVE = b'keep-alive'
 # An upstream that does not say how long it keeps idle connections: less than
 # the shortest usual default, 5 s.
-_USUAL_KEEP: Millis = 4000
+_DEFAULT_KEEP_ALIVE: Millis = 4000
 # Left of the upstream's time so that a request doesn't cross its close.
-_KEEP_MARGIN: Millis = 700
-_MS = 1000
+_KEEP_ALIVE_MARGIN: Millis = 700
+_MS_PER_SECOND = 1000
 
 
 class Ending(enum.Enum):
@@ -64,7 +64,7 @@
         self._skipping = False
         self._head_complete = False
         self._headers: list[tuple[bytes, bytes]] = []
-        self._keep: Millis = _USUAL_KEEP
+        self._keep_alive: Millis = _DEFAULT_KEEP_ALIVE
         self._last_used = clock.now()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -91,9 +91,9 @@
             return False
         if self._transport is None or self._transport.is_closing():
             return False
-        return now - self._last_used < self._keep
+        return now - self._last_used < self._keep_alive
 
-    def ask(self, request: bytes, sink: Sink) -> None:
+    def send_request(self, request: bytes, sink: Sink) -> None:
         """Send a request; ``sink`` takes what comes."""
         if self._transport is None:
             raise RuntimeError('the connection does not stand yet')
@@ -110,16 +110,16 @@
         if self._transport is not None:
             self._transport.abort()
 
-    def drop_sink(self) -> None:
+    def discard(self) -> None:
         """Break the connection without telling the sink."""
         self._sink = None
         self.close()
 
-    def hold_back(self, held: bool) -> None:  # noqa: FBT001
+    def set_reading_paused(self, paused: bool) -> None:  # noqa: FBT001
         """Stop or go on reading."""
         if self._transport is None or self._transport.is_closing():
             return
-        if held:
+        if paused:
             self._transport.pause_reading()
         else:
             self._transport.resume_reading()
@@ -154,7 +154,7 @@
         """Hand the head on if it answers the request."""
         self._head_complete = True
         status = self._parser.get_status_code()
-        if status < _INFORMAL or self._sink is None:
+        if status < _FIRST_FINAL_STATUS or self._sink is None:
             return
         headers = tuple(self._headers)
         value_by_name = index_headers(headers)
@@ -163,9 +163,9 @@
         if self._skipping:
             self._clean = False
             return
-        self._note_keep(value_by_name)
+        self._read_keep_alive(value_by_name)
         framed = _LENGTH in value_by_name or _ENCODING in value_by_name
-        self._until_close = not framed and status not in _BODILESS
+        self._until_close = not framed and status not in _NO_BODY_STATUSES
         self._sink.on_head(head)
 
     def on_body(self, content: bytes) -> None:
@@ -175,7 +175,10 @@
 
     def on_message_complete(self) -> None:
         """End the exchange."""
-        if self._parser.get_status_code() < _INFORMAL or self._skipping:
+        if (
+            self._parser.get_status_code() < _FIRST_FINAL_STATUS
+            or self._skipping
+        ):
             self._skipping = False
             return
         if not self._parser.should_keep_alive():
@@ -186,13 +189,15 @@
             self._clean = False
         self._end(Ending.COMPLETE)
 
-    def _note_keep(self, value_by_name: dict[bytes, bytes]) -> None:
+    def _read_keep_alive(self, value_by_name: dict[bytes, bytes]) -> None:
         if value_by_name.get(_CONNECTION, b'').lower() == b'close':
             self._clean = False
         for part in value_by_name.get(_KEEP_ALIVE, b'').split(b','):
             name, _, text = part.strip().partition(b'=')
             if name.lower() == b'timeout' and text.isdigit():
-                self._keep = int(text) * _MS - _KEEP_MARGIN
+                self._keep_alive = (
+                    int(text) * _MS_PER_SECOND - _KEEP_ALIVE_MARGIN
+                )
 
     def _end(self, ending: Ending) -> None:
         self._last_used = self._clock.now()
@@ -205,7 +210,7 @@
 
 
 async def connect(
-    address: Address, clock: Clock, limit: Millis
+    address: Address, clock: Clock, timeout: Millis
 ) -> ClientConnection:
     """Open a connection; raises OSError or TimeoutError within ``limit``."""
     loop = asyncio.get_running_loop()
@@ -213,6 +218,6 @@
         loop.create_connection(
             lambda: ClientConnection(clock), address.host, address.port
         ),
-        seconds(limit),
+        seconds(timeout),
     )
     return connection
--- a/verbenathread/http1/messages.py
+++ b/verbenathread/http1/messages.py
@@ -28,7 +28,7 @@
 LINE_END = b'\r\n'
 LAST_CHUNK = b'0\r\n\r\n'
 _CONNECTION = b'connection'
-_LENGTH_NEEDED = frozenset((b'POST', b'PUT', b'PATCH'))
+_LENGTH_REQUIRED = frozenset((b'POST', b'PUT', b'PATCH'))
 
 
 class Request(NamedTuple):
@@ -42,7 +42,7 @@
     value_by_name: dict[bytes, bytes]
     body: bytes
     # Monotonic time at which its last byte was read.
-    arrived: Millis
+    received_at: Millis
 
     @property
     def path(self) -> bytes:
@@ -70,7 +70,7 @@
     return value_by_name
 
 
-def end_to_end(
+def end_to_end_headers(
     headers: Headers, value_by_name: dict[bytes, bytes]
 ) -> list[tuple[bytes, bytes]]:
     """Return the headers that concern more than one connection."""
@@ -86,7 +86,7 @@
     return kept
 
 
-def write_request(
+def encode_request(
     method: bytes,
     target: bytes,
     headers: Iterable[tuple[bytes, bytes]],
@@ -96,18 +96,18 @@
     parts = [b'%b %b HTTP/1.1\r\n' % (method, target)]
     for name, text in headers:
         parts.append(b'%b: %b\r\n' % (name, text))
-    if body or method in _LENGTH_NEEDED:
+    if body or method in _LENGTH_REQUIRED:
         parts.append(b'Content-Length: %d\r\n' % len(body))
     parts.append(LINE_END)
     parts.append(body)
     return b''.join(parts)
 
 
-def write_head(
+def encode_response_head(
     status: int, headers: Iterable[tuple[bytes, bytes]], framing: bytes
 ) -> bytes:
     """Return the head of an answer; ``framing`` holds whole header lines."""
-    parts = [b'HTTP/1.1 %d %b\r\n' % (status, _phrase(status))]
+    parts = [b'HTTP/1.1 %d %b\r\n' % (status, _reason_phrase(status))]
     for name, text in headers:
         parts.append(b'%b: %b\r\n' % (name, text))
     parts.append(framing)
@@ -115,12 +115,12 @@
     return b''.join(parts)
 
 
-def chunk(content: bytes) -> bytes:
+def encode_chunk(content: bytes) -> bytes:
     """Return ``content``, which isn't empty, as one chunk."""
     return b'%x\r\n%b\r\n' % (len(content), content)
 
 
-def _phrase(status: int) -> bytes:
+def _reason_phrase(status: int) -> bytes:
     try:
         return http.HTTPStatus(status).phrase.encode()
     except ValueError:
--- a/verbenathread/http1/reply.py
+++ b/verbenathread/http1/response.py
@@ -10,48 +10,48 @@
 
 _CLOSE = b'Connection: close\r\n'
 _CHUNKED = b'Transfer-Encoding: chunked\r\n'
-_BODILESS = frozenset((204, 304))
-_LEAST_FINAL = 200
+_NO_BODY_STATUSES = frozenset((204, 304))
+_FIRST_FINAL_STATUS = 200
 # Linger on, for no time: the kernel then resets the connection.
-_RESET = struct.pack('ii', 1, 0)
+_LINGER_RESET = struct.pack('ii', 1, 0)
 
 
-class ReplyOwner(Protocol):
+class ResponseOwner(Protocol):
     """The connection that a reply is written on."""
 
-    def reply_done(self, reply: 'Reply') -> None:
+    def response_done(self, reply: 'ResponseWriter') -> None:
         """Note that the whole answer was written."""
 
-    def closes(self) -> bool:
+    def closes_after_response(self) -> bool:
         """Tell whether the connection ends after the answer."""
 
 
-class Reply:
+class ResponseWriter:
     """Writes one answer; what is written after the caller left is dropped."""
 
     def __init__(
         self,
-        owner: ReplyOwner,
+        owner: ResponseOwner,
         transport: asyncio.Transport,
         *,
-        framed: bool,
-        bodiless: bool,
+        chunked: bool,
+        omit_body: bool,
     ) -> None:
         """Answer on ``transport``; unframed answers end with it."""
         self._owner = owner
         self._transport = transport
         # Callers of HTTP/1.0 can't read chunks.
-        self._framed = framed
-        self._bodiless = bodiless
+        self._chunked = chunked
+        self._omit_body = omit_body
         # Of the answer, once it was begun.
         self.status = 0
         self.started = False
         self.done = False
-        self.is_gone = False
-        self.on_gone: Callable[[], None] | None = None
+        self.is_disconnected = False
+        self.on_disconnect: Callable[[], None] | None = None
         # Called with True when the caller reads slowly, False once it caught
         # up.
-        self.on_pressure: Callable[[bool], None] | None = None
+        self.on_backpressure: Callable[[bool], None] | None = None
 
     def send(
         self,
@@ -60,70 +60,76 @@
         body: bytes = b'',
     ) -> None:
         """Write a whole answer."""
-        if self._is_over():
+        if self._is_closed():
             return
         framing = b''
-        if status >= _LEAST_FINAL and status not in _BODILESS:
+        if status >= _FIRST_FINAL_STATUS and status not in _NO_BODY_STATUSES:
             framing = b'Content-Length: %d\r\n' % len(body)
-        head = messages.write_head(status, headers, framing + self._close())
-        content = b'' if self._bodiless or status in _BODILESS else body
+        head = messages.encode_response_head(
+            status, headers, framing + self._connection_header()
+        )
+        content = (
+            b'' if self._omit_body or status in _NO_BODY_STATUSES else body
+        )
         self.started = True
         self.status = status
         self._transport.write(head + content)
-        self._finished()
+        self._mark_done()
 
     def begin(
         self, status: int, headers: Iterable[tuple[bytes, bytes]]
     ) -> None:
         """Write the head of an answer whose length is not known."""
-        if self._is_over():
+        if self._is_closed():
             return
-        framing = _CHUNKED if self._framed else b''
+        framing = _CHUNKED if self._chunked else b''
         self.started = True
         self.status = status
         self._transport.write(
-            messages.write_head(status, headers, framing + self._close())
+            messages.encode_response_head(
+                status, headers, framing + self._connection_header()
+            )
         )
 
     def write(self, content: bytes) -> None:
         """Write a part of the body."""
-        if self._is_over() or not content or self._bodiless:
+        if self._is_closed() or not content or self._omit_body:
             return
-        if self._framed:
-            content = messages.chunk(content)
+        if self._chunked:
+            content = messages.encode_chunk(content)
         self._transport.write(content)
 
     def finish(self) -> None:
         """End an answer that was begun, as complete."""
-        if self._is_over():
+        if self._is_closed():
             return
-        if self._framed and not self._bodiless:
+        if self._chunked and not self._omit_body:
             self._transport.write(messages.LAST_CHUNK)
-        self._finished()
+        self._mark_done()
 
     def abort(self) -> None:
         """Break the connection, so that the answer can't look complete."""
-        if self._is_over():
+        if self._is_closed():
             return
         self.done = True
         # An orderly end would pass for the end of an unframed answer.
         sock = self._transport.get_extra_info('socket')
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET)
         self._transport.abort()
 
-    def gone(self) -> None:
+    def connection_lost(self) -> None:
         """Note that the caller's connection ended."""
-        self.is_gone = True
-        if self.on_gone is not None and not self.done:
-            self.on_gone()
+        self.is_disconnected = True
+        if self.on_disconnect is not None and not self.done:
+            self.on_disconnect()
 
-    def _is_over(self) -> bool:
+    def _is_closed(self) -> bool:
         """Tell whether nothing more can be written."""
-        return self.done or self.is_gone or self._transport.is_closing()
+        return self.done or self.is_disconnected or self._transport.is_closing()
 
-    def _close(self) -> bytes:
-        return _CLOSE if self._owner.closes() else b''
+    def _connection_header(self) -> bytes:
+        return _CLOSE if self._owner.closes_after_response() else b''
 
-    def _finished(self) -> None:
+    def _mark_done(self) -> None:
         self.done = True
-        self._owner.reply_done(self)
+        self._owner.response_done(self)
--- a/verbenathread/http1/server.py
+++ b/verbenathread/http1/server.py
@@ -8,7 +8,7 @@
 
 from verbenathread.clock import Clock, seconds
 from verbenathread.http1.messages import Request, index_headers
-from verbenathread.http1.reply import Reply
+from verbenathread.http1.response import ResponseWriter
 from verbenathread.observability.logs import get_logger
 from verbenathread.types import Address, Millis
 
@@ -16,24 +16,24 @@
 
 # Requests that one connection may send ahead; a client that pipelines more
 # is not read from until it has its answers.
-_MOST_AHEAD = 8
+_MAX_PIPELINED = 8
 # How often idle and slow connections are looked for.
-_SWEEP_EVERY: Millis = 500
+_SWEEP_INTERVAL: Millis = 500
 # How often a draining server looks for connections that became idle.
-_DRAIN_STEP: Millis = 50
+_DRAIN_CHECK_INTERVAL: Millis = 50
 # Length of the kernel's queue of connections not yet accepted.
 _BACKLOG = 1024
 _CONTINUE = b'HTTP/1.1 100 Continue\r\n\r\n'
 _HOST = b'host'
 _UPGRADE = b'upgrade'
 _CONNECT = b'CONNECT'
-_VERSIONS = frozenset(('1.0', '1.1'))
+_SUPPORTED_VERSIONS = frozenset(('1.0', '1.1'))
 _BAD_REQUEST = 400
 _TIMED_OUT = 408
 _TOO_LARGE = 413
 _HEAD_TOO_LARGE = 431
-_INTERNAL = 500
-_OLDER_HTTP = '1.0'
+_INTERNAL_ERROR = 500
+_OLD_HTTP_VERSION = '1.0'
 
 
 class Limits(NamedTuple):
@@ -48,11 +48,11 @@
 class Handler(Protocol):
     """Answers requests."""
 
-    async def handle(self, request: Request, reply: Reply) -> None:
+    async def handle(self, request: Request, reply: ResponseWriter) -> None:
         """Answer ``request``; returns once ``reply`` is done or given up."""
 
 
-class _Fault(NamedTuple):
+class _RequestError(NamedTuple):
     status: int
     message: bytes
 
@@ -95,7 +95,7 @@
         """Return how many connections wait for an answer or sent a part."""
         return sum(1 for one in self.connections if one.is_busy())
 
-    async def drain(self, until: Millis) -> None:
+    async def drain(self, deadline: Millis) -> None:
         """Take nothing new; return once all is answered, or at ``until``.
 
         Idle connections are closed first: a request that crosses the close
@@ -103,11 +103,11 @@
         """
         self.stopping = True
         self.stop_listening()
-        while self.connections and self.clock.now() < until:
+        while self.connections and self.clock.now() < deadline:
             for connection in tuple(self.connections):
                 if not connection.is_busy():
                     connection.close()
-            await asyncio.sleep(seconds(_DRAIN_STEP))
+            await asyncio.sleep(seconds(_DRAIN_CHECK_INTERVAL))
 
     def stop_listening(self) -> None:
         """Take no further connections."""
@@ -124,10 +124,10 @@
 
     async def _sweep(self) -> None:
         while True:
-            await asyncio.sleep(seconds(_SWEEP_EVERY))
+            await asyncio.sleep(seconds(_SWEEP_INTERVAL))
             now = self.clock.now()
             for connection in tuple(self.connections):
-                connection.check_time(now)
+                connection.check_timeouts(now)
 
 
 class ServerConnection(asyncio.Protocol):
@@ -137,13 +137,13 @@
         """Serve a connection that ``server`` accepted."""
         self._server = server
         self._parser = httptools.HttpRequestParser(self)
-        self._ahead: deque[Request | _Fault] = deque()
-        self._reply: Reply | None = None
+        self._queue: deque[Request | _RequestError] = deque()
+        self._response: ResponseWriter | None = None
         self._task: asyncio.Task[None] | None = None
-        self._fault: _Fault | None = None
+        self._error: _RequestError | None = None
         self._closing = False
-        self._active = server.clock.now()
-        self._message = _Message()
+        self._last_active = server.clock.now()
+        self._partial = _PartialRequest()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Start to read."""
@@ -154,148 +154,154 @@
     def connection_lost(self, error: Exception | None) -> None:
         """Tell who answers that nobody waits any longer."""
         self._server.connections.discard(self)
-        self._ahead.clear()
+        self._queue.clear()
         self._closing = True
-        if self._reply is not None:
-            self._reply.gone()
+        if self._response is not None:
+            self._response.connection_lost()
 
     def pause_writing(self) -> None:
         """Tell who answers that the client reads slowly."""
-        if self._reply is not None and self._reply.on_pressure is not None:
-            self._reply.on_pressure(True)
+        if (
+            self._response is not None
+            and self._response.on_backpressure is not None
+        ):
+            self._response.on_backpressure(True)
 
     def resume_writing(self) -> None:
         """Tell who answers that the client caught up."""
-        if self._reply is not None and self._reply.on_pressure is not None:
-            self._reply.on_pressure(False)
+        if (
+            self._response is not None
+            and self._response.on_backpressure is not None
+        ):
+            self._response.on_backpressure(False)
 
     def data_received(self, content: bytes) -> None:
         """Take what the client sent."""
-        if self._closing or self._fault is not None:
+        if self._closing or self._error is not None:
             return
-        self._active = self._server.clock.now()
-        self._message.raw_bytes += len(content)
+        self._last_active = self._server.clock.now()
+        self._partial.raw_bytes += len(content)
         try:
             self._parser.feed_data(content)
         except httptools.HttpParserUpgrade:
-            self._set_fault(_BAD_REQUEST, b'upgrades are not served')
+            self._set_error(_BAD_REQUEST, b'upgrades are not served')
         except httptools.HttpParserError:
-            self._set_fault(_BAD_REQUEST, b'the request can not be read')
-        if self._message.is_too_long(self._server.limits):
-            self._set_fault(_HEAD_TOO_LARGE, b'the headers are too large')
-        if len(self._ahead) > _MOST_AHEAD:
+            self._set_error(_BAD_REQUEST, b'the request can not be read')
+        if self._partial.head_too_large(self._server.limits):
+            self._set_error(_HEAD_TOO_LARGE, b'the headers are too large')
+        if len(self._queue) > _MAX_PIPELINED:
             self._transport.pause_reading()
-        self._next()
+        self._serve_next()
 
     # ---- what the parser calls ----
 
     def on_message_begin(self) -> None:
         """Begin a request."""
-        raw_bytes = self._message.raw_bytes
-        self._message = _Message(raw_bytes, begun=self._active)
+        raw_bytes = self._partial.raw_bytes
+        self._partial = _PartialRequest(raw_bytes, begun=self._last_active)
 
     def on_url(self, url: bytes) -> None:
         """Take a part of the target."""
-        self._message.target += url
+        self._partial.target += url
 
     def on_header(self, name: bytes, text: bytes) -> None:
         """Take a header; a trailer is dropped."""
-        if not self._message.head_complete:
-            self._message.headers.append((name, text))
-            self._message.head_bytes += len(name) + len(text) + 4
+        if not self._partial.head_complete:
+            self._partial.headers.append((name, text))
+            self._partial.head_bytes += len(name) + len(text) + 4
 
     def on_headers_complete(self) -> None:
         """Check the head before the body is read."""
-        message = self._message
+        message = self._partial
         message.head_complete = True
         if message.head_bytes > self._server.limits.header_bytes:
-            self._set_fault(_HEAD_TOO_LARGE, b'the headers are too large')
+            self._set_error(_HEAD_TOO_LARGE, b'the headers are too large')
             return
         names = [name.lower() for name, _ in message.headers]
         if names.count(_HOST) > 1:
-            self._set_fault(_BAD_REQUEST, b'there are two Host headers')
+            self._set_error(_BAD_REQUEST, b'there are two Host headers')
         if _UPGRADE in names or self._parser.get_method() == _CONNECT:
             # The parser would take a body for bytes of another protocol.
-            self._set_fault(_BAD_REQUEST, b'upgrades are not served')
-        if self._parser.get_http_version() not in _VERSIONS:
-            self._set_fault(_BAD_REQUEST, b'send HTTP/1.1')
+            self._set_error(_BAD_REQUEST, b'upgrades are not served')
+        if self._parser.get_http_version() not in _SUPPORTED_VERSIONS:
+            self._set_error(_BAD_REQUEST, b'send HTTP/1.1')
         for name, text in message.headers:
             if name.lower() == b'expect' and text.lower() == b'100-continue':
                 self._transport.write(_CONTINUE)
 
     def on_body(self, content: bytes) -> None:
         """Take a part of the body."""
-        message = self._message
+        message = self._partial
         message.body_bytes += len(content)
         if message.body_bytes > self._server.limits.body_bytes:
-            self._set_fault(_TOO_LARGE, b'the body is too large')
-        if self._fault is None:
+            self._set_error(_TOO_LARGE, b'the body is too large')
+        if self._error is None:
             message.body.append(content)
 
     def on_message_complete(self) -> None:
         """Queue the request that was read whole."""
-        if self._fault is not None:
+        if self._error is not None:
             return
-        message = self._message
+        message = self._partial
         headers = tuple(message.headers)
-        self._ahead.append(
+        self._queue.append(
             Request(
                 self._parser.get_method(),
                 message.target,
                 headers,
                 index_headers(headers),
                 b''.join(message.body),
-                self._active,
+                self._last_active,
             )
         )
         if not self._parser.should_keep_alive():
-            self._fault = _Fault(0, b'')
+            self._error = _RequestError(0, b'')
         message.raw_bytes = 0
-        message.begun = 0
+        message.started_at = 0
 
     # ---- the rest ----
 
     def is_busy(self) -> bool:
         """Tell whether a request was begun and not answered."""
         return (
-            self._reply is not None
-            or bool(self._ahead)
-            or self._message.begun > 0
+            self._response is not None
+            or bool(self._queue)
+            or self._partial.started_at > 0
         )
 
-    def check_time(self, now: Millis) -> None:
+    def check_timeouts(self, now: Millis) -> None:
         """Close the connection if the client takes too long."""
-        if self._reply is not None or self._ahead or self._closing:
+        if self._response is not None or self._queue or self._closing:
             return
         limits = self._server.limits
-        begun = self._message.begun
+        begun = self._partial.started_at
         if not begun:
-            if now - self._active > limits.idle_timeout:
+            if now - self._last_active > limits.idle_timeout:
                 self.close()
             return
-        if self._message.head_complete:
-            late = now - self._active > limits.header_timeout
+        if self._partial.head_complete:
+            late = now - self._last_active > limits.header_timeout
         else:
             late = now - begun > limits.header_timeout
         if late:
-            self._set_fault(_TIMED_OUT, b'the request came too slowly')
-            self._next()
+            self._set_error(_TIMED_OUT, b'the request came too slowly')
+            self._serve_next()
 
-    def closes(self) -> bool:
+    def closes_after_response(self) -> bool:
         """Tell whether the connection ends after the present answer."""
         return (
-            self._server.stopping or self._fault is not None and not self._ahead
+            self._server.stopping or self._error is not None and not self._queue
         )
 
-    def reply_done(self, reply: Reply) -> None:
+    def response_done(self, reply: ResponseWriter) -> None:
         """Go on with what the client sent ahead."""
-        if self.closes():
+        if self.closes_after_response():
             self.close()
             return
-        self._reply = None
-        self._active = self._server.clock.now()
-        if self._ahead:
-            asyncio.get_running_loop().call_soon(self._next)
+        self._response = None
+        self._last_active = self._server.clock.now()
+        if self._queue:
+            asyncio.get_running_loop().call_soon(self._serve_next)
 
     def close(self) -> None:
         """Close once everything is written."""
@@ -307,48 +313,50 @@
         self._closing = True
         self._transport.abort()
 
-    def _set_fault(self, status: int, message: bytes) -> None:
-        if self._fault is None:
-            self._fault = _Fault(status, message)
-            self._ahead.append(self._fault)
+    def _set_error(self, status: int, message: bytes) -> None:
+        if self._error is None:
+            self._error = _RequestError(status, message)
+            self._queue.append(self._error)
             self._transport.pause_reading()
 
-    def _next(self) -> None:
+    def _serve_next(self) -> None:
         """Answer the next request, if the one before it is answered."""
-        if self._reply is not None or not self._ahead or self._closing:
+        if self._response is not None or not self._queue or self._closing:
             return
-        item = self._ahead.popleft()
-        if len(self._ahead) == _MOST_AHEAD and self._fault is None:
+        item = self._queue.popleft()
+        if len(self._queue) == _MAX_PIPELINED and self._error is None:
             self._transport.resume_reading()
-        framed = self._parser.get_http_version() != _OLDER_HTTP
+        framed = self._parser.get_http_version() != _OLD_HTTP_VERSION
         bodiless = isinstance(item, Request) and item.method == b'HEAD'
-        reply = Reply(self, self._transport, framed=framed, bodiless=bodiless)
-        self._reply = reply
-        if isinstance(item, _Fault):
+        reply = ResponseWriter(
+            self, self._transport, chunked=framed, omit_body=bodiless
+        )
+        self._response = reply
+        if isinstance(item, _RequestError):
             reply.send(item.status, (), b'%b\n' % item.message)
             return
         loop = asyncio.get_running_loop()
         self._task = loop.create_task(self._serve(item, reply))
 
-    async def _serve(self, request: Request, reply: Reply) -> None:
+    async def _serve(self, request: Request, reply: ResponseWriter) -> None:
         try:
             await self._server.handler.handle(request, reply)
         except Exception:
             _log.exception('A request failed inside.')
-        if reply.done or reply.is_gone:
+        if reply.done or reply.is_disconnected:
             return
         if reply.started:
             reply.abort()
         else:
-            reply.send(_INTERNAL, (), b'internal error\n')
+            reply.send(_INTERNAL_ERROR, (), b'internal error\n')
 
 
-class _Message:
+class _PartialRequest:
     """What was read so far of one request."""
 
     def __init__(self, raw_bytes: int = 0, begun: Millis = 0) -> None:
         self.raw_bytes = raw_bytes
-        self.begun = begun
+        self.started_at = begun
         self.target = b''
         self.headers: list[tuple[bytes, bytes]] = []
         self.head_bytes = 0
@@ -356,6 +364,6 @@
         self.body: list[bytes] = []
         self.body_bytes = 0
 
-    def is_too_long(self, limits: Limits) -> bool:
+    def head_too_large(self, limits: Limits) -> bool:
         """Tell whether an unfinished head is longer than any allowed."""
         return not self.head_complete and self.raw_bytes > limits.header_bytes
--- a/verbenathread/observability/status_handler.py
+++ b/verbenathread/observability/status_handler.py
@@ -6,7 +6,7 @@
 from prometheus_client.exposition import CONTENT_TYPE_PLAIN_0_0_4
 
 from verbenathread.http1.messages import Request
-from verbenathread.http1.reply import Reply
+from verbenathread.http1.response import ResponseWriter
 
 _OK = 200
 _NOT_FOUND = 404
@@ -24,7 +24,7 @@
         self._registry = registry
         self._why_not_ready = why_not_ready
 
-    async def handle(self, request: Request, reply: Reply) -> None:
+    async def handle(self, request: Request, reply: ResponseWriter) -> None:
         """Answer one question."""
         if request.path == b'/readyz':
             fault = self._why_not_ready()
--- a/verbenathread/platform/bodies.py
+++ b/verbenathread/platform/bodies.py
@@ -17,7 +17,7 @@
     Target,
 )
 
-_KIND_BY_WORD: Final = MappingProxyType(
+_KIND_BY_NAME: Final = MappingProxyType(
     {
         'idempotent': RequestKind.REPEATABLE,
         'non_idempotent': RequestKind.ONCE,
@@ -34,7 +34,7 @@
 
 
 # What reading a body of other types or with fewer fields raises.
-BAD_BODY: Final = (KeyError, TypeError, ValueError, AttributeError)
+MALFORMED_BODY_ERRORS: Final = (KeyError, TypeError, ValueError, AttributeError)
 
 
 class InvalidBodyError(SettingsError):
@@ -45,8 +45,8 @@
     """Read and check a configuration; raises InvalidBodyError."""
     whole = read_object(body)
     try:
-        config = _config(whole)
-    except BAD_BODY as error:
+        config = _decode_config(whole)
+    except MALFORMED_BODY_ERRORS as error:
         raise InvalidBodyError(
             f'the configuration lacks a field or holds another type: {error!r}'
         )
@@ -65,13 +65,13 @@
     return whole
 
 
-def _config(whole: Mapping[str, Any]) -> ServingConfig:
+def _decode_config(whole: Mapping[str, Any]) -> ServingConfig:
     version = read_integer(whole['version'])
     service_by_name = {}
     for service in whole['services']:
-        spec = _service(service)
+        spec = _decode_service(service)
         service_by_name[spec.name] = spec
-    routes = tuple(_route(route) for route in whole['routes'])
+    routes = tuple(_decode_route(route) for route in whole['routes'])
     limits = whole.get('limits') or {}
     numbers = [
         read_integer(limits.get(name, usual)) for name, usual in _LIMIT_DEFAULTS
@@ -81,19 +81,19 @@
         routes=routes,
         service_by_name=service_by_name,
         limits=ClientLimits(*numbers),
-        account_by_key=_accounts(whole.get('tenants')),
+        account_by_key=_decode_accounts(whole.get('tenants')),
     )
 
 
-def _service(said: Mapping[str, Any]) -> ServiceSpec:
+def _decode_service(said: Mapping[str, Any]) -> ServiceSpec:
     engine = said.get('engine')
     return ServiceSpec(
         name=read_text(said['name']),
-        engine=_engine(engine) if engine else None,
+        engine=_decode_engine(engine) if engine else None,
     )
 
 
-def _engine(said: Mapping[str, Any]) -> EngineModel:
+def _decode_engine(said: Mapping[str, Any]) -> EngineModel:
     return EngineModel(
         slots=int(said['slots']),
         memory_tokens=int(said['kv-capacity-tokens']),
@@ -106,7 +106,7 @@
     )
 
 
-def _route(said: Mapping[str, Any]) -> Route:
+def _decode_route(said: Mapping[str, Any]) -> Route:
     split = said.get('traffic-split')
     if split:
         targets = tuple(
@@ -119,7 +119,7 @@
         name=read_text(said['name']),
         host=read_text(said['host']).lower(),
         prefix=read_text(said['path-prefix']),
-        kind=_KIND_BY_WORD[said['kind']],
+        kind=_KIND_BY_NAME[said['kind']],
         time_limit=read_integer(said['timeout-ms']),
         target_latency=int(said.get('target-latency-ms') or 0),
         priority=int(said.get('priority') or 0),
@@ -131,7 +131,7 @@
     )
 
 
-def _accounts(said: Any) -> Mapping[str, ClientAccount] | None:
+def _decode_accounts(said: Any) -> Mapping[str, ClientAccount] | None:
     if not said:
         return None
     account_by_key: dict[str, ClientAccount] = {}
@@ -160,12 +160,12 @@
                 f'{route.name}: another route has its host and prefix'
             )
         places.add(place)
-        fault = _fault_of(route, config.service_by_name)
+        fault = _route_error(route, config.service_by_name)
         if fault:
             raise InvalidBodyError(f'{route.name}: {fault}')
 
 
-def _fault_of(route: Route, known: Mapping[str, ServiceSpec]) -> str:
+def _route_error(route: Route, known: Mapping[str, ServiceSpec]) -> str:
     if route.time_limit <= 0:
         return 'its time limit is 0; give it some ms'
     weights = [target.weight for target in route.targets]
--- a/verbenathread/platform/calls.py
+++ b/verbenathread/platform/directory_handler.py
@@ -10,7 +10,7 @@
     UnknownOutcomeError,
 )
 from verbenathread.http1.messages import Request
-from verbenathread.http1.reply import Reply
+from verbenathread.http1.response import ResponseWriter
 from verbenathread.observability.logs import get_logger
 from verbenathread.platform import bodies, heartbeats
 from verbenathread.serving.types import Worker
@@ -22,7 +22,7 @@
 _PUT_CONFIG: Final = '/Config.Put'
 _GET_CONFIG: Final = '/Config.Get'
 _HEARTBEAT: Final = '/Instances.Heartbeat/'
-_LEAVE: Final = '/Instances.Deregister/'
+_DEREGISTER: Final = '/Instances.Deregister/'
 _JSON: Final = ((b'Content-Type', b'application/json'),)
 _OK: Final = 200
 _REDIRECT: Final = 307
@@ -32,7 +32,7 @@
 _TIMED_OUT: Final = 504
 
 
-class DirectoryHttp:
+class DirectoryHandler:
     """Answers operators and workers."""
 
     def __init__(
@@ -51,15 +51,17 @@
         self._replica = replica
         self._port = port
         self._services: frozenset[str] = frozenset()
-        self._services_of = 0
+        self._services_version = 0
 
-    async def handle(self, request: Request, reply: Reply) -> None:
+    async def handle(self, request: Request, reply: ResponseWriter) -> None:
         """Answer one call."""
         path = request.path.decode('latin-1')
         await self._handle(path, request, reply)
-        self._count(_kind_of(path), reply.status)
+        self._count(_call_kind(path), reply.status)
 
-    async def _handle(self, path: str, request: Request, reply: Reply) -> None:
+    async def _handle(
+        self, path: str, request: Request, reply: ResponseWriter
+    ) -> None:
         leader = self._other_leader()
         if leader is not None:
             self._redirect(leader, path, reply)
@@ -75,7 +77,9 @@
             # Another process may lead by now; the caller asks around.
             reply.send(_UNAVAILABLE, (), f'{error}\n'.encode())
 
-    async def _answer(self, path: str, request: Request, reply: Reply) -> None:
+    async def _answer(
+        self, path: str, request: Request, reply: ResponseWriter
+    ) -> None:
         if path == _PUT_CONFIG:
             config = bodies.decode_config(request.body)
             await self._calls.put_config(config.version, request.body)
@@ -85,17 +89,17 @@
         elif path.startswith(_HEARTBEAT):
             worker_id = path.removeprefix(_HEARTBEAT)
             worker = heartbeats.decode_heartbeat(
-                worker_id, request.body, leaves=False
+                worker_id, request.body, leaving=False
             )
             self._check_service(worker)
-            await self._calls.note_worker(worker)
-            reply.send(_OK, _JSON, heartbeats.encode_heartbeat_answer(''))
-        elif path.startswith(_LEAVE):
-            worker_id = path.removeprefix(_LEAVE)
+            await self._calls.record_worker(worker)
+            reply.send(_OK, _JSON, heartbeats.encode_heartbeat_response(''))
+        elif path.startswith(_DEREGISTER):
+            worker_id = path.removeprefix(_DEREGISTER)
             worker = heartbeats.decode_heartbeat(
-                worker_id, request.body, leaves=True
+                worker_id, request.body, leaving=True
             )
-            await self._calls.note_worker(worker)
+            await self._calls.record_worker(worker)
             reply.send(_OK, _JSON, b'{}')
         else:
             reply.send(_NOT_FOUND, (), b'there is no such call\n')
@@ -107,13 +111,13 @@
             raise UnavailableError(
                 'There is no configuration yet; send it again.'
             )
-        if version != self._services_of:
+        if version != self._services_version:
             config = bodies.decode_config(self._calls.config_body())
             self._services = frozenset(config.service_by_name)
-            self._services_of = version
+            self._services_version = version
         if worker.service in self._services:
             return
-        if not self._calls.knows_worker(worker.worker_id, worker.service):
+        if not self._calls.has_worker(worker.worker_id, worker.service):
             raise bodies.InvalidBodyError(
                 f'there is no service {worker.service}; a route names none'
             )
@@ -126,14 +130,16 @@
             return None
         return parse_address(status.leader_address)
 
-    def _redirect(self, leader: Address, path: str, reply: Reply) -> None:
+    def _redirect(
+        self, leader: Address, path: str, reply: ResponseWriter
+    ) -> None:
         location = f'http://{leader.host}:{self._port}{path}'
         reply.send(_REDIRECT, ((b'Location', location.encode()),))
 
 
-def _kind_of(path: str) -> str:
+def _call_kind(path: str) -> str:
     """Return a name for metrics; there must be few of them."""
-    for known in (_PUT_CONFIG, _GET_CONFIG, _HEARTBEAT, _LEAVE):
+    for known in (_PUT_CONFIG, _GET_CONFIG, _HEARTBEAT, _DEREGISTER):
         if path.startswith(known):
             return known.strip('/')
     return 'other'
--- a/verbenathread/platform/headers.py
+++ b/verbenathread/platform/headers.py
@@ -3,9 +3,13 @@
 import json
 from typing import Any, Final
 
-from verbenathread.http1.messages import Request, ResponseHead, end_to_end
+from verbenathread.http1.messages import (
+    Request,
+    ResponseHead,
+    end_to_end_headers,
+)
 from verbenathread.platform.bodies import (
-    BAD_BODY,
+    MALFORMED_BODY_ERRORS,
     InvalidBodyError,
     read_object,
 )
@@ -40,13 +44,13 @@
 _RETRY_AFTER: Final = b'Retry-After'
 _HOST: Final = b'host'
 # Another worker than the one meant answers with this status.
-_OTHER_WORKER: Final = 421
-_DONE: Final = 200
-_BAD_ORDER: Final = 400
+_MISDIRECTED: Final = 421
+_OK: Final = 200
+_BAD_REQUEST: Final = 400
 _CONFLICT: Final = 409
-_MS: Final = 1000
+_MS_PER_SECOND: Final = 1000
 # Set by the gateway, whatever the caller sent.
-_REPLACED: Final = frozenset(
+_GATEWAY_HEADERS: Final = frozenset(
     (_TIME_LEFT, _KEY, _ACCOUNT, _WORKER, _URGENCY, _HOLDERS, _RESUME)
 )
 
@@ -64,12 +68,12 @@
         try:
             return CallerRequest(
                 attempt_id=attempt_id,
-                time_left=_number(values.get(_TIME_LEFT)),
+                time_left=_parse_number(values.get(_TIME_LEFT)),
                 host=host.partition(':')[0].lower(),
                 path=request.path.decode('latin-1'),
-                key=_key(values.get(_KEY)),
-                prompt=_prompt(values),
-                last_event_id=_number(values.get(_RESUME)),
+                key=_parse_bearer_key(values.get(_KEY)),
+                prompt=_parse_prompt(values),
+                last_event_id=_parse_number(values.get(_RESUME)),
             )
         except ValueError:
             return BadRequest('a header that holds a number holds none')
@@ -79,8 +83,10 @@
     ) -> list[tuple[bytes, bytes]]:
         """Return the headers with which the request goes to a worker."""
         headers = []
-        for name, text in end_to_end(request.headers, request.value_by_name):
-            if name.lower() not in _REPLACED:
+        for name, text in end_to_end_headers(
+            request.headers, request.value_by_name
+        ):
+            if name.lower() not in _GATEWAY_HEADERS:
                 headers.append((name, text))
         headers.append((b'Deadline-Ms', b'%d' % onward.time_left))
         headers.append((b'Expect-Instance', onward.worker_id.encode()))
@@ -91,7 +97,7 @@
         if onward.last_event_id is not None:
             headers.append((b'Last-Event-Id', b'%d' % onward.last_event_id))
         if onward.holders:
-            headers.append((b'Helpers', _holders(onward)))
+            headers.append((b'Helpers', _encode_holders(onward)))
         return headers
 
     def read_answer(self, head: ResponseHead) -> WorkerAnswer:
@@ -100,17 +106,17 @@
         return WorkerAnswer(
             attempt_id=values.get(_ATTEMPT, b'').decode('latin-1'),
             signed=_SIGNATURE in values,
-            not_run=_NOT_RUN in values or head.status == _OTHER_WORKER,
+            not_run=_NOT_RUN in values or head.status == _MISDIRECTED,
             at_fault=values.get(_AT_FAULT, b'').decode('latin-1'),
         )
 
     def read_report(self, body: bytes) -> Report | None:
         """Read the answer to a probe; None when it can't be read."""
         try:
-            return _report(read_object(body))
+            return _decode_report(read_object(body))
         except InvalidBodyError:
             return None
-        except BAD_BODY:
+        except MALFORMED_BODY_ERRORS:
             return None
 
     def probe_call(self, worker_id: str) -> Call:
@@ -129,22 +135,24 @@
             'tokens': tokens,
             'hold-ms': lease,
         }
-        return _order(worker_id, said)
+        return _order_call(worker_id, said)
 
     def release_call(self, worker_id: str, reservation_id: str) -> Call:
         """Return the call that frees memory that was set aside."""
-        return _order(worker_id, {'operation': 'release', 'id': reservation_id})
+        return _order_call(
+            worker_id, {'operation': 'release', 'id': reservation_id}
+        )
 
     def read_reservation(self, status: int) -> ReservationAnswer:
         """Read the answer to either call."""
         return ReservationAnswer(
-            done=status == _DONE,
-            refused=status in {_CONFLICT, _BAD_ORDER, _OTHER_WORKER},
+            done=status == _OK,
+            refused=status in {_CONFLICT, _BAD_REQUEST, _MISDIRECTED},
         )
 
     def caller_headers(self, head: ResponseHead) -> list[tuple[bytes, bytes]]:
         """Return the headers of a worker's answer for the caller."""
-        return end_to_end(head.headers, head.value_by_name)
+        return end_to_end_headers(head.headers, head.value_by_name)
 
     def refusal_headers(
         self, attempt_id: str, retry_after: Millis | None
@@ -154,12 +162,12 @@
         if attempt_id:
             headers.append((b'Attempt-Id', attempt_id.encode('latin-1')))
         if retry_after is not None:
-            text = f'{retry_after / _MS:.3f}'.encode()
+            text = f'{retry_after / _MS_PER_SECOND:.3f}'.encode()
             headers.append((_RETRY_AFTER, text))
         return headers
 
 
-def _order(worker_id: str, said: dict[str, object]) -> Call:
+def _order_call(worker_id: str, said: dict[str, object]) -> Call:
     headers = (
         (b'Content-Type', b'application/json'),
         (b'Expect-Instance', worker_id.encode()),
@@ -167,33 +175,33 @@
     return Call(b'POST', b'/order', headers, json.dumps(said).encode())
 
 
-def _report(said: dict[str, Any]) -> Report:
+def _decode_report(said: dict[str, Any]) -> Report:
     return Report(
         pace=float(said.get('pace', 1)),
     )
 
 
-def _number(text: bytes | None) -> int | None:
+def _parse_number(text: bytes | None) -> int | None:
     return None if text is None else int(text)
 
 
-def _key(text: bytes | None) -> str | None:
+def _parse_bearer_key(text: bytes | None) -> str | None:
     if text is None or text[: len(_BEARER)].lower() != _BEARER:
         return None
     return text[len(_BEARER) :].strip().decode('latin-1')
 
 
-def _prompt(values: dict[bytes, bytes]) -> Prompt | None:
+def _parse_prompt(values: dict[bytes, bytes]) -> Prompt | None:
     sizes = values.get(_PROMPT)
     if sizes is None:
         return None
     tokens, _, most_output = sizes.partition(b',')
     most = int(most_output)
-    expected = _number(values.get(_EXPECTED_OUTPUT))
+    expected = _parse_number(values.get(_EXPECTED_OUTPUT))
     return Prompt(int(tokens), most, most if expected is None else expected)
 
 
-def _holders(onward: Onward) -> bytes:
+def _encode_holders(onward: Onward) -> bytes:
     parts = []
     for holder in onward.holders:
         ticket = holder.reservation_id
--- a/verbenathread/platform/heartbeats.py
+++ b/verbenathread/platform/heartbeats.py
@@ -7,7 +7,7 @@
 
 from verbenathread.exceptions import SettingsError
 from verbenathread.platform.bodies import (
-    BAD_BODY,
+    MALFORMED_BODY_ERRORS,
     InvalidBodyError,
     read_integer,
     read_object,
@@ -16,59 +16,61 @@
 from verbenathread.serving.types import Worker, WorkerState
 from verbenathread.settings.node import parse_address
 
-_STATE_BY_WORD: Final = MappingProxyType(
+_STATE_BY_NAME: Final = MappingProxyType(
     {
         'ready': WorkerState.READY,
         'draining': WorkerState.DRAINING,
     }
 )
 # Integers beyond are not exact in every writer of JSON.
-_MOST_BORN: Final = 1 << 53  # noqa: WPS432
+_MAX_BORN: Final = 1 << 53  # noqa: WPS432
 
 
-def decode_heartbeat(worker_id: str, body: bytes, *, leaves: bool) -> Worker:
+def decode_heartbeat(worker_id: str, body: bytes, *, leaving: bool) -> Worker:
     """Read what a worker says of itself; raises InvalidBodyError.
 
     ``leaves`` marks its last call, whose body may say less.
     """
-    said = read_object(body) if body or not leaves else {}
+    said = read_object(body) if body or not leaving else {}
     try:
-        return _worker(worker_id, said, leaves=leaves)
+        return _decode_worker(worker_id, said, leaving=leaving)
     except SettingsError as error:
         raise InvalidBodyError(f'the address is none: {error}')
-    except BAD_BODY as error:
+    except MALFORMED_BODY_ERRORS as error:
         raise InvalidBodyError(
             f'the worker says too little of itself: {error!r}'
         )
 
 
-def encode_heartbeat_answer(next_url: str) -> bytes:
+def encode_heartbeat_response(next_url: str) -> bytes:
     """Return the answer to a heartbeat; later heartbeats go to ``next_url``."""
     return json.dumps({'heartbeat-url': next_url} if next_url else {}).encode()
 
 
-def _worker(worker_id: str, said: Mapping[str, Any], *, leaves: bool) -> Worker:
-    born = read_integer(said.get('born', 0) if leaves else said['born'])
-    if not worker_id or not 0 <= born < _MOST_BORN:
+def _decode_worker(
+    worker_id: str, fields: Mapping[str, Any], *, leaving: bool
+) -> Worker:
+    born = read_integer(fields.get('born', 0) if leaving else fields['born'])
+    if not worker_id or not 0 <= born < _MAX_BORN:
         raise ValueError('born')
-    if leaves:
+    if leaving:
         return Worker(
             worker_id=worker_id,
             born=born,
             sequence=0,
             state=WorkerState.GONE,
-            service=str(said.get('service') or ''),
-            address=parse_address(str(said.get('address') or '0.0.0.0:0')),
-            data_centre=str(said.get('zone') or ''),
+            service=str(fields.get('service') or ''),
+            address=parse_address(str(fields.get('address') or '0.0.0.0:0')),
+            data_centre=str(fields.get('zone') or ''),
             slots=0,
         )
     return Worker(
         worker_id=worker_id,
         born=born,
-        sequence=read_integer(said['sequence']),
-        state=_STATE_BY_WORD[said['state']],
-        service=read_text(said['service']),
-        address=parse_address(read_text(said['address'])),
-        data_centre=read_text(said['zone']),
-        slots=max(1, read_integer(said['slots'])),
+        sequence=read_integer(fields['sequence']),
+        state=_STATE_BY_NAME[fields['state']],
+        service=read_text(fields['service']),
+        address=parse_address(read_text(fields['address'])),
+        data_centre=read_text(fields['zone']),
+        slots=max(1, read_integer(fields['slots'])),
     )
