--- a/verbenathread/directory/__init__.py
+++ b/verbenathread/directory/__init__.py
@@ -1,5 +1,5 @@
-"""The directory: serving configuration and workers on the replicated log.
+"""Service registry: serving configuration and workers on a replicated log.
 
-The leader alone answers operators and workers and feeds the gateways; the
-others copy the log and name the leader.
+Only the leader answers operators and workers and sends updates to gateways.
+Followers replicate the log and redirect clients to the leader.
 """
--- a/verbenathread/directory/calls.py
+++ b/verbenathread/directory/calls.py
@@ -1,4 +1,4 @@
-"""What operators and workers may ask of the directory."""
+"""Directory operations for operators and workers."""
 
 import asyncio
 import zlib
@@ -16,31 +16,32 @@
 
 _log = get_logger('directory')
 
-# Callers try another process after a second without an answer.
+# Clients try another process after 1 s without a response.
 _CALL_TIMEOUT: Millis = 900
-# Heartbeats missed until a worker that says nothing is no longer offered to
-# gateways, which find out by themselves much sooner.
+# A worker that misses this many heartbeats is no longer listed. Gateways detect
+# an unresponsive worker much sooner on their own.
 _MAX_MISSED_HEARTBEATS = 6
 _SILENCE_CHECK_INTERVAL: Millis = 1000
-# The quickest level of zlib: a tenth of the size in a tenth of the time.
+# The fastest zlib level: output a tenth of the size, in a tenth of the time of
+# stronger levels.
 _COMPRESSION_LEVEL = 1
 
 
 class ReplicatedLog(Protocol):
-    """What these calls need of a replica."""
+    """The part of a replica that directory calls use."""
 
     async def propose(self, command: bytes, limit: Millis) -> Applied:
-        """Put a command on the log; return once it is applied."""
+        """Append a command to the log; return once it is applied."""
 
     async def barrier(self, limit: Millis) -> int:
-        """Return once later reads here are fresh."""
+        """Return once local reads are linearizable."""
 
     def status(self) -> ReplicaStatus:
-        """Return what the replica knows of its group."""
+        """Return the replica's view of its group."""
 
 
 class DirectoryCalls:
-    """Answers operators and workers on the process that leads."""
+    """Serves operators and workers on the leader."""
 
     def __init__(
         self,
@@ -49,7 +50,7 @@
         clock: Clock,
         worker_heartbeat: Millis,
     ) -> None:
-        """Change ``machine`` through ``log`` only."""
+        """Read ``machine`` and change it only through ``log``."""
         self._log = log
         self._machine = machine
         self._clock = clock
@@ -58,10 +59,12 @@
         self._was_leader = False
 
     async def put_config(self, version: int, body: bytes) -> None:
-        """Bring a checked configuration in force, unless it is not newer."""
+        """Store a validated configuration if its version is newer."""
         held = self._machine.config_version
         if version <= held:
-            _log.info('A configuration is not newer.', got=version, held=held)
+            _log.info(
+                'Configuration ignored: not newer.', got=version, held=held
+            )
             return
         packed = zlib.compress(body, _COMPRESSION_LEVEL)
         put = messages.PutConfig(version=version, body=packed)
@@ -69,7 +72,7 @@
         _log.info('A configuration is in force.', version=version)
 
     async def get_config(self) -> bytes:
-        """Return the newest configuration; raises UnavailableError."""
+        """Return the latest configuration; raises UnavailableError."""
         await self._log.barrier(_CALL_TIMEOUT)
         if not self._machine.config_body:
             raise UnavailableError(
@@ -78,7 +81,7 @@
         return self.config_body()
 
     async def record_worker(self, worker: Worker) -> None:
-        """Take what a worker says of itself; return once it is safe."""
+        """Record a worker's heartbeat; return once a change is committed."""
         registry = self._machine.registry
         if not self._log.status().is_leader:
             await self._log.barrier(_CALL_TIMEOUT)
@@ -105,25 +108,25 @@
         )
 
     def has_worker(self, worker_id: str, service: str) -> bool:
-        """Tell whether the registry holds this worker of this service."""
+        """Return whether the registry lists this worker for this service."""
         held = self._machine.registry.worker_by_id.get(worker_id)
         return held is not None and held.service == service
 
     def config_version(self) -> int:
-        """Return the version of the configuration held here; 0 for none."""
+        """Return the version of the local configuration; 0 if there is none."""
         return self._machine.config_version
 
     def config_body(self) -> bytes:
-        """Return the configuration held here, as its operator sent it."""
+        """Return the local configuration as the operator sent it."""
         return zlib.decompress(self._machine.config_body)
 
     async def watch_heartbeats(self) -> None:
-        """Drop workers that say nothing, while this process leads."""
+        """Drop workers that miss their heartbeats, while this process leads."""
         while True:
             await asyncio.sleep(seconds(_SILENCE_CHECK_INTERVAL))
             leads = self._log.status().is_leader
             if leads and not self._was_leader:
-                # What was said to the leader before is not known here.
+                # Heartbeats sent to the previous leader were not seen here.
                 self._heartbeat_time_by_id.clear()
             self._was_leader = leads
             if leads:
@@ -132,24 +135,26 @@
     async def _drop_silent(self) -> None:
         now = self._clock.now()
         for worker in tuple(self._machine.registry.living()):
-            heard = self._heartbeat_time_by_id.setdefault(worker.worker_id, now)
-            if now - heard < self._silence_limit:
+            last_heartbeat = self._heartbeat_time_by_id.setdefault(
+                worker.worker_id, now
+            )
+            if now - last_heartbeat < self._silence_limit:
                 continue
             drop = messages.DropWorker(
                 worker_id=worker.worker_id, born=worker.born
             )
             _log.warning(
-                'A silent worker is dropped.',
+                'Dropping a worker without heartbeats.',
                 worker=worker.worker_id,
-                silent_ms=now - heard,
+                silent_ms=now - last_heartbeat,
             )
             try:
-                # One silent worker after the other.
+                # Commands are proposed one at a time.
                 await self._propose(  # noqa: WPS476
                     messages.DirectoryCommand(drop_worker=drop)
                 )
             except VerbenathreadError as error:
-                _log.warning('It stays for now.', reason=str(error))
+                _log.warning('Could not drop the worker.', reason=str(error))
             self._heartbeat_time_by_id.pop(worker.worker_id, None)
 
     async def _propose(self, command: messages.DirectoryCommand) -> None:
--- a/verbenathread/directory/daemon.py
+++ b/verbenathread/directory/daemon.py
@@ -1,4 +1,4 @@
-"""A directory process."""
+"""Directory process: wires and runs the parts of the service registry."""
 
 import asyncio
 from collections.abc import Callable
@@ -30,16 +30,16 @@
 
 _log = get_logger('directory')
 
-# How often a process that follows nobody asks to be a member.
+# How often a process without a leader requests membership.
 _JOIN_INTERVAL: Millis = 700
 _JOIN_TIMEOUT: Millis = 600
 _REFRESH_INTERVAL: Millis = 2000
-# A log of configurations: a snapshot holds one of them, so few records are
-# worth more than few snapshots on a disk of 128 MB.
+# Most records hold a whole configuration and a snapshot holds only one, so a
+# short log matters more than few snapshots on a disk of 128 MB.
 _SNAPSHOT_RECORDS = 100
-# Configurations of thousands of routes; callers of gateways may send less.
+# Fits configurations of thousands of routes. Gateways have a lower limit.
 _MAX_BODY_BYTES = 0x1000000
-# Time for the last answers to leave before connections close.
+# Time to send the last responses before connections are closed.
 _FLUSH_TIME: Millis = 100
 
 _CallCounter = Callable[[str, int], None]
@@ -55,28 +55,28 @@
         path: str,
         make_handler: HandlerFactory,
     ) -> None:
-        """Wire the parts; ``path`` is the settings file, read again later."""
-        own = settings.directory
-        self._section = own
+        """Wire the parts; ``path`` is the settings file, for later reloads."""
+        section = settings.directory
+        self._section = section
         self._cluster = settings.node.cluster
         self._key = settings.node.node_key
         self._clock: Clock = SystemClock()
-        self._listen = parse_address(own.listen)
-        self._peer_listen = parse_address(own.peer_listen)
-        address = parse_address(own.peer_advertise or own.peer_listen)
+        self._listen = parse_address(section.listen)
+        self._peer_listen = parse_address(section.peer_listen)
+        address = parse_address(section.peer_advertise or section.peer_listen)
         self._own_peer = Peer(address.host, address)
         self._seeds = SeedFile(path, 'directory')
         self._machine = DirectoryMachine()
         self._transport = RpcTransport(self._cluster, self._key)
         self.replica = self._make_replica()
         self.calls = DirectoryCalls(
-            self.replica, self._machine, self._clock, own.worker_heartbeat
+            self.replica, self._machine, self._clock, section.worker_heartbeat
         )
-        healer = MembershipManager(
-            self.replica, self._clock, 2 * own.losses + 1
+        membership = MembershipManager(
+            self.replica, self._clock, 2 * section.losses + 1
         )
         self._service = DirectoryService(
-            self.replica, self._machine, healer, self._clock
+            self.replica, self._machine, membership, self._clock
         )
         self._grpc_server = Server(
             [
@@ -96,17 +96,17 @@
         )
         self._background_tasks = (
             self._service.run,
-            healer.run,
+            membership.run,
             self.calls.watch_heartbeats,
             self._join,
             self._refresh,
         )
-        # Directory processes that others named.
+        # Directory processes that other members reported.
         self._known_addresses: set[Address] = set()
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Listen, load the data folder and take part in the group."""
+        """Load the data folder, listen and take part in the group."""
         await self.replica.start()
         await self._grpc_server.start(*self._peer_listen)
         await self._http_server.start(self._listen)
@@ -114,10 +114,10 @@
             await self._metrics_server.start(
                 parse_address(self._section.metrics_listen)
             )
-        for duty in self._background_tasks:
-            self._tasks.append(asyncio.create_task(keep_running(duty)))
+        for task_function in self._background_tasks:
+            self._tasks.append(asyncio.create_task(keep_running(task_function)))
         _log.info(
-            'The directory runs.',
+            'Directory started.',
             listen=str(self._listen),
             node=self._own_peer.node_id,
             bootstrap=self._section.bootstrap,
@@ -125,7 +125,7 @@
         )
 
     async def stop(self, *, hand_over: bool = True) -> None:
-        """Hand leadership over, answer what is in progress, and end."""
+        """Transfer leadership, finish calls in progress and shut down."""
         self._http_server.stopping = True
         await self.replica.stop(hand_over=hand_over)
         for task in self._tasks:
@@ -136,20 +136,20 @@
         self._metrics_server.close()
         self._transport.close()
         self._grpc_server.close()
-        _log.info('The directory stopped.')
+        _log.info('Directory stopped.')
 
     async def wait_failed(self) -> str:
-        """Return why the replica stopped by itself, once it did."""
+        """Wait until the replica fails and return the reason."""
         while not self.replica.status().failure:
             await asyncio.sleep(seconds(_JOIN_INTERVAL))
         return self.replica.status().failure
 
     def reload(self) -> None:
-        """Read the seeds again."""
+        """Reload the seeds from the settings file."""
         self._seeds.refresh()
 
     def _make_replica(self) -> Replica:
-        own = self._section
+        section = self._section
         first_members = tuple(
             Peer(address.host, address) for address in self._seeds.addresses
         )
@@ -158,12 +158,13 @@
                 me=self._own_peer,
                 cluster=self._cluster,
                 first_members=first_members,
-                join=not own.bootstrap or self._own_peer not in first_members,
-                election_timeout=own.election_timeout,
-                heartbeat=own.heartbeat,
+                join=not section.bootstrap
+                or self._own_peer not in first_members,
+                election_timeout=section.election_timeout,
+                heartbeat=section.heartbeat,
                 snapshot_records=_SNAPSHOT_RECORDS,
             ),
-            storage=FileStorage(own.data_folder),
+            storage=FileStorage(section.data_folder),
             machine=self._machine,
             transport=self._transport,
             clock=self._clock,
@@ -171,22 +172,22 @@
         )
 
     async def _refresh(self) -> None:
-        """Read the seeds again, and bring the gauges up to date."""
+        """Reload the seeds and update the gauges periodically."""
         while True:
             await asyncio.sleep(seconds(_REFRESH_INTERVAL))
             self._seeds.refresh()
             status = self.replica.status()
-            measures = self.metrics
-            measures.leads.set(status.is_leader)
-            measures.term.set(status.term)
-            measures.committed.set(status.commit_index)
-            measures.syncs.set(status.sync_count)
-            voters = sum(1 for one in status.members if one.voter)
-            measures.voters.set(voters)
-            measures.config_version.set(self._machine.config_version)
-            living = sum(1 for _ in self._machine.registry.living())
-            measures.workers.set(living)
-            measures.gateways.set(self._service.gateway_count())
+            metrics = self.metrics
+            metrics.leads.set(status.is_leader)
+            metrics.term.set(status.term)
+            metrics.committed.set(status.commit_index)
+            metrics.syncs.set(status.sync_count)
+            voters = sum(1 for member in status.members if member.voter)
+            metrics.voters.set(voters)
+            metrics.config_version.set(self._machine.config_version)
+            live_workers = sum(1 for _ in self._machine.registry.living())
+            metrics.workers.set(live_workers)
+            metrics.gateways.set(self._service.gateway_count())
 
     def _count_call(self, call: str, status: int) -> None:
         self.metrics.calls.labels(call, str(status)).inc()
@@ -196,20 +197,20 @@
         return '' if status.leader else 'no leader is known'
 
     async def _join(self) -> None:
-        """Ask to be a member while this process follows nobody."""
+        """Request membership while this process has no leader."""
         while not self.replica.status().failure:
             await asyncio.sleep(seconds(_JOIN_INTERVAL))
             if not self.replica.status().leader:
                 await self._join_through_peers()
 
     async def _join_through_peers(self) -> None:
-        """Ask known processes until one names a leader, then ask that."""
+        """Query known processes for the leader and request membership there."""
         for peer in self._service.directory_peers():
             self._known_addresses.add(peer.address)
-        asked = {*self._seeds.addresses, *self._known_addresses} - {
+        candidates = {*self._seeds.addresses, *self._known_addresses} - {
             self._own_peer.address
         }
-        for address in sorted(asked):
+        for address in sorted(candidates):
             reply = await self._send_join_request(address)  # noqa: WPS476
             if reply is None:
                 continue
@@ -238,8 +239,10 @@
             return await asyncio.wait_for(
                 DirectoryStub(channel).Join(request), seconds(_JOIN_TIMEOUT)
             )
-        except Exception as error:  # noqa: BLE001  any failure means: not now
-            _log.debug('No answer.', address=str(address), reason=repr(error))
+        except Exception as error:  # noqa: BLE001  any failure is retried
+            _log.debug(
+                'Join request failed.', address=str(address), reason=repr(error)
+            )
             return None
         finally:
             channel.close()
--- a/verbenathread/directory/damage.py
+++ b/verbenathread/directory/damage.py
@@ -1,7 +1,7 @@
-"""What a directory process does with a data folder that is damaged.
+"""Recovery from a damaged data folder.
 
-Nobody repairs folders by hand here. The others hold the whole log, so the
-process keeps the damaged folder for inspection and joins as a new member.
+The other replicas hold the complete log, so no manual repair is needed: the
+process keeps the damaged files for inspection and joins as a new member.
 """
 
 from pathlib import Path
@@ -13,24 +13,24 @@
 
 
 def quarantine_folder(data_folder: str, error: StorageError) -> None:
-    """Move the files of a damaged folder away; raise any other error."""
+    """Move the files of a damaged folder away; reraise any other error."""
     if not _is_data_damage(error):
         raise error
     folder = Path(data_folder)
-    aside = folder.with_name(f'{folder.name}-damaged')
-    aside.mkdir(exist_ok=True)
-    for old in aside.iterdir():
-        old.unlink()
-    for found in folder.iterdir():
-        found.replace(aside / found.name)
+    quarantine = folder.with_name(f'{folder.name}-damaged')
+    quarantine.mkdir(exist_ok=True)
+    for stale_file in quarantine.iterdir():
+        stale_file.unlink()
+    for damaged_file in folder.iterdir():
+        damaged_file.replace(quarantine / damaged_file.name)
     _log.error(
         'The data folder is damaged; this process joins as a new member.',
         reason=str(error),
-        kept=str(aside),
+        kept=str(quarantine),
     )
 
 
 def _is_data_damage(error: StorageError) -> bool:
-    """Tell whether the folder is at fault, and not the disk or the caller."""
+    """Return whether the data is damaged, not the disk or the settings."""
     text = str(error)
     return 'damaged' in text or 'missing' in text
--- a/verbenathread/directory/machine.py
+++ b/verbenathread/directory/machine.py
@@ -1,4 +1,4 @@
-"""The state that the log builds: one configuration and the workers."""
+"""State machine of the directory: one configuration and the workers."""
 
 from verbenathread.schema import directory_pb2 as messages
 from verbenathread.serving.registry import Registry
@@ -7,27 +7,27 @@
 
 
 class DirectoryMachine:
-    """State machine of the directory's log."""
+    """State that the directory builds from its replicated log."""
 
     def __init__(self) -> None:
         """Start without a configuration and without workers."""
         self.config_version = 0
         self.config_body = b''
         self.registry = Registry()
-        # Counts the changes of the registry in this process.
+        # Local counter, incremented on every change to the registry.
         self.registry_changes = 0
 
     def apply(self, index: int, command: bytes) -> bytes:
-        """Apply one committed command; nothing is returned."""
-        read = messages.DirectoryCommand.FromString(command)
-        kind = read.WhichOneof('command')
+        """Apply one committed command; the result is always empty."""
+        decoded = messages.DirectoryCommand.FromString(command)
+        kind = decoded.WhichOneof('command')
         if kind == 'put_config':
-            self._put_config(read.put_config)
+            self._put_config(decoded.put_config)
         elif kind == 'put_worker':
-            self.registry.merge(decode_worker(read.put_worker))
+            self.registry.merge(decode_worker(decoded.put_worker))
             self.registry_changes += 1
         elif kind == 'drop_worker':
-            drop = read.drop_worker
+            drop = decoded.drop_worker
             self.registry.drop(drop.worker_id, drop.born)
             self.registry_changes += 1
         return b''
@@ -44,24 +44,24 @@
         return image.SerializeToString()
 
     def restore(self, image: bytes) -> None:
-        """Replace the whole state by what :meth:`snapshot` returned."""
-        read = messages.DirectoryImage.FromString(image)
-        self.config_version = read.config.version
-        self.config_body = read.config.body
+        """Replace the whole state with the output of :meth:`snapshot`."""
+        decoded = messages.DirectoryImage.FromString(image)
+        self.config_version = decoded.config.version
+        self.config_body = decoded.config.body
         self.registry = Registry()
-        for entry in read.workers:
+        for entry in decoded.workers:
             self.registry.merge(decode_worker(entry))
         self.registry_changes += 1
 
     def _put_config(self, put: messages.PutConfig) -> None:
-        # Of two bodies under one version the first one stays in force.
+        # If two bodies share a version, the first one wins.
         if put.version > self.config_version:
             self.config_version = put.version
             self.config_body = put.body
 
 
 def decode_worker(entry: messages.WorkerEntry) -> Worker:
-    """Return the worker that a message holds."""
+    """Build a worker from its message."""
     return Worker(
         worker_id=entry.worker_id,
         born=entry.born,
@@ -75,7 +75,7 @@
 
 
 def encode_worker(worker: Worker) -> messages.WorkerEntry:
-    """Return the message that holds a worker."""
+    """Build the message for a worker."""
     return messages.WorkerEntry(
         worker_id=worker.worker_id,
         born=worker.born,
--- a/verbenathread/directory/membership.py
+++ b/verbenathread/directory/membership.py
@@ -1,4 +1,4 @@
-"""How the log forms, and how it replaces lost members by itself."""
+"""Automatic membership: admits new members and replaces lost ones."""
 
 import asyncio
 from typing import NamedTuple, Protocol
@@ -11,20 +11,20 @@
 
 _log = get_logger('directory')
 
-# A voter that is silent for this long is given up once another can take its
-# place: longer than a restart (a second) and than most cuts of a single VM
-# would be worth a move of the log.
+# A member that has not answered for this long is removed once another one can
+# take its place. Longer than a restart (1 s) and than most network outages of a
+# single VM, which are not worth copying the log to a new member.
 _SILENCE_LIMIT: Millis = 5000
 _CHECK_INTERVAL: Millis = 500
-# Time for one change of members; each needs two rounds between replicas.
+# A membership change takes two round trips between replicas.
 _CHANGE_TIMEOUT: Millis = 2000
 
 
 class ReplicaGroup(Protocol):
-    """What healing needs of a replica."""
+    """The part of a replica that membership changes use."""
 
     def status(self) -> ReplicaStatus:
-        """Return what it knows of its group."""
+        """Return the replica's view of its group."""
 
     def silent_for(self) -> dict[NodeId, Millis]:
         """Return how long each other member has not answered the leader."""
@@ -36,7 +36,7 @@
 
 
 class _JoinRequest(NamedTuple):
-    """A process that wants to join, and when it last said so."""
+    """The latest request of a process to join the group."""
 
     peer: Peer
     store_id: str
@@ -44,18 +44,17 @@
 
 
 class MembershipManager:
-    """Changes members while this replica leads."""
+    """Adds, promotes and removes members while this replica leads."""
 
     def __init__(self, group: ReplicaGroup, clock: Clock, voters: int) -> None:
-        """Keep ``voters`` members that vote, as far as there are as many."""
+        """Maintain up to ``voters`` voting members."""
         self._group = group
         self._clock = clock
         self._voters = voters
-        # Processes that ask to join, with the store that each has.
         self._join_request_by_id: dict[NodeId, _JoinRequest] = {}
 
     def request_join(self, peer: Peer, store_id: str) -> bool:
-        """Note that a process wants to join; True when it is a member."""
+        """Record a request to join; return whether it already is a member."""
         for member in self._group.status().members:
             if (member.node_id, member.store_id) == (peer.node_id, store_id):
                 return True
@@ -65,7 +64,7 @@
         return False
 
     async def run(self) -> None:
-        """Look after the members for as long as the process runs."""
+        """Check the members periodically while this replica leads."""
         while True:
             await asyncio.sleep(seconds(_CHECK_INTERVAL))
             if not self._group.status().is_leader:
@@ -74,14 +73,14 @@
             try:
                 await self._step()
             except VerbenathreadError as error:
-                _log.warning('A change of members waits.', reason=str(error))
+                _log.warning('Membership change postponed.', reason=str(error))
 
     async def _step(self) -> None:
-        """Make at most one change."""
+        """Make at most one membership change."""
         members = self._group.status().members
-        newcomer = self._next_join_request(members)
-        if newcomer is not None:
-            await self._admit(newcomer, members)
+        join_request = self._next_join_request(members)
+        if join_request is not None:
+            await self._admit(join_request, members)
             return
         silent = self._group.silent_for()
         learners = []
@@ -93,7 +92,9 @@
                 lost.append(member)
             elif not member.voter:
                 learners.append(member)
-        replaceable = [one for one in lost if learners or not one.voter]
+        replaceable = [
+            candidate for candidate in lost if learners or not candidate.voter
+        ]
         if replaceable:
             await self._change_member('remove', replaceable[0])
         elif learners and voters < self._voters:
@@ -102,32 +103,34 @@
     def _next_join_request(
         self, members: tuple[MemberState, ...]
     ) -> _JoinRequest | None:
-        """Return one that asked and isn't a member with the disk it has."""
+        """Return a pending request whose store is not yet a member."""
         now = self._clock.now()
         known = {(member.node_id, member.store_id) for member in members}
-        for node_id, asked in tuple(self._join_request_by_id.items()):
-            if (node_id, asked.store_id) in known:
+        for node_id, request in tuple(self._join_request_by_id.items()):
+            if (node_id, request.store_id) in known:
                 self._join_request_by_id.pop(node_id)
-            elif now - asked.received_at > _SILENCE_LIMIT:
+            elif now - request.received_at > _SILENCE_LIMIT:
                 self._join_request_by_id.pop(node_id)
             else:
-                return asked
+                return request
         return None
 
     async def _admit(
-        self, newcomer: _JoinRequest, members: tuple[MemberState, ...]
+        self, join_request: _JoinRequest, members: tuple[MemberState, ...]
     ) -> None:
-        node_id = newcomer.peer.node_id
+        node_id = join_request.peer.node_id
         for member in members:
             if member.node_id == node_id:
-                # The disk that this member had is gone.
+                # The member lost its disk and has a new store.
                 await self._change_member('remove', member)  # noqa: WPS476
                 return
         self._join_request_by_id.pop(node_id)
-        _log.info('A process joins.', member=node_id)
-        await self._group.change_member('add', newcomer.peer, _CHANGE_TIMEOUT)
+        _log.info('Adding a member.', member=node_id)
+        await self._group.change_member(
+            'add', join_request.peer, _CHANGE_TIMEOUT
+        )
 
     async def _change_member(self, action: str, member: MemberState) -> None:
-        _log.info('A member is changed.', action=action, member=member.node_id)
+        _log.info('Changing a member.', action=action, member=member.node_id)
         peer = Peer(member.node_id, member.address)
         await self._group.change_member(action, peer, _CHANGE_TIMEOUT)
--- a/verbenathread/directory/metrics.py
+++ b/verbenathread/directory/metrics.py
@@ -1,13 +1,13 @@
-"""What a directory process counts, for Prometheus."""
+"""Prometheus metrics of a directory process."""
 
 from prometheus_client import CollectorRegistry, Counter, Gauge
 
 
 class DirectoryMetrics:
-    """Gauges of the log and of the state that it builds."""
+    """Metrics of the replicated log and the directory state."""
 
     def __init__(self) -> None:
-        """Make the metrics on a registry of their own."""
+        """Create the metrics on a separate registry."""
         self.registry = CollectorRegistry()
         self.leads = Gauge(
             'verbenathread_directory_leads',
--- a/verbenathread/directory/seeds.py
+++ b/verbenathread/directory/seeds.py
@@ -1,4 +1,4 @@
-"""Addresses of directory processes: seeds from the file, others as learned."""
+"""Seed addresses of the directory, from the settings file."""
 
 from pathlib import Path
 
@@ -12,7 +12,10 @@
 
 
 def parse_seeds(text: str, directory_port: int) -> tuple[Address, ...]:
-    """Return where the seeds serve nodes."""
+    """Return the peer addresses of the seeds.
+
+    ``directory_port`` replaces the port of each seed unless it is 0.
+    """
     peers = []
     for address in parse_addresses(text):
         port = directory_port or address.port
@@ -21,42 +24,42 @@
 
 
 class SeedFile:
-    """The seeds of a settings file, which may change while we run."""
+    """The seeds of a settings file that may change at run time."""
 
     def __init__(self, path: str, section: str) -> None:
-        """Read the ``section`` of the file at ``path``."""
+        """Read the seeds from ``section`` of the file at ``path``."""
         self._path = path
         self._section = section
-        self._read_at: tuple[int, int] = (0, 0)
+        self._file_version: tuple[int, int] = (0, 0)
         self.addresses: tuple[Address, ...] = ()
         self.refresh()
 
     def refresh(self) -> bool:
-        """Read the file again if it changed; True when the seeds did."""
+        """Reload the file if it changed; return whether the seeds changed."""
         try:
-            found = Path(self._path).stat()
+            file_stat = Path(self._path).stat()
         except OSError as error:
-            _log.warning('The settings file is away.', reason=str(error))
+            _log.warning('Cannot read the settings file.', reason=str(error))
             return False
-        read_at = (found.st_mtime_ns, found.st_size)
-        if read_at == self._read_at:
+        file_version = (file_stat.st_mtime_ns, file_stat.st_size)
+        if file_version == self._file_version:
             return False
-        self._read_at = read_at
+        self._file_version = file_version
         try:
             settings = load_node_settings(self._path)
         except SettingsError as error:
-            _log.error('The changed settings are not used.', reason=str(error))
+            _log.error('Ignoring invalid settings.', reason=str(error))
             return False
-        before = self.addresses
-        self.addresses = self._seeds_of(settings)
-        changed = before != self.addresses
-        if changed and before:
+        previous = self.addresses
+        self.addresses = self._parse_section(settings)
+        changed = previous != self.addresses
+        if changed and previous:
             seeds = [str(address) for address in self.addresses]
-            _log.info('The seeds were read again.', seeds=seeds)
+            _log.info('The seeds changed.', seeds=seeds)
         return changed
 
-    def _seeds_of(
+    def _parse_section(
         self, settings: settings_pb2.NodeSettings
     ) -> tuple[Address, ...]:
-        part = getattr(settings, self._section)
-        return parse_seeds(part.seeds, part.directory_port)
+        node_section = getattr(settings, self._section)
+        return parse_seeds(node_section.seeds, node_section.directory_port)
--- a/verbenathread/directory/service.py
+++ b/verbenathread/directory/service.py
@@ -1,4 +1,4 @@
-"""What the directory answers to gateways and to processes that join."""
+"""RPC service of the directory for gateways and joining processes."""
 
 import asyncio
 import contextlib
@@ -22,20 +22,20 @@
 
 _log = get_logger('directory')
 
-# A gateway hears from the leader at least this often.
+# Longest interval between two updates to a gateway.
 _UPDATE_INTERVAL: Millis = 500
-# Configurations that follow one another faster than this are merged: the
-# newest counts alone, and each is parsed by every gateway.
+# Every gateway parses each configuration that it receives, so of several that
+# arrive within this interval only the latest is sent.
 _CONFIG_INTERVAL: Millis = 200
 _BARRIER_TIMEOUT: Millis = 1000
-# How long a gateway is kept waiting for an election. One that was sent away
-# would ask around all the while, at the cost of the voters' processors; it
-# takes a process for silent after 600 ms.
+# How long a watch request waits for an election to finish. A gateway that is
+# turned away polls all directory processes and takes CPU time from the voters.
+# Must stay below 600 ms, after which a gateway treats a process as unresponsive.
 _ELECTION_TIMEOUT: Millis = 400
 
 
 class _SentState(NamedTuple):
-    """What one gateway was sent."""
+    """Versions of the state last sent to one gateway."""
 
     config_version: int
     registry_changes: int = -1
@@ -43,7 +43,7 @@
 
 
 class DirectoryService(DirectoryBase):
-    """Serves ``Watch`` and ``Join``."""
+    """Implements the ``Watch`` and ``Join`` calls."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         membership: MembershipManager,
         clock: Clock,
     ) -> None:
-        """Serve what ``machine`` holds."""
+        """Serve the state in ``machine``."""
         self._replica = replica
         self._machine = machine
         self._membership = membership
@@ -63,7 +63,7 @@
         self._members: tuple[Peer, ...] = ()
 
     async def run(self) -> None:
-        """Wake the watching gateways after each change."""
+        """Wake the watch streams after each change."""
         applied = 0
         while True:
             try:
@@ -79,18 +79,18 @@
             self._changed.fire()
 
     def gateway_count(self) -> int:
-        """Return how many gateways this process feeds."""
+        """Return the number of gateways that watch this process."""
         return len(self._gateway_by_id)
 
     def directory_peers(self) -> Iterable[Peer]:
-        """Return the members of the log, by this process's own copy."""
+        """Return the members of the log, as seen by this replica."""
         for member in self._replica.status().members:
             yield Peer(member.node_id, member.address)
 
     async def Watch(  # noqa: N802  the generated base sets the name
         self, stream: Stream[messages.WatchRequest, messages.WatchUpdate]
     ) -> None:
-        """Feed one gateway for as long as this process leads."""
+        """Send updates to one gateway while this process leads."""
         request = await stream.recv_message()
         if request is None:
             return
@@ -103,7 +103,7 @@
             )
             return
         gateway = request.gateway
-        _log.info('A gateway watches.', gateway=gateway.node_id)
+        _log.info('Gateway watch started.', gateway=gateway.node_id)
         self._gateway_by_id[gateway.node_id] = gateway
         self._fleet_changes += 1
         with contextlib.ExitStack() as stack:
@@ -113,7 +113,7 @@
     async def Join(  # noqa: N802  the generated base sets the name
         self, stream: Stream[messages.JoinRequest, messages.JoinReply]
     ) -> None:
-        """Note that a process wants to be a member."""
+        """Record that a process requests membership."""
         request = await stream.recv_message()
         if request is None:
             return
@@ -127,7 +127,7 @@
         await stream.send_message(reply)
 
     def _remove_gateway(self, gateway: messages.NodeAddress) -> None:
-        _log.info('A gateway watches no more.', gateway=gateway.node_id)
+        _log.info('Gateway watch ended.', gateway=gateway.node_id)
         if self._gateway_by_id.get(gateway.node_id) is gateway:
             self._gateway_by_id.pop(gateway.node_id)
             self._fleet_changes += 1
@@ -138,13 +138,13 @@
         sent: _SentState,
     ) -> None:
         while self._replica.status().is_leader:
-            update, now_sent = self._build_update(sent)
+            update, newly_sent = self._build_update(sent)
             await stream.send_message(update)
-            if now_sent.config_version != sent.config_version:
+            if newly_sent.config_version != sent.config_version:
                 await asyncio.sleep(seconds(_CONFIG_INTERVAL))
-            sent = now_sent
-            lacks = functools.partial(self._has_changes, sent)
-            await self._changed.until(lacks, _UPDATE_INTERVAL)
+            sent = newly_sent
+            has_changes = functools.partial(self._has_changes, sent)
+            await self._changed.until(has_changes, _UPDATE_INTERVAL)
         await stream.send_message(messages.WatchUpdate(leader=self._leader()))
 
     def _has_changes(self, sent: _SentState) -> bool:
@@ -172,11 +172,11 @@
             for peer in self.directory_peers():
                 update.fleet.directory.append(_encode_peer(peer))
             update.fleet.gateways.extend(self._gateway_by_id.values())
-        newest = max(machine.config_version, sent.config_version)
-        now_sent = _SentState(
-            newest, machine.registry_changes, self._fleet_changes
+        latest_version = max(machine.config_version, sent.config_version)
+        newly_sent = _SentState(
+            latest_version, machine.registry_changes, self._fleet_changes
         )
-        return update, now_sent
+        return update, newly_sent
 
     def _leader(self) -> messages.NodeAddress | None:
         status = self._replica.status()
