--- a/tests/standins/platform_worker.py
+++ b/tests/standins/platform_worker.py
@@ -1,4 +1,4 @@
-"""A worker of the platform, on loopback, that answers by a script."""
+"""A fake platform worker on loopback that responds by a script."""
 
 import asyncio
 import socket
@@ -9,10 +9,10 @@
 
 
 class ReceivedRequest:
-    """A request as it reached the worker."""
+    """A request as the worker received it."""
 
     def __init__(self, head: bytes, body: bytes) -> None:
-        """Split the head."""
+        """Parse the request head."""
         first, *lines = head.decode('latin-1').split('\r\n')
         self.request_line = first
         self.header_by_name = {}
@@ -24,7 +24,7 @@
 
     @property
     def attempt_id(self) -> str:
-        """Return the identifier that an answer must echo."""
+        """Return the attempt identifier that a response must echo."""
         return self.header_by_name['attempt-id']
 
 
@@ -32,28 +32,28 @@
 
 
 class PlatformWorker:
-    """Listens and answers each request by ``script``."""
+    """Listens and responds to each request with ``script``."""
 
     def __init__(self, worker_id: str, script: Script) -> None:
-        """Answer as ``worker_id``."""
+        """Start with no recorded requests."""
         self.worker_id = worker_id
         self.script = script
         self.requests: list[ReceivedRequest] = []
         self.connections = 0
         self.closed_early = 0
         self.probes = 0
-        # Accepts connections and says nothing to a probe.
+        # Accepts connections but does not respond to probes.
         self.is_unresponsive = False
 
     async def start(self) -> Address:
-        """Listen on a free port."""
+        """Listen on a free port and return the address."""
         self._server = await asyncio.start_server(self._serve, '127.0.0.1', 0)
         self._tasks: set[asyncio.Task[None]] = set()
         host, port = self._server.sockets[0].getsockname()
         return Address(host, port)
 
     async def stop(self) -> None:
-        """Stop listening."""
+        """Stop listening and cancel the requests in progress."""
         self._server.close()
         for task in self._tasks:
             task.cancel()
@@ -69,10 +69,10 @@
         try:
             while not writer.is_closing():
                 head = await reader.readuntil(b'\r\n\r\n')
-                seen = ReceivedRequest(head, b'')
-                length = int(seen.header_by_name.get('content-length', '0'))
-                seen.body = await reader.readexactly(length)
-                await self._answer(seen, writer)
+                request = ReceivedRequest(head, b'')
+                length = int(request.header_by_name.get('content-length', '0'))
+                request.body = await reader.readexactly(length)
+                await self._answer(request, writer)
                 await writer.drain()
         except (asyncio.IncompleteReadError, ConnectionError):
             self.closed_early += 1
@@ -82,11 +82,11 @@
             writer.close()
 
     async def _answer(
-        self, seen: ReceivedRequest, writer: asyncio.StreamWriter
+        self, request: ReceivedRequest, writer: asyncio.StreamWriter
     ) -> None:
-        if not seen.request_line.startswith('GET /report '):
-            self.requests.append(seen)
-            await self.script(seen, writer)
+        if not request.request_line.startswith('GET /report '):
+            self.requests.append(request)
+            await self.script(request, writer)
             return
         self.probes += 1
         if self.is_unresponsive:
@@ -95,16 +95,16 @@
 
 
 def signed_response(
-    seen: ReceivedRequest,
+    request: ReceivedRequest,
     body: bytes,
     *,
     status: str = '200 OK',
     extra: str = '',
 ) -> bytes:
-    """Return a signed answer with its length."""
+    """Return a signed response with a Content-Length."""
     head = (
-        f'HTTP/1.1 {status}\r\nAttempt-Id: {seen.attempt_id}\r\n'
-        f'Response-Stamp: stamp-{seen.attempt_id}\r\n{extra}'
+        f'HTTP/1.1 {status}\r\nAttempt-Id: {request.attempt_id}\r\n'
+        f'Response-Stamp: stamp-{request.attempt_id}\r\n{extra}'
         f'Content-Length: {len(body)}\r\n\r\n'
     )
     return head.encode() + body
@@ -116,7 +116,7 @@
 
 
 def unsigned_response(body: bytes) -> bytes:
-    """Return an answer that names no attempt."""
+    """Return a response without attempt identifier and signature."""
     return b'HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b' % (
         len(body),
         body,
@@ -124,29 +124,29 @@
 
 
 def not_executed_response(status: str = '503 Service Unavailable') -> bytes:
-    """Return the answer of a worker that did not run the request."""
+    """Return the response of a worker that did not run the request."""
     return (
         f'HTTP/1.1 {status}\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n'
     ).encode()
 
 
-def stream_head(seen: ReceivedRequest) -> bytes:
-    """Return the head of a stream in chunks."""
+def stream_head(request: ReceivedRequest) -> bytes:
+    """Return the head of a chunked event stream."""
     return (
-        f'HTTP/1.1 200 OK\r\nAttempt-Id: {seen.attempt_id}\r\n'
-        f'Response-Stamp: stamp-{seen.attempt_id}\r\n'
+        f'HTTP/1.1 200 OK\r\nAttempt-Id: {request.attempt_id}\r\n'
+        f'Response-Stamp: stamp-{request.attempt_id}\r\n'
         'Content-Type: text/event-stream\r\n'
         'Transfer-Encoding: chunked\r\n\r\n'
     ).encode()
 
 
 def chunk(content: bytes) -> bytes:
-    """Return one chunk."""
+    """Encode one chunk."""
     return b'%x\r\n%b\r\n' % (len(content), content)
 
 
 def event(number: int, label: str = 'piece') -> bytes:
-    """Return one event."""
+    """Encode one server-sent event."""
     return f'id: {number}\ndata: {label}-{number}\n\n'.encode()
 
 
@@ -154,7 +154,7 @@
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """Break the connection with a reset, not an orderly end."""
+    """Abort the connection with a TCP reset instead of a regular close."""
     sock = writer.transport.get_extra_info('socket')
     sock.setsockopt(
         socket.SOL_SOCKET, socket.SO_LINGER, struct.pack('ii', 1, 0)
--- a/tests/standins/processes.py
+++ b/tests/standins/processes.py
@@ -1,4 +1,4 @@
-"""Starts the stand-ins, as processes or as threads of the test."""
+"""Runs stand-ins as processes or as threads of the test."""
 
 import json
 import os
@@ -17,7 +17,7 @@
 
 
 class StandIn:
-    """One process of ``python -m tests.standins.NAME``."""
+    """A stand-in process, run with ``python -m tests.standins.NAME``."""
 
     def __init__(self, name: str, *options: str) -> None:
         self.process = subprocess.Popen(
@@ -37,7 +37,7 @@
         return post_announcement(entry, verb, key, self.announcement)
 
     def kill(self) -> None:
-        """SIGKILL, as a VM that is lost."""
+        """Kill the process with SIGKILL, like the loss of its VM."""
         if self.process.poll() is None:
             os.kill(self.process.pid, signal.SIGKILL)
         self.process.wait()
@@ -46,7 +46,7 @@
 
 
 class LocalStandIn:
-    """A stand-in in a thread, whose state the test can read."""
+    """A stand-in in a thread whose state the test can read."""
 
     def __init__(self, name, *options):
         if name == 'engine':
--- a/tests/test_directory_cluster.py
+++ b/tests/test_directory_cluster.py
@@ -1,4 +1,4 @@
-"""Directory processes on loopback, each at an address of its own."""
+"""Tests of a directory cluster on loopback, one address per process."""
 
 import asyncio
 import json
@@ -54,7 +54,7 @@
 
 
 def body(version, **changes):
-    """Return a configuration as an operator sends it."""
+    """Return the JSON body of a configuration."""
     route = {
         'name': 'r1',
         'host': 'desk.example',
@@ -66,13 +66,13 @@
         'attempts': 2,
     }
     service = {'name': 'desk', 'health-path': '/healthz', 'max-connections': 9}
-    whole = {'version': version, 'routes': [route], 'services': [service]}
-    return json.dumps(whole | changes).encode()
+    config = {'version': version, 'routes': [route], 'services': [service]}
+    return json.dumps(config | changes).encode()
 
 
 def heartbeat(state='ready', sequence=1, **changes):
-    """Return what a worker says of itself."""
-    said = {
+    """Return the JSON body of a worker's heartbeat."""
+    fields = {
         'service': 'desk',
         'address': '10.0.0.9:80',
         'zone': 'a',
@@ -81,13 +81,13 @@
         'sequence': sequence,
         'born': 5000,
     }
-    return json.dumps(said | changes).encode()
+    return json.dumps(fields | changes).encode()
 
 
 class ClusterTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.folder = Path(tempfile.mkdtemp())
-        # A network of this process's own within 127.0.0.0/8.
+        # A separate /24 network within 127.0.0.0/8 for each test process.
         first, second = divmod(os.getpid() % 50_000, 250)
         self.net = f'127.{first + 10}.{second + 1}'
         self.daemon_by_number = {}
@@ -104,7 +104,9 @@
         return f'{self.net}.{number}'
 
     def seeds(self, numbers):
-        return ','.join(f'{self.host(one)}:{CONTROL_PORT}' for one in numbers)
+        return ','.join(
+            f'{self.host(number)}:{CONTROL_PORT}' for number in numbers
+        )
 
     async def start(self, number, *, bootstrap=False, seeds=(1, 2, 3)):
         path = self.folder / f'd{number}.ini'
@@ -139,7 +141,7 @@
             if condition():
                 return
             await asyncio.sleep(0.05)
-        self.fail('it did not come true in time')
+        self.fail('the condition was not met in time')
 
     def leader(self):
         for number, daemon in self.daemon_by_number.items():
@@ -147,18 +149,20 @@
                 return number
         return None
 
-    def is_healed(self):
-        """Tell whether all that run vote, each with the disk it has."""
+    def has_recovered(self):
+        """Return whether the voters are exactly the running stores."""
         leader = self.leader()
         if leader is None:
             return False
         members = self.daemon_by_number[leader].replica.status().members
-        stores = {one.store_id for one in members if one.voter}
+        stores = {member.store_id for member in members if member.voter}
         running = self.daemon_by_number.values()
-        return stores == {one.replica.status().store_id for one in running}
+        return stores == {
+            process.replica.status().store_id for process in running
+        }
 
     async def call(self, method, path, content=b'', number=None):
-        """Call one process, and where it sends us."""
+        """Call one process and follow redirects."""
         host = self.host(number or min(self.daemon_by_number))
         for _ in range(3):
             try:
@@ -166,7 +170,7 @@
                     host, CONTROL_PORT
                 )
             except ConnectionRefusedError:
-                # A follower may still name a leader that is gone.
+                # A follower may redirect to a leader that has stopped.
                 return Answer(503, {}, b'', whole=False)
             head = (
                 f'{method} {path} HTTP/1.1\r\nHost: {host}\r\n'
@@ -181,8 +185,8 @@
             host = location.removeprefix('http://').partition(':')[0]
         return answered
 
-    async def put(self, content, wanted=200):
-        """Send a configuration until it has a clear answer."""
+    async def put(self, content, expected=200):
+        """Send a configuration until the outcome is definite."""
         status = 0
         for _ in range(100):
             for number in tuple(self.daemon_by_number):
@@ -191,13 +195,13 @@
                 )
                 status = answered.status
                 if status < 500 and status != 307:
-                    self.assertEqual(status, wanted)
+                    self.assertEqual(status, expected)
                     return
             await asyncio.sleep(0.1)
-        self.fail(f'no clear answer, {status}')
+        self.fail(f'no definite outcome, last status {status}')
 
     async def read_version(self):
-        """Read the configuration back at any process that answers."""
+        """Return the version of the configuration that the cluster serves."""
         for _ in range(100):
             answered = await self.call('GET', '/Config.Get')
             if answered.status == 200:
@@ -209,12 +213,14 @@
         path = self.folder / 'g1.ini'
         path.write_text(GATEWAY.format(seeds=self.seeds(seeds), peer=PEER_PORT))
         me = Peer('g1', Address('127.0.0.1', 1))
-        found = SeedFile(str(path), 'gateway')
-        watch = DirectoryWatch(view, found, me, decode_config, SystemClock())
+        seed_file = SeedFile(str(path), 'gateway')
+        watch = DirectoryWatch(
+            view, seed_file, me, decode_config, SystemClock()
+        )
         self.watcher = watch
         self.watching = asyncio.create_task(watch.run())
 
-    async def test_the_calls_of_operators_and_workers(self):
+    async def test_calls_of_operators_and_workers(self):
         await self.start_all()
         # method, path, body, status
         cases = (
@@ -261,7 +267,7 @@
         await self.until(lambda: view.config_version == 9)
         self.assertTrue(view.is_fresh)
 
-    async def test_a_silent_process_is_passed_over_soon(self):
+    async def test_an_unresponsive_process_is_skipped_quickly(self):
         await self.start_all()
         silent = await asyncio.start_server(
             lambda reader, writer: None, self.host(9), PEER_PORT
@@ -271,30 +277,30 @@
         started = asyncio.get_running_loop().time()
         await self.until(lambda: view.config_version == 1)
         took = asyncio.get_running_loop().time() - started
-        # 2 s until a change is in force, less 1.1 s until silence is noticed.
+        # A change must apply within 2 s; detecting a silent process takes 1.1 s.
         self.assertLess(took, 0.9)
         silent.close()
 
-    async def test_a_leader_that_was_silent_once_is_followed(self):
+    async def test_a_formerly_unresponsive_leader_is_followed(self):
         await self.start_all()
         leader = self.leader()
         others = [number for number in (1, 2, 3) if number != leader]
         host = self.host(leader)
         view = View()
         self.watch(view, (*others, leader))
-        # What a busy leader leaves behind in a gateway that gave it up.
+        # The state of a gateway after a call to a busy leader timed out.
         self.watcher.note_silent(Address(host, PEER_PORT))
         await self.until(lambda: view.config_version == 1, limit=3)
 
-    async def test_a_gateway_is_held_until_one_leads(self):
+    async def test_a_watch_waits_for_an_election(self):
         await self.start(1, bootstrap=True)
-        asked = asyncio.create_task(self.first_update(1))
+        pending_update = asyncio.create_task(self.first_update(1))
         await asyncio.sleep(0.1)
-        self.assertFalse(asked.done())
+        self.assertFalse(pending_update.done())
         for number in (2, 3):
             await self.start(number, bootstrap=True)
-        update = await asked
-        # One round trip later it knows where the leader is.
+        update = await pending_update
+        # The first update comes from the leader or names it.
         self.assertTrue(update.leads or update.HasField('leader'))
 
     async def first_update(self, number):
@@ -306,30 +312,30 @@
         channel.close()
         return update
 
-    async def test_what_was_acknowledged_outlives_a_lost_disk(self):
+    async def test_acknowledged_changes_survive_a_lost_disk(self):
         await self.start_all()
         await self.put(body(5))
         victim = self.leader()
         await self.kill(victim, wipe=True)
         await self.start(victim)
         self.assertEqual(await self.read_version(), 5)
-        await self.until(self.is_healed)
-        # The healed group bears the next loss.
+        await self.until(self.has_recovered)
+        # The recovered group tolerates another loss.
         await self.put(body(6))
-        second = next(one for one in (1, 2, 3) if one != victim)
+        second = next(number for number in (1, 2, 3) if number != victim)
         await self.kill(second, wipe=True)
         self.assertEqual(await self.read_version(), 6)
 
-    async def test_a_new_vm_takes_the_place_of_a_lost_one(self):
+    async def test_a_new_vm_replaces_a_lost_one(self):
         await self.start_all()
         await self.kill(1, wipe=True)
         await self.start(4, seeds=(1, 2))
-        await self.until(self.is_healed, limit=20)
+        await self.until(self.has_recovered, limit=20)
         await self.put(body(8))
         await self.kill(2)
         self.assertEqual(await self.read_version(), 8)
 
-    async def test_a_damaged_folder_is_set_aside(self):
+    async def test_a_damaged_folder_is_quarantined(self):
         await self.start_all()
         await self.put(body(5))
         await self.put(body(6))
@@ -343,12 +349,12 @@
             await self.start(1)
         quarantine_folder(str(folder), caught.exception)
         await self.start(1)
-        await self.until(self.is_healed)
+        await self.until(self.has_recovered)
         kept = self.folder / 'log1-damaged' / segment.name
         self.assertEqual(kept.read_bytes(), content)
         self.assertEqual(await self.read_version(), 6)
 
-    async def test_all_killed_come_back_with_everything(self):
+    async def test_state_survives_a_restart_of_all_processes(self):
         await self.start_all()
         await self.put(body(5))
         for number in (1, 2, 3):
--- a/tests/test_http1_server.py
+++ b/tests/test_http1_server.py
@@ -1,4 +1,4 @@
-"""What clients may send to the HTTP server, and what they get."""
+"""Tests of the HTTP server: valid and invalid input, timeouts and closing."""
 
 import asyncio
 import unittest
@@ -15,8 +15,8 @@
 )
 
 
-class Echo:
-    """Answers with what it read."""
+class EchoHandler:
+    """Responds with the method and body of the request."""
 
     def __init__(self) -> None:
         self.requests: list[Request] = []
@@ -29,19 +29,19 @@
         response.send(200, (), request.method + b' ' + request.body)
 
 
-class Waits:
-    """Answers nothing until its client has left."""
+class WaitingHandler:
+    """Waits for the client to disconnect and sends no response."""
 
-    def __init__(self, gone: asyncio.Event) -> None:
-        self.gone = gone
+    def __init__(self, disconnected: asyncio.Event) -> None:
+        self.disconnected = disconnected
 
     async def handle(self, request, response):
-        response.on_disconnect = self.gone.set
-        await self.gone.wait()
+        response.on_disconnect = self.disconnected.set
+        await self.disconnected.wait()
 
 
-class Fails:
-    """Raises an error that nobody expects."""
+class FailingHandler:
+    """Raises an unexpected error."""
 
     async def handle(self, request, response):
         raise KeyError('inside')
@@ -49,7 +49,7 @@
 
 class ServerCase(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        self.echo = Echo()
+        self.echo = EchoHandler()
         self.server = HttpServer(self.echo, SystemClock())
         self.server.limits = LIMITS
         await self.server.start(Address('127.0.0.1', 0))
@@ -62,26 +62,26 @@
         return await asyncio.open_connection(host, port)
 
     async def statuses(self, *pieces):
-        """Send pieces one after the other; return statuses until the end."""
+        """Send the pieces in turn; return the statuses until the close."""
         reader, writer = await self.connect()
         for piece in pieces:
             writer.write(piece)
             await asyncio.sleep(0.01)
-        found = []
+        statuses = []
         try:
             while True:
                 answered = await asyncio.wait_for(read_answer(reader), 0.7)
-                found.append(answered.status)
+                statuses.append(answered.status)
         except (asyncio.IncompleteReadError, TimeoutError, ConnectionError):
             writer.close()
-        return found
+        return statuses
 
 
 class BadInputTest(ServerCase):
-    async def test_each_has_one_clear_answer(self):
+    async def test_each_input_has_one_status(self):
         head = b'POST /a HTTP/1.1\r\nHost: h\r\n'
         chunked = head + b'Transfer-Encoding: chunked\r\n\r\n'
-        # what, statuses
+        # name, pieces, expected statuses
         cases = (
             ('whole', (GOOD,), [200]),
             ('split anywhere', [bytes([one]) for one in GOOD], [200]),
@@ -136,12 +136,12 @@
                 [400],
             ),
         )
-        for what, pieces, wanted in cases:
-            with self.subTest(what=what):
-                self.assertEqual(await self.statuses(*pieces), wanted)
+        for name, pieces, expected in cases:
+            with self.subTest(name=name):
+                self.assertEqual(await self.statuses(*pieces), expected)
         self.assertEqual(await self.statuses(GOOD), [200])
 
-    async def test_an_expected_continue_is_given(self):
+    async def test_expect_continue_is_answered(self):
         reader, writer = await self.connect()
         writer.write(
             b'POST /a HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\n'
@@ -155,7 +155,7 @@
         self.assertEqual(answered.body, b'POST abc')
         writer.close()
 
-    async def test_an_older_client_gets_its_answer_and_the_end(self):
+    async def test_an_old_http_response_ends_with_the_close(self):
         reader, writer = await self.connect()
         writer.write(b'GET /a HTTP/1.0\r\nHost: h\r\n\r\n')
         whole = await asyncio.wait_for(reader.read(), 1)
@@ -164,14 +164,14 @@
 
 
 class CloseTest(ServerCase):
-    async def test_an_idle_connection_ends_after_its_time(self):
+    async def test_an_idle_connection_is_closed(self):
         reader, writer = await self.connect()
         writer.write(GOOD)
         await read_answer(reader)
         self.assertEqual(await asyncio.wait_for(reader.read(), 2), b'')
         writer.close()
 
-    async def test_draining_answers_what_was_read_and_ends(self):
+    async def test_drain_completes_requests_and_closes(self):
         self.echo.delay = 0.3
         idle_reader, idle_writer = await self.connect()
         reader, writer = await self.connect()
@@ -188,16 +188,16 @@
         idle_writer.close()
         writer.close()
 
-    async def test_a_client_that_left_is_noticed(self):
-        gone = asyncio.Event()
+    async def test_a_client_disconnect_reaches_the_handler(self):
+        disconnected = asyncio.Event()
 
-        self.server.handler = Waits(gone)
+        self.server.handler = WaitingHandler(disconnected)
         _, writer = await self.connect()
         writer.write(GOOD)
         await asyncio.sleep(0.05)
         writer.close()
-        await asyncio.wait_for(gone.wait(), 1)
+        await asyncio.wait_for(disconnected.wait(), 1)
 
-    async def test_an_error_inside_is_answered(self):
-        self.server.handler = Fails()
+    async def test_a_handler_error_is_an_internal_error(self):
+        self.server.handler = FailingHandler()
         self.assertEqual(await self.statuses(GOOD), [500])
--- a/tests/test_platform_processes.py
+++ b/tests/test_platform_processes.py
@@ -1,4 +1,4 @@
-"""The programs of the platform as processes, under signals."""
+"""Tests of gateway and directory processes and their signal handling."""
 
 import asyncio
 import functools
@@ -51,15 +51,15 @@
 """
 
 
-async def hangup_is_ignored(started):
+async def ignores_sighup(started):
     status = Path(f'/proc/{started.process.pid}/status').read_text()
     mask = status.partition('SigIgn:')[2].split()[0]
     return bool(int(mask, 16) & 1 << signal.SIGHUP - 1)
 
 
-async def slow_stream(seen, writer):
-    """Write an event each 0.2 s, for 1.2 s."""
-    writer.write(stream_head(seen))
+async def slow_stream(request, writer):
+    """Write six events, one every 0.2 s."""
+    writer.write(stream_head(request))
     for number in range(1, 7):
         writer.write(chunk(event(number)))
         await writer.drain()
@@ -68,7 +68,7 @@
 
 
 async def call(host, port, method, path, content=b'', headers=''):
-    """Call a node; one that does not listen answers nothing."""
+    """Call a node; return status 0 if it does not listen."""
     try:
         reader, writer = await asyncio.open_connection(host, port)
     except OSError:
@@ -95,8 +95,8 @@
         self.write('gateway', GATEWAY)
         self.start('directory')
         self.gateway = self.start('gateway')
-        await self.until(self.takes(body(1)))
-        await self.until(self.knows_worker)
+        await self.until(self.accepts_config(body(1)))
+        await self.until(self.registers_worker)
         await self.until(self.serves)
 
     async def asyncTearDown(self):
@@ -111,17 +111,17 @@
         path.write_text(NODE.format(name=name) + text)
 
     def start(self, name):
-        words = ('verbenathread', name, '--settings', f'{name}.ini')
-        return self.processes.start(name, *words)
+        command = ('verbenathread', name, '--settings', f'{name}.ini')
+        return self.processes.start(name, *command)
 
     async def until(self, condition, limit=10):
         for _ in range(int(limit / 0.1)):
             if await condition():
                 return
             await asyncio.sleep(0.1)
-        self.fail(f'it did not come true: {condition}')
+        self.fail(f'the condition was not met: {condition}')
 
-    def takes(self, content):
+    def accepts_config(self, content):
         async def put():
             answered = await call(
                 DIRECTORY_IP, 18060, 'POST', '/Config.Put', content
@@ -130,7 +130,7 @@
 
         return put
 
-    async def knows_worker(self):
+    async def registers_worker(self):
         answered = await call(
             DIRECTORY_IP,
             18060,
@@ -141,9 +141,9 @@
         return answered.status == 200
 
     async def serves(self):
-        return (await self.ask('probe')).status == 200
+        return (await self.send_request('probe')).status == 200
 
-    async def ask(self, attempt_id):
+    async def send_request(self, attempt_id):
         return await call(
             GATEWAY_IP,
             18070,
@@ -156,42 +156,42 @@
         return (await call(GATEWAY_IP, 18071, 'GET', '/readyz')).status
 
     def lines(self, name):
-        """Return the events that a process logged; each line is JSON."""
+        """Return the decoded JSON log lines of a process."""
         log = (self.folder / f'{name}.log').read_text()
         return [json.loads(line) for line in log.splitlines()]
 
     def logged(self, name, text):
         async def found():
-            return any(text in one['event'] for one in self.lines(name))
+            return any(text in line['event'] for line in self.lines(name))
 
         return found
 
-    async def test_a_planned_stop_cuts_no_stream_off(self):
-        stream = asyncio.create_task(self.ask('s1'))
+    async def test_a_graceful_stop_completes_streams(self):
+        stream = asyncio.create_task(self.send_request('s1'))
         await asyncio.sleep(0.3)
         self.gateway.send(signal.SIGTERM)
         await asyncio.sleep(0.2)
         self.assertEqual(await self.readiness(), 503)
-        # The balancer has not noticed yet.
-        late = await self.ask('s2')
-        self.assertEqual(late.status, 200)
-        self.assertEqual(late.header_by_name['connection'], 'close')
+        # The load balancer still sends requests to this gateway.
+        response = await self.send_request('s2')
+        self.assertEqual(response.status, 200)
+        self.assertEqual(response.header_by_name['connection'], 'close')
         self.assertTrue((await stream).whole)
         code = await asyncio.to_thread(self.gateway.wait, 8)
         self.assertEqual(code, 0)
         self.assertEqual(self.lines('gateway')[-1]['cut'], 0)
 
-    async def test_service_goes_on_without_the_directory(self):
+    async def test_the_gateway_serves_without_the_directory(self):
         directory = self.processes.by_name['directory']
         directory.send(signal.SIGKILL)
         directory.wait(5)
         await self.until(self.logged('gateway', 'The directory is lost'))
-        self.assertEqual((await self.ask('a1')).status, 200)
+        self.assertEqual((await self.send_request('a1')).status, 200)
         self.start('directory')
-        await self.until(self.takes(body(7)))
+        await self.until(self.accepts_config(body(7)))
 
         async def in_force():
-            versions = [one.get('version') for one in self.lines('gateway')]
+            versions = [line.get('version') for line in self.lines('gateway')]
             return 7 in versions
 
         await self.until(in_force)
@@ -201,21 +201,21 @@
         metrics = await call(DIRECTORY_IP, 18063, 'GET', '/metrics')
         return b'verbenathread_directory_leads 1.0' in metrics.body
 
-    async def test_a_reload_while_it_starts_ends_nothing(self):
+    async def test_a_reload_signal_during_startup_is_ignored(self):
         for name in ('gateway', 'directory'):
             with self.subTest(name):
                 started = self.processes.by_name[name]
                 started.send(signal.SIGKILL)
                 started.wait(5)
                 started = self.start(name)
-                ignored = functools.partial(hangup_is_ignored, started)
+                ignored = functools.partial(ignores_sighup, started)
                 await self.until(ignored, 1)
                 started.send(signal.SIGHUP)
                 await asyncio.sleep(0.5)
                 self.assertIsNone(started.wait(0))
         await self.until(self.serves)
 
-    async def test_seeds_are_read_again(self):
+    async def test_changed_seeds_are_reloaded(self):
         changed = GATEWAY.replace(
             f'seeds = {DIRECTORY_IP}', f'seeds = {LOOPBACK_NET}.242'
         )
@@ -225,4 +225,4 @@
         self.write('gateway', 'no settings')
         self.gateway.send(signal.SIGHUP)
         await self.until(self.logged('gateway', 'Ignoring invalid settings'))
-        self.assertEqual((await self.ask('a1')).status, 200)
+        self.assertEqual((await self.send_request('a1')).status, 200)
--- a/verbenathread/http1/__init__.py
+++ b/verbenathread/http1/__init__.py
@@ -1,6 +1,6 @@
-"""HTTP/1.1 on asyncio, both sides; ``httptools`` parses.
+"""HTTP/1.1 server and client on asyncio, parsed with ``httptools``.
 
-The answering side (:mod:`server`) reads requests whole and answers them in
-order. The asking side (:mod:`client`) tells apart an answer that is complete,
-one that broke off, and bytes that belong to no request (RFC 9112).
+The server (:mod:`server`) reads complete requests and answers them in order.
+The client (:mod:`client`) distinguishes complete responses, truncated ones
+and bytes that belong to no request (RFC 9112).
 """
--- a/verbenathread/http1/client.py
+++ b/verbenathread/http1/client.py
@@ -1,4 +1,4 @@
-"""The asking side: one connection to an upstream, one request at a time."""
+"""HTTP/1.1 client connection to an upstream, one request at a time."""
 
 import asyncio
 import enum
@@ -16,10 +16,11 @@
 _ENCODING = b'transfer-encoding'
 _CONNECTION = b'connection'
 _KEEP_ALIVE = b'keep-alive'
-# An upstream that does not say how long it keeps idle connections: less than
-# the shortest usual default, 5 s.
+# Used if an upstream sends no Keep-Alive timeout: below 5 s, the shortest common
+# server default.
 _DEFAULT_KEEP_ALIVE: Millis = 4000
-# Left of the upstream's time so that a request doesn't cross its close.
+# Subtracted from the upstream's timeout, so that no request is sent while the
+# upstream closes the connection.
 _KEEP_ALIVE_MARGIN: Millis = 700
 _MS_PER_SECOND = 1000
 
@@ -28,39 +29,44 @@
     """How an exchange ended."""
 
     COMPLETE = 'complete'
-    # The connection broke, or what came was no answer in HTTP.
+    # The connection was lost or the upstream did not send valid HTTP.
     BROKEN = 'broken'
 
 
 class Sink(Protocol):
-    """Takes the answer to one request; ``on_end`` is called exactly once."""
+    """Receives the response to one request.
+
+    ``on_end`` is called exactly once.
+    """
 
     def accepts(self, head: ResponseHead) -> bool:
-        """Tell whether this head answers the request; else it is skipped."""
+        """Return whether this response is for the request; else skip it."""
 
     def on_head(self, head: ResponseHead) -> None:
-        """Take the head."""
+        """Receive the status and headers."""
 
     def on_body(self, content: bytes) -> None:
-        """Take a part of the body."""
+        """Receive a part of the body."""
 
     def on_end(self, ending: Ending) -> None:
-        """Note that nothing more comes."""
+        """Handle the end of the exchange."""
 
 
 class ClientConnection(asyncio.Protocol):
-    """A connection that may be kept for further requests."""
+    """A client connection that can be reused for further requests."""
 
     def __init__(self, clock: Clock) -> None:
-        """Stand idle until :meth:`ask`."""
+        """Start idle; call :meth:`send_request` once connected."""
         self._clock = clock
         self._transport: asyncio.Transport | None = None
         self._sink: Sink | None = None
         self._open = False
         self._aborted = False
-        # False once it may hold bytes that belong to no request.
+        # False once the connection may carry bytes that belong to no request.
         self._clean = True
+        # The response body ends when the connection closes.
         self._until_close = False
+        # The sink did not accept the current response.
         self._skipping = False
         self._head_complete = False
         self._headers: list[tuple[bytes, bytes]] = []
@@ -68,13 +74,13 @@
         self._last_used = clock.now()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Note that the connection stands."""
+        """Store the transport of the new connection."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._open = True
 
     def connection_lost(self, error: Exception | None) -> None:
-        """End the exchange, if there is one."""
+        """End the exchange in progress, if any."""
         self._open = False
         self._clean = False
         complete = (
@@ -86,7 +92,7 @@
         self._end(Ending.COMPLETE if complete else Ending.BROKEN)
 
     def is_reusable(self, now: Millis) -> bool:
-        """Tell whether another request may be sent."""
+        """Return whether another request can be sent."""
         if not self._open or not self._clean or self._sink is not None:
             return False
         if self._transport is None or self._transport.is_closing():
@@ -94,9 +100,9 @@
         return now - self._last_used < self._keep_alive
 
     def send_request(self, request: bytes, sink: Sink) -> None:
-        """Send a request; ``sink`` takes what comes."""
+        """Send a request; ``sink`` receives the response."""
         if self._transport is None:
-            raise RuntimeError('the connection does not stand yet')
+            raise RuntimeError('the connection is not established yet')
         self._sink = sink
         self._parser = httptools.HttpResponseParser(self)
         self._until_close = False
@@ -104,19 +110,19 @@
         self._transport.write(request)
 
     def close(self) -> None:
-        """Break the connection; an exchange on it ends as broken."""
+        """Abort the connection; an exchange in progress ends as broken."""
         self._clean = False
         self._aborted = True
         if self._transport is not None:
             self._transport.abort()
 
     def discard(self) -> None:
-        """Break the connection without telling the sink."""
+        """Abort the connection without notifying the sink."""
         self._sink = None
         self.close()
 
     def set_reading_paused(self, paused: bool) -> None:  # noqa: FBT001
-        """Stop or go on reading."""
+        """Pause or resume reading from the connection."""
         if self._transport is None or self._transport.is_closing():
             return
         if paused:
@@ -125,9 +131,9 @@
             self._transport.resume_reading()
 
     def data_received(self, content: bytes) -> None:
-        """Take what the upstream sent."""
+        """Parse data from the upstream."""
         if self._sink is None:
-            # Bytes that no request asked for.
+            # Data without a request in progress.
             self.close()
             return
         try:
@@ -136,22 +142,22 @@
             self.close()
             self._end(Ending.BROKEN)
 
-    # ---- what the parser calls ----
+    # ---- callbacks of the parser ----
 
     def on_message_begin(self) -> None:
-        """Begin an answer, or find one that nobody asked for."""
+        """Begin a response, which may be an unsolicited one."""
         self._headers = []
         self._head_complete = False
         if self._sink is None:
             self._clean = False
 
     def on_header(self, name: bytes, text: bytes) -> None:
-        """Take a header; a trailer is dropped."""
+        """Store a header; trailers are dropped."""
         if not self._head_complete:
             self._headers.append((name, text))
 
     def on_headers_complete(self) -> None:
-        """Hand the head on if it answers the request."""
+        """Pass the head to the sink if it accepts the response."""
         self._head_complete = True
         status = self._parser.get_status_code()
         if status < _FIRST_FINAL_STATUS or self._sink is None:
@@ -169,7 +175,7 @@
         self._sink.on_head(head)
 
     def on_body(self, content: bytes) -> None:
-        """Hand a part of the body on."""
+        """Pass a part of the body to the sink."""
         if self._sink is not None and not self._skipping:
             self._sink.on_body(content)
 
@@ -185,7 +191,7 @@
             self._clean = False
         transport = self._transport
         if transport is not None and transport.get_write_buffer_size():
-            # The answer came before the upstream had read the request.
+            # The upstream answered before it read the whole request.
             self._clean = False
         self._end(Ending.COMPLETE)
 
@@ -212,7 +218,7 @@
 async def connect(
     address: Address, clock: Clock, timeout: Millis
 ) -> ClientConnection:
-    """Open a connection; raises OSError or TimeoutError within ``limit``."""
+    """Open a connection; raises OSError or TimeoutError on failure."""
     loop = asyncio.get_running_loop()
     _, connection = await asyncio.wait_for(
         loop.create_connection(
--- a/verbenathread/http1/messages.py
+++ b/verbenathread/http1/messages.py
@@ -1,4 +1,4 @@
-"""Requests, heads of answers, and how they are written on a connection."""
+"""HTTP requests and response heads, and their encoding."""
 
 import http
 from collections.abc import Iterable
@@ -8,8 +8,8 @@
 
 Headers = tuple[tuple[bytes, bytes], ...]
 
-# Concern one connection only (RFC 9110, section 7.6.1), or the framing, which
-# each side writes for itself.
+# Headers of a single connection (RFC 9110, section 7.6.1) and of the framing,
+# which each hop sets itself.
 HOP_BY_HOP = frozenset(
     (
         b'connection',
@@ -32,16 +32,16 @@
 
 
 class Request(NamedTuple):
-    """One request, read whole."""
+    """One complete request."""
 
     method: bytes
-    # Path and query, as they came.
+    # Path and query as received.
     target: bytes
     headers: Headers
-    # Lower-case names; of a header that came twice, both values.
+    # Keyed by lower-case name; values of repeated headers are joined.
     value_by_name: dict[bytes, bytes]
     body: bytes
-    # Monotonic time at which its last byte was read.
+    # Monotonic time at which the last byte was read.
     received_at: Millis
 
     @property
@@ -51,7 +51,7 @@
 
 
 class ResponseHead(NamedTuple):
-    """Status and headers of an answer."""
+    """Status and headers of a response."""
 
     status: int
     headers: Headers
@@ -59,13 +59,13 @@
 
 
 def index_headers(headers: Iterable[tuple[bytes, bytes]]) -> dict[bytes, bytes]:
-    """Return the values by lower-case name, repeated ones joined."""
+    """Return values by lower-case name, with repeated headers joined."""
     value_by_name: dict[bytes, bytes] = {}
     for name, text in headers:
         lower = name.lower()
-        held = value_by_name.get(lower)
+        previous = value_by_name.get(lower)
         value_by_name[lower] = (
-            text if held is None else b', '.join((held, text))
+            text if previous is None else b', '.join((previous, text))
         )
     return value_by_name
 
@@ -73,7 +73,7 @@
 def end_to_end_headers(
     headers: Headers, value_by_name: dict[bytes, bytes]
 ) -> list[tuple[bytes, bytes]]:
-    """Return the headers that concern more than one connection."""
+    """Return the headers to forward, without hop-by-hop ones."""
     dropped = HOP_BY_HOP
     listed = value_by_name.get(_CONNECTION)
     if listed is not None:
@@ -92,7 +92,7 @@
     headers: Iterable[tuple[bytes, bytes]],
     body: bytes,
 ) -> bytes:
-    """Return a request with its body framed by length."""
+    """Encode a request whose body is framed by Content-Length."""
     parts = [b'%b %b HTTP/1.1\r\n' % (method, target)]
     for name, text in headers:
         parts.append(b'%b: %b\r\n' % (name, text))
@@ -106,7 +106,7 @@
 def encode_response_head(
     status: int, headers: Iterable[tuple[bytes, bytes]], framing: bytes
 ) -> bytes:
-    """Return the head of an answer; ``framing`` holds whole header lines."""
+    """Encode a response head; ``framing`` holds complete header lines."""
     parts = [b'HTTP/1.1 %d %b\r\n' % (status, _reason_phrase(status))]
     for name, text in headers:
         parts.append(b'%b: %b\r\n' % (name, text))
@@ -116,7 +116,7 @@
 
 
 def encode_chunk(content: bytes) -> bytes:
-    """Return ``content``, which isn't empty, as one chunk."""
+    """Encode non-empty ``content`` as one chunk."""
     return b'%x\r\n%b\r\n' % (len(content), content)
 
 
--- a/verbenathread/http1/response.py
+++ b/verbenathread/http1/response.py
@@ -1,4 +1,4 @@
-"""The answer to one request, written piece by piece."""
+"""Writer for the response to one request, whole or in parts."""
 
 import asyncio
 import socket
@@ -12,22 +12,22 @@
 _CHUNKED = b'Transfer-Encoding: chunked\r\n'
 _NO_BODY_STATUSES = frozenset((204, 304))
 _FIRST_FINAL_STATUS = 200
-# Linger on, for no time: the kernel then resets the connection.
+# SO_LINGER on with timeout 0: closing the socket resets the connection.
 _LINGER_RESET = struct.pack('ii', 1, 0)
 
 
 class ResponseOwner(Protocol):
-    """The connection that a reply is written on."""
+    """The connection that a response is written to."""
 
-    def response_done(self, reply: 'ResponseWriter') -> None:
-        """Note that the whole answer was written."""
+    def response_done(self, response: 'ResponseWriter') -> None:
+        """Handle the end of a completely written response."""
 
     def closes_after_response(self) -> bool:
-        """Tell whether the connection ends after the answer."""
+        """Return whether the connection closes after the response."""
 
 
 class ResponseWriter:
-    """Writes one answer; what is written after the caller left is dropped."""
+    """Writes one response; writes after a disconnect are dropped."""
 
     def __init__(
         self,
@@ -37,20 +37,20 @@
         chunked: bool,
         omit_body: bool,
     ) -> None:
-        """Answer on ``transport``; unframed answers end with it."""
+        """Write to ``transport``; without chunks, its end ends the body."""
         self._owner = owner
         self._transport = transport
-        # Callers of HTTP/1.0 can't read chunks.
+        # HTTP/1.0 clients do not support chunked encoding.
         self._chunked = chunked
         self._omit_body = omit_body
-        # Of the answer, once it was begun.
+        # Status of the response; 0 before it is started.
         self.status = 0
         self.started = False
         self.done = False
         self.is_disconnected = False
         self.on_disconnect: Callable[[], None] | None = None
-        # Called with True when the caller reads slowly, False once it caught
-        # up.
+        # Called with True when the write buffer is full and with False once it
+        # has drained.
         self.on_backpressure: Callable[[bool], None] | None = None
 
     def send(
@@ -59,7 +59,7 @@
         headers: Iterable[tuple[bytes, bytes]],
         body: bytes = b'',
     ) -> None:
-        """Write a whole answer."""
+        """Write a complete response."""
         if self._is_closed():
             return
         framing = b''
@@ -79,7 +79,7 @@
     def begin(
         self, status: int, headers: Iterable[tuple[bytes, bytes]]
     ) -> None:
-        """Write the head of an answer whose length is not known."""
+        """Write the head of a response of unknown length."""
         if self._is_closed():
             return
         framing = _CHUNKED if self._chunked else b''
@@ -100,7 +100,7 @@
         self._transport.write(content)
 
     def finish(self) -> None:
-        """End an answer that was begun, as complete."""
+        """Complete a response that was started with :meth:`begin`."""
         if self._is_closed():
             return
         if self._chunked and not self._omit_body:
@@ -108,23 +108,23 @@
         self._mark_done()
 
     def abort(self) -> None:
-        """Break the connection, so that the answer can't look complete."""
+        """Reset the connection, so that the response is seen as incomplete."""
         if self._is_closed():
             return
         self.done = True
-        # An orderly end would pass for the end of an unframed answer.
+        # A FIN would look like the regular end of an unchunked response.
         sock = self._transport.get_extra_info('socket')
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET)
         self._transport.abort()
 
     def connection_lost(self) -> None:
-        """Note that the caller's connection ended."""
+        """Handle the loss of the client's connection."""
         self.is_disconnected = True
         if self.on_disconnect is not None and not self.done:
             self.on_disconnect()
 
     def _is_closed(self) -> bool:
-        """Tell whether nothing more can be written."""
+        """Return whether nothing more can be written."""
         return self.done or self.is_disconnected or self._transport.is_closing()
 
     def _connection_header(self) -> bytes:
--- a/verbenathread/http1/server.py
+++ b/verbenathread/http1/server.py
@@ -1,4 +1,4 @@
-"""The answering side: reads requests whole and hands them on in order."""
+"""HTTP/1.1 server that passes complete requests to a handler in order."""
 
 import asyncio
 from collections import deque
@@ -14,14 +14,13 @@
 
 _log = get_logger('http')
 
-# Requests that one connection may send ahead; a client that pipelines more
-# is not read from until it has its answers.
+# Pipelined requests to queue per connection; reading is paused above it.
 _MAX_PIPELINED = 8
-# How often idle and slow connections are looked for.
+# How often idle and slow connections are checked for timeouts.
 _SWEEP_INTERVAL: Millis = 500
-# How often a draining server looks for connections that became idle.
+# How often a draining server closes connections that became idle.
 _DRAIN_CHECK_INTERVAL: Millis = 50
-# Length of the kernel's queue of connections not yet accepted.
+# Length of the kernel's accept queue.
 _BACKLOG = 1024
 _CONTINUE = b'HTTP/1.1 100 Continue\r\n\r\n'
 _HOST = b'host'
@@ -37,7 +36,7 @@
 
 
 class Limits(NamedTuple):
-    """What a client may send, and how long it may take."""
+    """Limits on the size and duration of requests."""
 
     header_bytes: int = 16384
     body_bytes: int = 0x400000
@@ -46,10 +45,10 @@
 
 
 class Handler(Protocol):
-    """Answers requests."""
+    """Handles requests."""
 
-    async def handle(self, request: Request, reply: ResponseWriter) -> None:
-        """Answer ``request``; returns once ``reply`` is done or given up."""
+    async def handle(self, request: Request, response: ResponseWriter) -> None:
+        """Handle ``request``; return once ``response`` is done or abandoned."""
 
 
 class _RequestError(NamedTuple):
@@ -58,21 +57,21 @@
 
 
 class HttpServer:
-    """Listens and serves connections on the running loop."""
+    """Accepts and serves connections on the running event loop."""
 
     def __init__(self, handler: Handler, clock: Clock) -> None:
-        """Hand each request to ``handler``."""
+        """Pass each request to ``handler``."""
         self.handler = handler
         self.clock = clock
         self.limits = Limits()
-        # Answers carry "Connection: close" once the process stops.
+        # While set, responses carry "Connection: close".
         self.stopping = False
         self.connections: set[ServerConnection] = set()
         self._server: asyncio.Server | None = None
         self._sweeper: asyncio.Task[None] | None = None
 
     async def start(self, listen: Address) -> None:
-        """Listen at ``listen``."""
+        """Listen on address ``listen``."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: ServerConnection(self),
@@ -85,21 +84,21 @@
 
     @property
     def address(self) -> Address:
-        """Return where the server listens; the port is the real one."""
+        """Return the address that the server listens on, with its actual port."""
         if self._server is None:
             raise RuntimeError('start the server first')
         host, port = self._server.sockets[0].getsockname()[:2]
         return Address(host, port)
 
     def busy_count(self) -> int:
-        """Return how many connections wait for an answer or sent a part."""
-        return sum(1 for one in self.connections if one.is_busy())
+        """Return the number of connections with an unanswered request."""
+        return sum(1 for connection in self.connections if connection.is_busy())
 
     async def drain(self, deadline: Millis) -> None:
-        """Take nothing new; return once all is answered, or at ``until``.
+        """Stop accepting requests; wait for all responses until ``deadline``.
 
-        Idle connections are closed first: a request that crosses the close
-        is read by nobody, so its caller can send it elsewhere.
+        Idle connections are closed first. A request that arrives during the
+        close is never read, so its caller can safely send it elsewhere.
         """
         self.stopping = True
         self.stop_listening()
@@ -110,12 +109,12 @@
             await asyncio.sleep(seconds(_DRAIN_CHECK_INTERVAL))
 
     def stop_listening(self) -> None:
-        """Take no further connections."""
+        """Accept no further connections."""
         if self._server is not None:
             self._server.close()
 
     def close(self) -> None:
-        """Stop listening and break every connection."""
+        """Stop listening and abort every connection."""
         self.stop_listening()
         if self._sweeper is not None:
             self._sweeper.cancel()
@@ -131,7 +130,7 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """One connection of a client."""
+    """One client connection."""
 
     def __init__(self, server: HttpServer) -> None:
         """Serve a connection that ``server`` accepted."""
@@ -146,13 +145,13 @@
         self._partial = _PartialRequest()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start to read."""
+        """Register the new connection."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._server.connections.add(self)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Tell who answers that nobody waits any longer."""
+        """Notify the response in progress of the disconnect."""
         self._server.connections.discard(self)
         self._queue.clear()
         self._closing = True
@@ -160,7 +159,7 @@
             self._response.connection_lost()
 
     def pause_writing(self) -> None:
-        """Tell who answers that the client reads slowly."""
+        """Signal backpressure: the write buffer is full."""
         if (
             self._response is not None
             and self._response.on_backpressure is not None
@@ -168,7 +167,7 @@
             self._response.on_backpressure(True)
 
     def resume_writing(self) -> None:
-        """Tell who answers that the client caught up."""
+        """Signal the end of backpressure."""
         if (
             self._response is not None
             and self._response.on_backpressure is not None
@@ -176,7 +175,7 @@
             self._response.on_backpressure(False)
 
     def data_received(self, content: bytes) -> None:
-        """Take what the client sent."""
+        """Parse data from the client."""
         if self._closing or self._error is not None:
             return
         self._last_active = self._server.clock.now()
@@ -193,76 +192,76 @@
             self._transport.pause_reading()
         self._serve_next()
 
-    # ---- what the parser calls ----
+    # ---- callbacks of the parser ----
 
     def on_message_begin(self) -> None:
         """Begin a request."""
         raw_bytes = self._partial.raw_bytes
-        self._partial = _PartialRequest(raw_bytes, begun=self._last_active)
+        self._partial = _PartialRequest(raw_bytes, started_at=self._last_active)
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the target."""
+        """Store a part of the target."""
         self._partial.target += url
 
     def on_header(self, name: bytes, text: bytes) -> None:
-        """Take a header; a trailer is dropped."""
+        """Store a header; trailers are dropped."""
         if not self._partial.head_complete:
             self._partial.headers.append((name, text))
             self._partial.head_bytes += len(name) + len(text) + 4
 
     def on_headers_complete(self) -> None:
-        """Check the head before the body is read."""
-        message = self._partial
-        message.head_complete = True
-        if message.head_bytes > self._server.limits.header_bytes:
+        """Validate the head before the body is read."""
+        partial = self._partial
+        partial.head_complete = True
+        if partial.head_bytes > self._server.limits.header_bytes:
             self._set_error(_HEAD_TOO_LARGE, b'the headers are too large')
             return
-        names = [name.lower() for name, _ in message.headers]
+        names = [name.lower() for name, _ in partial.headers]
         if names.count(_HOST) > 1:
             self._set_error(_BAD_REQUEST, b'there are two Host headers')
         if _UPGRADE in names or self._parser.get_method() == _CONNECT:
-            # The parser would take a body for bytes of another protocol.
+            # The parser would treat a body as data of the new protocol.
             self._set_error(_BAD_REQUEST, b'upgrades are not served')
         if self._parser.get_http_version() not in _SUPPORTED_VERSIONS:
             self._set_error(_BAD_REQUEST, b'send HTTP/1.1')
-        for name, text in message.headers:
+        for name, text in partial.headers:
             if name.lower() == b'expect' and text.lower() == b'100-continue':
                 self._transport.write(_CONTINUE)
 
     def on_body(self, content: bytes) -> None:
-        """Take a part of the body."""
-        message = self._partial
-        message.body_bytes += len(content)
-        if message.body_bytes > self._server.limits.body_bytes:
+        """Store a part of the body."""
+        partial = self._partial
+        partial.body_bytes += len(content)
+        if partial.body_bytes > self._server.limits.body_bytes:
             self._set_error(_TOO_LARGE, b'the body is too large')
         if self._error is None:
-            message.body.append(content)
+            partial.body.append(content)
 
     def on_message_complete(self) -> None:
-        """Queue the request that was read whole."""
+        """Queue the complete request."""
         if self._error is not None:
             return
-        message = self._partial
-        headers = tuple(message.headers)
+        partial = self._partial
+        headers = tuple(partial.headers)
         self._queue.append(
             Request(
                 self._parser.get_method(),
-                message.target,
+                partial.target,
                 headers,
                 index_headers(headers),
-                b''.join(message.body),
+                b''.join(partial.body),
                 self._last_active,
             )
         )
         if not self._parser.should_keep_alive():
             self._error = _RequestError(0, b'')
-        message.raw_bytes = 0
-        message.started_at = 0
+        partial.raw_bytes = 0
+        partial.started_at = 0
 
-    # ---- the rest ----
+    # ---- lifecycle ----
 
     def is_busy(self) -> bool:
-        """Tell whether a request was begun and not answered."""
+        """Return whether a request was started and is not answered."""
         return (
             self._response is not None
             or bool(self._queue)
@@ -270,31 +269,31 @@
         )
 
     def check_timeouts(self, now: Millis) -> None:
-        """Close the connection if the client takes too long."""
+        """Close the connection if it is idle or slow for too long."""
         if self._response is not None or self._queue or self._closing:
             return
         limits = self._server.limits
-        begun = self._partial.started_at
-        if not begun:
+        started_at = self._partial.started_at
+        if not started_at:
             if now - self._last_active > limits.idle_timeout:
                 self.close()
             return
         if self._partial.head_complete:
-            late = now - self._last_active > limits.header_timeout
+            timed_out = now - self._last_active > limits.header_timeout
         else:
-            late = now - begun > limits.header_timeout
-        if late:
+            timed_out = now - started_at > limits.header_timeout
+        if timed_out:
             self._set_error(_TIMED_OUT, b'the request came too slowly')
             self._serve_next()
 
     def closes_after_response(self) -> bool:
-        """Tell whether the connection ends after the present answer."""
+        """Return whether the connection closes after this response."""
         return (
             self._server.stopping or self._error is not None and not self._queue
         )
 
-    def response_done(self, reply: ResponseWriter) -> None:
-        """Go on with what the client sent ahead."""
+    def response_done(self, response: ResponseWriter) -> None:
+        """Continue with the next queued request."""
         if self.closes_after_response():
             self.close()
             return
@@ -304,12 +303,12 @@
             asyncio.get_running_loop().call_soon(self._serve_next)
 
     def close(self) -> None:
-        """Close once everything is written."""
+        """Close once all buffered data is written."""
         self._closing = True
         self._transport.close()
 
     def abort(self) -> None:
-        """Break the connection."""
+        """Abort the connection."""
         self._closing = True
         self._transport.abort()
 
@@ -320,43 +319,43 @@
             self._transport.pause_reading()
 
     def _serve_next(self) -> None:
-        """Answer the next request, if the one before it is answered."""
+        """Serve the next queued request unless one is in progress."""
         if self._response is not None or not self._queue or self._closing:
             return
         item = self._queue.popleft()
         if len(self._queue) == _MAX_PIPELINED and self._error is None:
             self._transport.resume_reading()
-        framed = self._parser.get_http_version() != _OLD_HTTP_VERSION
-        bodiless = isinstance(item, Request) and item.method == b'HEAD'
-        reply = ResponseWriter(
-            self, self._transport, chunked=framed, omit_body=bodiless
+        chunked = self._parser.get_http_version() != _OLD_HTTP_VERSION
+        omit_body = isinstance(item, Request) and item.method == b'HEAD'
+        response = ResponseWriter(
+            self, self._transport, chunked=chunked, omit_body=omit_body
         )
-        self._response = reply
+        self._response = response
         if isinstance(item, _RequestError):
-            reply.send(item.status, (), b'%b\n' % item.message)
+            response.send(item.status, (), b'%b\n' % item.message)
             return
         loop = asyncio.get_running_loop()
-        self._task = loop.create_task(self._serve(item, reply))
+        self._task = loop.create_task(self._serve(item, response))
 
-    async def _serve(self, request: Request, reply: ResponseWriter) -> None:
+    async def _serve(self, request: Request, response: ResponseWriter) -> None:
         try:
-            await self._server.handler.handle(request, reply)
+            await self._server.handler.handle(request, response)
         except Exception:
-            _log.exception('A request failed inside.')
-        if reply.done or reply.is_disconnected:
+            _log.exception('Unhandled error in a request handler.')
+        if response.done or response.is_disconnected:
             return
-        if reply.started:
-            reply.abort()
+        if response.started:
+            response.abort()
         else:
-            reply.send(_INTERNAL_ERROR, (), b'internal error\n')
+            response.send(_INTERNAL_ERROR, (), b'internal error\n')
 
 
 class _PartialRequest:
-    """What was read so far of one request."""
+    """The part of a request that was read so far."""
 
-    def __init__(self, raw_bytes: int = 0, begun: Millis = 0) -> None:
+    def __init__(self, raw_bytes: int = 0, started_at: Millis = 0) -> None:
         self.raw_bytes = raw_bytes
-        self.started_at = begun
+        self.started_at = started_at
         self.target = b''
         self.headers: list[tuple[bytes, bytes]] = []
         self.head_bytes = 0
@@ -365,5 +364,5 @@
         self.body_bytes = 0
 
     def head_too_large(self, limits: Limits) -> bool:
-        """Tell whether an unfinished head is longer than any allowed."""
+        """Return whether an incomplete head exceeds the limit."""
         return not self.head_complete and self.raw_bytes > limits.header_bytes
--- a/verbenathread/platform/__init__.py
+++ b/verbenathread/platform/__init__.py
@@ -1,6 +1,7 @@
-"""The users' platform: its names, formats and calls, and nothing decided.
+"""Wire formats and calls of the users' platform; contains no policy.
 
-:mod:`headers` reads and writes the headers of requests, :mod:`bodies` the
-JSON bodies of operators, :mod:`heartbeats` those of workers, :mod:`calls` the paths of the directory's HTTP interface and of
-workers. Nothing outside this package knows these names.
+:mod:`headers` reads and writes request headers, :mod:`bodies` parses the JSON
+bodies of operators, :mod:`heartbeats` those of workers, and
+:mod:`directory_handler` serves the directory's HTTP paths. No other package
+depends on the platform's wire names.
 """
--- a/verbenathread/platform/bodies.py
+++ b/verbenathread/platform/bodies.py
@@ -1,4 +1,4 @@
-"""JSON bodies of the platform, decoded once into the product's types."""
+"""Decodes the platform's JSON bodies into internal types."""
 
 import json
 from collections.abc import Mapping
@@ -33,22 +33,22 @@
 )
 
 
-# What reading a body of other types or with fewer fields raises.
+# Raised by decoding a body with missing fields or values of the wrong type.
 MALFORMED_BODY_ERRORS: Final = (KeyError, TypeError, ValueError, AttributeError)
 
 
 class InvalidBodyError(SettingsError):
-    """A body that can't be taken, and why."""
+    """A request body is invalid; the message states the reason."""
 
 
 def decode_config(body: bytes) -> ServingConfig:
-    """Read and check a configuration; raises InvalidBodyError."""
-    whole = read_object(body)
+    """Decode and validate a configuration; raises InvalidBodyError."""
+    document = read_object(body)
     try:
-        config = _decode_config(whole)
+        config = _decode_config(document)
     except MALFORMED_BODY_ERRORS as error:
         raise InvalidBodyError(
-            f'the configuration lacks a field or holds another type: {error!r}'
+            f'the configuration has a missing or mistyped field: {error!r}'
         )
     _check_routes(config)
     return config
@@ -57,85 +57,86 @@
 def read_object(body: bytes) -> dict[str, Any]:
     """Return the JSON object in ``body``; raises InvalidBodyError."""
     try:
-        whole = json.loads(body)
+        document = json.loads(body)
     except (ValueError, RecursionError):
-        raise InvalidBodyError('the body is no whole JSON')
-    if not isinstance(whole, dict):
-        raise InvalidBodyError('the body is no JSON object')
-    return whole
+        raise InvalidBodyError('the body is not valid JSON')
+    if not isinstance(document, dict):
+        raise InvalidBodyError('the body is not a JSON object')
+    return document
 
 
-def _decode_config(whole: Mapping[str, Any]) -> ServingConfig:
-    version = read_integer(whole['version'])
+def _decode_config(document: Mapping[str, Any]) -> ServingConfig:
+    version = read_integer(document['version'])
     service_by_name = {}
-    for service in whole['services']:
+    for service in document['services']:
         spec = _decode_service(service)
         service_by_name[spec.name] = spec
-    routes = tuple(_decode_route(route) for route in whole['routes'])
-    limits = whole.get('limits') or {}
+    routes = tuple(_decode_route(route) for route in document['routes'])
+    limits = document.get('limits') or {}
     numbers = [
-        read_integer(limits.get(name, usual)) for name, usual in _LIMIT_DEFAULTS
+        read_integer(limits.get(name, default))
+        for name, default in _LIMIT_DEFAULTS
     ]
     return ServingConfig(
         version=version,
         routes=routes,
         service_by_name=service_by_name,
         limits=ClientLimits(*numbers),
-        account_by_key=_decode_accounts(whole.get('tenants')),
+        account_by_key=_decode_accounts(document.get('tenants')),
     )
 
 
-def _decode_service(said: Mapping[str, Any]) -> ServiceSpec:
-    engine = said.get('engine')
+def _decode_service(fields: Mapping[str, Any]) -> ServiceSpec:
+    engine = fields.get('engine')
     return ServiceSpec(
-        name=read_text(said['name']),
+        name=read_text(fields['name']),
         engine=_decode_engine(engine) if engine else None,
     )
 
 
-def _decode_engine(said: Mapping[str, Any]) -> EngineModel:
+def _decode_engine(fields: Mapping[str, Any]) -> EngineModel:
     return EngineModel(
-        slots=int(said['slots']),
-        memory_tokens=int(said['kv-capacity-tokens']),
-        stride=int(said.get('stride') or 1),
-        step_ms=float(said['step_ms']),
-        writer_ms=float(said['per_seq_ms']),
-        context_ms=float(said['context_per_k']),
-        read_tokens_per_ms=float(said['read_per_s']) / _MS_PER_SECOND,
-        pairs_ms=float(said.get('pairs_per_m') or 0),
+        slots=int(fields['slots']),
+        memory_tokens=int(fields['kv-capacity-tokens']),
+        stride=int(fields.get('stride') or 1),
+        step_ms=float(fields['step_ms']),
+        writer_ms=float(fields['per_seq_ms']),
+        context_ms=float(fields['context_per_k']),
+        read_tokens_per_ms=float(fields['read_per_s']) / _MS_PER_SECOND,
+        pairs_ms=float(fields.get('pairs_per_m') or 0),
     )
 
 
-def _decode_route(said: Mapping[str, Any]) -> Route:
-    split = said.get('traffic-split')
+def _decode_route(fields: Mapping[str, Any]) -> Route:
+    split = fields.get('traffic-split')
     if split:
         targets = tuple(
             Target(read_text(part['service']), read_integer(part['weight']))
             for part in split
         )
     else:
-        targets = (Target(read_text(said['service']), 1),)
+        targets = (Target(read_text(fields['service']), 1),)
     return Route(
-        name=read_text(said['name']),
-        host=read_text(said['host']).lower(),
-        prefix=read_text(said['path-prefix']),
-        kind=_KIND_BY_NAME[said['kind']],
-        time_limit=read_integer(said['timeout-ms']),
-        target_latency=int(said.get('target-latency-ms') or 0),
-        priority=int(said.get('priority') or 0),
+        name=read_text(fields['name']),
+        host=read_text(fields['host']).lower(),
+        prefix=read_text(fields['path-prefix']),
+        kind=_KIND_BY_NAME[fields['kind']],
+        time_limit=read_integer(fields['timeout-ms']),
+        target_latency=int(fields.get('target-latency-ms') or 0),
+        priority=int(fields.get('priority') or 0),
         targets=targets,
-        attempts=max(1, int(said.get('attempts') or 1)),
-        public=bool(said.get('public')),
-        resumable=bool(said.get('resumable')),
-        target_pause=int(said.get('target-gap-ms') or 0),
+        attempts=max(1, int(fields.get('attempts') or 1)),
+        public=bool(fields.get('public')),
+        resumable=bool(fields.get('resumable')),
+        target_pause=int(fields.get('target-gap-ms') or 0),
     )
 
 
-def _decode_accounts(said: Any) -> Mapping[str, ClientAccount] | None:
-    if not said:
+def _decode_accounts(tenants: Any) -> Mapping[str, ClientAccount] | None:
+    if not tenants:
         return None
     account_by_key: dict[str, ClientAccount] = {}
-    for tenant in said:
+    for tenant in tenants:
         priority = tenant.get('priority')
         account = ClientAccount(
             read_text(tenant['name']),
@@ -152,40 +153,42 @@
 
 
 def _check_routes(config: ServingConfig) -> None:
-    places = set()
+    matches = set()
     for route in config.routes:
-        place = (route.host, route.prefix)
-        if place in places:
+        match = (route.host, route.prefix)
+        if match in matches:
             raise InvalidBodyError(
-                f'{route.name}: another route has its host and prefix'
+                f'{route.name}: another route has the same host and prefix'
             )
-        places.add(place)
-        fault = _route_error(route, config.service_by_name)
-        if fault:
-            raise InvalidBodyError(f'{route.name}: {fault}')
+        matches.add(match)
+        error = _route_error(route, config.service_by_name)
+        if error:
+            raise InvalidBodyError(f'{route.name}: {error}')
 
 
-def _route_error(route: Route, known: Mapping[str, ServiceSpec]) -> str:
+def _route_error(
+    route: Route, service_by_name: Mapping[str, ServiceSpec]
+) -> str:
     if route.time_limit <= 0:
-        return 'its time limit is 0; give it some ms'
+        return 'its timeout-ms must be greater than 0'
     weights = [target.weight for target in route.targets]
     if min(weights) < 0 or not sum(weights):
         return 'its weights add up to 0 or one is negative'
     for target in route.targets:
-        if target.service not in known:
+        if target.service not in service_by_name:
             return f'there is no service {target.service}'
     return ''
 
 
-def read_text(said: Any) -> str:
-    """Return a text that is not empty; raises TypeError."""
-    if not isinstance(said, str) or not said:
-        raise TypeError(f'{said!r} is no text')
-    return said
+def read_text(value: Any) -> str:
+    """Return ``value`` if it is a non-empty string; raises TypeError."""
+    if not isinstance(value, str) or not value:
+        raise TypeError(f'{value!r} is not a non-empty string')
+    return value
 
 
-def read_integer(said: Any) -> int:
-    """Return a whole number; raises TypeError."""
-    if isinstance(said, bool) or not isinstance(said, int):
-        raise TypeError(f'{said!r} is no whole number')
-    return said
+def read_integer(value: Any) -> int:
+    """Return ``value`` if it is an integer; raises TypeError."""
+    if isinstance(value, bool) or not isinstance(value, int):
+        raise TypeError(f'{value!r} is not an integer')
+    return value
--- a/verbenathread/platform/directory_handler.py
+++ b/verbenathread/platform/directory_handler.py
@@ -1,4 +1,4 @@
-"""The directory's HTTP interface: paths and answers of the platform."""
+"""HTTP handler of the directory, with the platform's paths."""
 
 from collections.abc import Callable
 from typing import Final
@@ -33,7 +33,7 @@
 
 
 class DirectoryHandler:
-    """Answers operators and workers."""
+    """Serves operators and workers over HTTP."""
 
     def __init__(
         self,
@@ -42,9 +42,9 @@
         port: int,
         count: Callable[[str, int], None],
     ) -> None:
-        """Redirect to the same ``port`` of the leader where needed.
+        """Redirect calls to the leader at ``port`` if another process leads.
 
-        ``count`` takes the kind of each call and its status.
+        ``count`` is called with the kind and status of each call.
         """
         self._count = count
         self._calls = calls
@@ -53,39 +53,39 @@
         self._services: frozenset[str] = frozenset()
         self._services_version = 0
 
-    async def handle(self, request: Request, reply: ResponseWriter) -> None:
-        """Answer one call."""
+    async def handle(self, request: Request, response: ResponseWriter) -> None:
+        """Handle one call."""
         path = request.path.decode('latin-1')
-        await self._handle(path, request, reply)
-        self._count(_call_kind(path), reply.status)
+        await self._handle(path, request, response)
+        self._count(_call_kind(path), response.status)
 
     async def _handle(
-        self, path: str, request: Request, reply: ResponseWriter
+        self, path: str, request: Request, response: ResponseWriter
     ) -> None:
         leader = self._other_leader()
         if leader is not None:
-            self._redirect(leader, path, reply)
+            self._redirect(leader, path, response)
             return
         try:
-            await self._answer(path, request, reply)
+            await self._dispatch(path, request, response)
         except bodies.InvalidBodyError as error:
-            _log.warning('A call is refused.', path=path, reason=str(error))
-            reply.send(_BAD_REQUEST, (), f'{error}\n'.encode())
+            _log.warning('Call rejected.', path=path, reason=str(error))
+            response.send(_BAD_REQUEST, (), f'{error}\n'.encode())
         except UnknownOutcomeError as error:
-            reply.send(_TIMED_OUT, (), f'{error}\n'.encode())
+            response.send(_TIMED_OUT, (), f'{error}\n'.encode())
         except UnavailableError as error:
-            # Another process may lead by now; the caller asks around.
-            reply.send(_UNAVAILABLE, (), f'{error}\n'.encode())
+            # Another process may be the leader; clients try the others.
+            response.send(_UNAVAILABLE, (), f'{error}\n'.encode())
 
-    async def _answer(
-        self, path: str, request: Request, reply: ResponseWriter
+    async def _dispatch(
+        self, path: str, request: Request, response: ResponseWriter
     ) -> None:
         if path == _PUT_CONFIG:
             config = bodies.decode_config(request.body)
             await self._calls.put_config(config.version, request.body)
-            reply.send(_OK, _JSON, b'{}')
+            response.send(_OK, _JSON, b'{}')
         elif path == _GET_CONFIG:
-            reply.send(_OK, _JSON, await self._calls.get_config())
+            response.send(_OK, _JSON, await self._calls.get_config())
         elif path.startswith(_HEARTBEAT):
             worker_id = path.removeprefix(_HEARTBEAT)
             worker = heartbeats.decode_heartbeat(
@@ -93,19 +93,19 @@
             )
             self._check_service(worker)
             await self._calls.record_worker(worker)
-            reply.send(_OK, _JSON, heartbeats.encode_heartbeat_response(''))
+            response.send(_OK, _JSON, heartbeats.encode_heartbeat_response(''))
         elif path.startswith(_DEREGISTER):
             worker_id = path.removeprefix(_DEREGISTER)
             worker = heartbeats.decode_heartbeat(
                 worker_id, request.body, leaving=True
             )
             await self._calls.record_worker(worker)
-            reply.send(_OK, _JSON, b'{}')
+            response.send(_OK, _JSON, b'{}')
         else:
-            reply.send(_NOT_FOUND, (), b'there is no such call\n')
+            response.send(_NOT_FOUND, (), b'there is no such call\n')
 
     def _check_service(self, worker: Worker) -> None:
-        """Refuse a new worker of a service that no configuration names."""
+        """Reject a new worker of a service that is not configured."""
         version = self._calls.config_version()
         if not version:
             raise UnavailableError(
@@ -119,7 +119,7 @@
             return
         if not self._calls.has_worker(worker.worker_id, worker.service):
             raise bodies.InvalidBodyError(
-                f'there is no service {worker.service}; a route names none'
+                f'there is no service {worker.service} in the configuration'
             )
 
     def _other_leader(self) -> Address | None:
@@ -131,15 +131,15 @@
         return parse_address(status.leader_address)
 
     def _redirect(
-        self, leader: Address, path: str, reply: ResponseWriter
+        self, leader: Address, path: str, response: ResponseWriter
     ) -> None:
         location = f'http://{leader.host}:{self._port}{path}'
-        reply.send(_REDIRECT, ((b'Location', location.encode()),))
+        response.send(_REDIRECT, ((b'Location', location.encode()),))
 
 
 def _call_kind(path: str) -> str:
-    """Return a name for metrics; there must be few of them."""
-    for known in (_PUT_CONFIG, _GET_CONFIG, _HEARTBEAT, _DEREGISTER):
-        if path.startswith(known):
-            return known.strip('/')
+    """Return the kind of the call for metrics, one of a fixed set."""
+    for prefix in (_PUT_CONFIG, _GET_CONFIG, _HEARTBEAT, _DEREGISTER):
+        if path.startswith(prefix):
+            return prefix.strip('/')
     return 'other'
--- a/verbenathread/platform/headers.py
+++ b/verbenathread/platform/headers.py
@@ -1,4 +1,4 @@
-"""Headers of requests and answers on the platform."""
+"""Request and response headers of the platform."""
 
 import json
 from typing import Any, Final
@@ -25,63 +25,71 @@
 from verbenathread.serving.types import Prompt
 from verbenathread.types import Millis
 
-# The caller's attempt, not one send of ours.
-_ATTEMPT: Final = b'attempt-id'
-_TIME_LEFT: Final = b'deadline-ms'
-_KEY: Final = b'authorization'
+# Identifies the caller's attempt, not a single upstream send.
+_ATTEMPT_ID: Final = b'attempt-id'
+_DEADLINE: Final = b'deadline-ms'
+_AUTHORIZATION: Final = b'authorization'
 _BEARER: Final = b'bearer '
-_ACCOUNT: Final = b'tenant'
-_WORKER: Final = b'expect-instance'
-_URGENCY: Final = b'request-priority'
-_RESUME: Final = b'last-event-id'
+_TENANT: Final = b'tenant'
+_EXPECTED_WORKER: Final = b'expect-instance'
+_PRIORITY: Final = b'request-priority'
+_LAST_EVENT_ID: Final = b'last-event-id'
 _HOLDERS: Final = b'helpers'
-# Prompt tokens and the most output tokens, not what was used.
-_PROMPT: Final = b'token-usage'
-_EXPECTED_OUTPUT: Final = b'length-hint'
+# Holds the prompt tokens and the output token limit, not actual usage.
+_TOKEN_USAGE: Final = b'token-usage'
+_LENGTH_HINT: Final = b'length-hint'
 _SIGNATURE: Final = b'response-stamp'
-_AT_FAULT: Final = b'at-server'
+_FAULTY_WORKER: Final = b'at-server'
 _NOT_RUN: Final = b'not-executed'
 _RETRY_AFTER: Final = b'Retry-After'
 _HOST: Final = b'host'
-# Another worker than the one meant answers with this status.
+# Status of a worker other than the expected one.
 _MISDIRECTED: Final = 421
 _OK: Final = 200
 _BAD_REQUEST: Final = 400
 _CONFLICT: Final = 409
 _MS_PER_SECOND: Final = 1000
-# Set by the gateway, whatever the caller sent.
+# Set by the gateway; values from the caller are dropped.
 _GATEWAY_HEADERS: Final = frozenset(
-    (_TIME_LEFT, _KEY, _ACCOUNT, _WORKER, _URGENCY, _HOLDERS, _RESUME)
+    (
+        _DEADLINE,
+        _AUTHORIZATION,
+        _TENANT,
+        _EXPECTED_WORKER,
+        _PRIORITY,
+        _HOLDERS,
+        _LAST_EVENT_ID,
+    )
 )
 
 
 class PlatformDialect:
-    """Reads and writes the platform's headers."""
+    """Implements the dialect of the platform."""
 
     def read_request(self, request: Request) -> CallerRequest | BadRequest:
-        """Read a caller's headers."""
+        """Parse a caller's headers."""
         values = request.value_by_name
-        attempt_id = values.get(_ATTEMPT, b'').decode('latin-1')
+        attempt_id = values.get(_ATTEMPT_ID, b'').decode('latin-1')
         host = values.get(_HOST, b'').decode('latin-1')
         if not attempt_id or not host:
-            return BadRequest('Host or the identifier of the attempt is absent')
+            return BadRequest('the Host or Attempt-Id header is missing')
         try:
             return CallerRequest(
                 attempt_id=attempt_id,
-                time_left=_parse_number(values.get(_TIME_LEFT)),
+                time_left=_parse_number(values.get(_DEADLINE)),
                 host=host.partition(':')[0].lower(),
                 path=request.path.decode('latin-1'),
-                key=_parse_bearer_key(values.get(_KEY)),
+                key=_parse_bearer_key(values.get(_AUTHORIZATION)),
                 prompt=_parse_prompt(values),
-                last_event_id=_parse_number(values.get(_RESUME)),
+                last_event_id=_parse_number(values.get(_LAST_EVENT_ID)),
             )
         except ValueError:
-            return BadRequest('a header that holds a number holds none')
+            return BadRequest('a numeric header is not a number')
 
     def worker_headers(
         self, request: Request, onward: Onward
     ) -> list[tuple[bytes, bytes]]:
-        """Return the headers with which the request goes to a worker."""
+        """Return the headers of the request to a worker."""
         headers = []
         for name, text in end_to_end_headers(
             request.headers, request.value_by_name
@@ -101,17 +109,17 @@
         return headers
 
     def read_answer(self, head: ResponseHead) -> WorkerAnswer:
-        """Read a worker's headers."""
+        """Parse a worker's headers."""
         values = head.value_by_name
         return WorkerAnswer(
-            attempt_id=values.get(_ATTEMPT, b'').decode('latin-1'),
+            attempt_id=values.get(_ATTEMPT_ID, b'').decode('latin-1'),
             signed=_SIGNATURE in values,
             not_run=_NOT_RUN in values or head.status == _MISDIRECTED,
-            at_fault=values.get(_AT_FAULT, b'').decode('latin-1'),
+            at_fault=values.get(_FAULTY_WORKER, b'').decode('latin-1'),
         )
 
     def read_report(self, body: bytes) -> Report | None:
-        """Read the answer to a probe; None when it can't be read."""
+        """Parse the response to a probe; None if it is invalid."""
         try:
             return _decode_report(read_object(body))
         except InvalidBodyError:
@@ -120,7 +128,7 @@
             return None
 
     def probe_call(self, worker_id: str) -> Call:
-        """Return a call that a living worker answers at once."""
+        """Return a probe that a live worker answers immediately."""
         return Call(
             b'GET', b'/report', ((b'Expect-Instance', worker_id.encode()),), b''
         )
@@ -128,36 +136,36 @@
     def reserve_call(
         self, worker_id: str, reservation_id: str, tokens: int, lease: Millis
     ) -> Call:
-        """Return the call that sets memory aside, or renews its lease."""
-        said = {
+        """Return the call that reserves memory or renews its lease."""
+        order = {
             'operation': 'reserve',
             'id': reservation_id,
             'tokens': tokens,
             'hold-ms': lease,
         }
-        return _order_call(worker_id, said)
+        return _order_call(worker_id, order)
 
     def release_call(self, worker_id: str, reservation_id: str) -> Call:
-        """Return the call that frees memory that was set aside."""
+        """Return the call that releases reserved memory."""
         return _order_call(
             worker_id, {'operation': 'release', 'id': reservation_id}
         )
 
     def read_reservation(self, status: int) -> ReservationAnswer:
-        """Read the answer to either call."""
+        """Parse the response to a reserve or release call."""
         return ReservationAnswer(
             done=status == _OK,
             refused=status in {_CONFLICT, _BAD_REQUEST, _MISDIRECTED},
         )
 
     def caller_headers(self, head: ResponseHead) -> list[tuple[bytes, bytes]]:
-        """Return the headers of a worker's answer for the caller."""
+        """Return the headers of a worker's response to forward."""
         return end_to_end_headers(head.headers, head.value_by_name)
 
     def refusal_headers(
         self, attempt_id: str, retry_after: Millis | None
     ) -> list[tuple[bytes, bytes]]:
-        """Return the headers of an answer that no worker gave."""
+        """Return the headers of an error response by the gateway itself."""
         headers = []
         if attempt_id:
             headers.append((b'Attempt-Id', attempt_id.encode('latin-1')))
@@ -167,17 +175,17 @@
         return headers
 
 
-def _order_call(worker_id: str, said: dict[str, object]) -> Call:
+def _order_call(worker_id: str, order: dict[str, object]) -> Call:
     headers = (
         (b'Content-Type', b'application/json'),
         (b'Expect-Instance', worker_id.encode()),
     )
-    return Call(b'POST', b'/order', headers, json.dumps(said).encode())
+    return Call(b'POST', b'/order', headers, json.dumps(order).encode())
 
 
-def _decode_report(said: dict[str, Any]) -> Report:
+def _decode_report(fields: dict[str, Any]) -> Report:
     return Report(
-        pace=float(said.get('pace', 1)),
+        pace=float(fields.get('pace', 1)),
     )
 
 
@@ -192,20 +200,22 @@
 
 
 def _parse_prompt(values: dict[bytes, bytes]) -> Prompt | None:
-    sizes = values.get(_PROMPT)
+    sizes = values.get(_TOKEN_USAGE)
     if sizes is None:
         return None
     tokens, _, most_output = sizes.partition(b',')
     most = int(most_output)
-    expected = _parse_number(values.get(_EXPECTED_OUTPUT))
+    expected = _parse_number(values.get(_LENGTH_HINT))
     return Prompt(int(tokens), most, most if expected is None else expected)
 
 
 def _encode_holders(onward: Onward) -> bytes:
     parts = []
     for holder in onward.holders:
-        ticket = holder.reservation_id
+        reservation_id = holder.reservation_id
         parts.append(
-            f'{holder.address}/{ticket}' if ticket else f'{holder.address}'
+            f'{holder.address}/{reservation_id}'
+            if reservation_id
+            else f'{holder.address}'
         )
     return ','.join(parts).encode()
--- a/verbenathread/platform/heartbeats.py
+++ b/verbenathread/platform/heartbeats.py
@@ -1,4 +1,4 @@
-"""What workers say of themselves on the platform."""
+"""Heartbeats of workers on the platform."""
 
 import json
 from collections.abc import Mapping
@@ -22,28 +22,28 @@
         'draining': WorkerState.DRAINING,
     }
 )
-# Integers beyond are not exact in every writer of JSON.
+# Some JSON encoders do not represent larger integers exactly.
 _MAX_BORN: Final = 1 << 53  # noqa: WPS432
 
 
 def decode_heartbeat(worker_id: str, body: bytes, *, leaving: bool) -> Worker:
-    """Read what a worker says of itself; raises InvalidBodyError.
+    """Decode a worker's heartbeat; raises InvalidBodyError.
 
-    ``leaves`` marks its last call, whose body may say less.
+    ``leaving`` marks a deregistration, whose body may omit fields.
     """
-    said = read_object(body) if body or not leaving else {}
+    fields = read_object(body) if body or not leaving else {}
     try:
-        return _decode_worker(worker_id, said, leaving=leaving)
+        return _decode_worker(worker_id, fields, leaving=leaving)
     except SettingsError as error:
-        raise InvalidBodyError(f'the address is none: {error}')
+        raise InvalidBodyError(f'the address is invalid: {error}')
     except MALFORMED_BODY_ERRORS as error:
         raise InvalidBodyError(
-            f'the worker says too little of itself: {error!r}'
+            f'the heartbeat has a missing or invalid field: {error!r}'
         )
 
 
 def encode_heartbeat_response(next_url: str) -> bytes:
-    """Return the answer to a heartbeat; later heartbeats go to ``next_url``."""
+    """Return the response body; later heartbeats go to ``next_url``."""
     return json.dumps({'heartbeat-url': next_url} if next_url else {}).encode()
 
 
