--- a/verbenathread/entry/hold_outbox.py
+++ b/verbenathread/entry/hold_outbox.py
@@ -13,7 +13,7 @@
 from verbenathread.clock import seconds
 from verbenathread.entry.ledger_host import LedgerHost
 from verbenathread.membership.cell import Cell
-from verbenathread.scheduling.holds import reservation_id
+from verbenathread.scheduling.holds import make_reservation_id
 from verbenathread.schema import peer_pb2
 from verbenathread.types import NodeId, UpstreamState
 
@@ -111,4 +111,4 @@
 
 
 def _key(update: peer_pb2.HoldUpdate) -> str:
-    return reservation_id(update.upstream_id, update.attempt_id)
+    return make_reservation_id(update.upstream_id, update.attempt_id)
--- a/verbenathread/entry/owned_engine.py
+++ b/verbenathread/entry/owned_engine.py
@@ -12,7 +12,7 @@
 
 from verbenathread.clock import Clock, seconds
 from verbenathread.entry import reservation_messages
-from verbenathread.scheduling.holds import reservation_id
+from verbenathread.scheduling.holds import make_reservation_id
 from verbenathread.scheduling.ledger import START_TIMEOUT, EngineLedger
 from verbenathread.scheduling.messages import EngineHold, ReservationRequest
 from verbenathread.schema import peer_pb2
@@ -85,7 +85,7 @@
         self.ledger.restore(listed)
         for hold in listed:
             grant = Grant(
-                reservation_id(self.ledger.upstream_id, hold.attempt_id),
+                make_reservation_id(self.ledger.upstream_id, hold.attempt_id),
                 hold.attempt_id,
                 hold.entry_id,
                 0,
@@ -121,7 +121,7 @@
     def update(self, update: peer_pb2.HoldUpdate) -> None:
         """Take progress or a release from the entry that holds a grant."""
         grant = self._grant_by_id.get(
-            reservation_id(self.ledger.upstream_id, update.attempt_id)
+            make_reservation_id(self.ledger.upstream_id, update.attempt_id)
         )
         if grant is None:
             return
@@ -216,7 +216,7 @@
         # The caller left; a grant that was on its way to it comes back.
         self.ledger.cancel(attempt_id)
         grant = self._grant_by_id.get(
-            reservation_id(self.ledger.upstream_id, attempt_id)
+            make_reservation_id(self.ledger.upstream_id, attempt_id)
         )
         if grant is not None:
             self._drop(grant, 0)
@@ -255,7 +255,7 @@
     def _renew(self, attempt_id: str) -> None:
         """Renew a part of a group, or give it up to another group."""
         grant = self._grant_by_id.get(
-            reservation_id(self.ledger.upstream_id, attempt_id)
+            make_reservation_id(self.ledger.upstream_id, attempt_id)
         )
         if grant is None or grant.started:
             return
--- a/verbenathread/scheduling/admission.py
+++ b/verbenathread/scheduling/admission.py
@@ -15,8 +15,8 @@
     Work,
 )
 
-_NO_UPSTREAM_RETRY: Millis = 1000
-_EXPIRED_RETRY: Millis = 1
+_NO_UPSTREAM_RETRY_AFTER: Millis = 1000
+_EXPIRED_RETRY_AFTER: Millis = 1
 
 
 def memory_needed(work: Work) -> int:
@@ -40,7 +40,7 @@
         now: Millis,
     ) -> Refusal | None:
         """Return None when the request may go on to an engine."""
-        refusal = self._impossible(work, policy, records, now)
+        refusal = self._unservable(work, policy, records, now)
         if refusal is not None:
             return refusal
         return self.limiter.admit(
@@ -66,7 +66,7 @@
             is_long=_is_long(work, policy),
         )
 
-    def _impossible(
+    def _unservable(
         self,
         work: Work,
         policy: settings_pb2.PolicySettings,
@@ -77,13 +77,13 @@
             return Refusal(
                 RefusalReason.NO_UPSTREAM,
                 'No engine serves this model now; retry later.',
-                _NO_UPSTREAM_RETRY,
+                _NO_UPSTREAM_RETRY_AFTER,
             )
         if work.deadline <= now:
             return Refusal(
                 RefusalReason.DEADLINE,
                 'The time limit has passed; allow more time.',
-                _EXPIRED_RETRY,
+                _EXPIRED_RETRY_AFTER,
             )
         engine_tokens = records[0].memory_tokens
         size = group_size(memory_needed(work), engine_tokens, policy)
--- a/verbenathread/scheduling/candidates.py
+++ b/verbenathread/scheduling/candidates.py
@@ -6,8 +6,8 @@
 from verbenathread.schema import settings_pb2
 from verbenathread.types import Millis, UpstreamId, Work
 
-_LEAST_LOOK: Millis = 500
-_MOST_LOOK: Millis = 5000
+_MIN_REROUTE_DELAY: Millis = 500
+_MAX_REROUTE_DELAY: Millis = 5000
 
 
 def reroute_delay(
@@ -24,7 +24,7 @@
     if is_long or not tuning.reroute_factor:
         return None
     patience = int(expected_wait * tuning.reroute_factor)
-    return min(_MOST_LOOK, max(_LEAST_LOOK, patience))
+    return min(_MAX_REROUTE_DELAY, max(_MIN_REROUTE_DELAY, patience))
 
 
 class CandidateIterator:
@@ -39,15 +39,15 @@
         self, candidates: Sequence[UpstreamId], wait_threshold: Millis
     ) -> None:
         """Plan to ask ``candidates`` in order; patience 0 takes any wait."""
-        self._left = list(candidates)
-        self._patience = wait_threshold
+        self._remaining = list(candidates)
+        self._wait_threshold = wait_threshold
         self._wait_by_id: dict[UpstreamId, Millis] = {}
         self._is_last = False
 
     def next(self) -> UpstreamId | None:
         """Return the next to ask; None when every owner has refused."""
-        if self._left:
-            return self._left.pop(0)
+        if self._remaining:
+            return self._remaining.pop(0)
         if not self._wait_by_id:
             return None
         self._is_last = True
@@ -57,11 +57,11 @@
 
     def accepts_wait(self, upstream_id: UpstreamId, wait: Millis) -> bool:
         """Tell whether to wait there; if not, cancel it and ask the next."""
-        if self._is_last or not self._patience:
+        if self._is_last or not self._wait_threshold:
             return True
-        if wait <= self._patience:
+        if wait <= self._wait_threshold:
             return True
-        if not self._left and not self._wait_by_id:
+        if not self._remaining and not self._wait_by_id:
             return True
         self._wait_by_id[upstream_id] = wait
         return False
--- a/verbenathread/scheduling/estimates.py
+++ b/verbenathread/scheduling/estimates.py
@@ -10,14 +10,14 @@
 from verbenathread.types import Millis
 
 _SQUARE_UNIT = 1e6
-_MS_PER_TOKEN = 0.05
-_MS_PER_SQUARE = 0.01
-_OUTPUT_MS = 30.0
-_KEPT = 0.98
+_INITIAL_LINEAR = 0.05
+_INITIAL_QUADRATIC = 0.01
+_INITIAL_OUTPUT_MS = 30.0
+_DECAY = 0.98
 _PRIOR_WEIGHT = 20.0
-_PRIOR_PROMPT = 8000.0
+_PRIOR_PROMPT_TOKENS = 8000.0
 _QUANTILE_STEP = 0.05
-_FIRST_OUTPUT = 256.0
+_INITIAL_OUTPUT_TOKENS = 256.0
 
 
 class PrefillCost:
@@ -29,27 +29,29 @@
 
     def __init__(self) -> None:
         """Start from a guess that the first hundred prompts replace."""
-        self._linear = _MS_PER_TOKEN
-        self._square = _MS_PER_SQUARE
-        self._output = _OUTPUT_MS
-        self._sums = _Sums()
-        base = _PRIOR_PROMPT
+        self._linear = _INITIAL_LINEAR
+        self._quadratic = _INITIAL_QUADRATIC
+        self._output_ms = _INITIAL_OUTPUT_MS
+        self._sums = _NormalEquations()
+        base = _PRIOR_PROMPT_TOKENS
         squares = base * base / _SQUARE_UNIT
         for _ in range(int(_PRIOR_WEIGHT)):
-            self._sums = self._sums.plus(base, squares, self._plain(base))
+            self._sums = self._sums.with_sample(
+                base, squares, self._uncached(base)
+            )
             long_base = base * 10
             long_squares = long_base * long_base / _SQUARE_UNIT
-            self._sums = self._sums.plus(
-                long_base, long_squares, self._plain(long_base)
+            self._sums = self._sums.with_sample(
+                long_base, long_squares, self._uncached(long_base)
             )
 
     def prefill(self, tokens: int, cached: int = 0) -> float:
         """Return expected ms to prefill ``tokens`` after ``cached`` ones."""
-        return self._plain(tokens) - self._plain(min(cached, tokens))
+        return self._uncached(tokens) - self._uncached(min(cached, tokens))
 
     def output(self, tokens: float) -> float:
         """Return expected ms to generate ``tokens``."""
-        return tokens * self._output
+        return tokens * self._output_ms
 
     def observe_busy_period(self, busy: Millis, prompts: list[int]) -> None:
         """Learn from one busy period in which ``prompts`` were prefilled."""
@@ -57,29 +59,31 @@
         if not tokens:
             return
         squares = sum(prompt * prompt for prompt in prompts) / _SQUARE_UNIT
-        self._sums = self._sums.decayed(_KEPT).plus(tokens, squares, busy)
+        self._sums = self._sums.decayed(_DECAY).with_sample(
+            tokens, squares, busy
+        )
         solved = self._sums.solve()
         if solved is not None:
             self._linear = solved.linear
-            self._square = solved.square
+            self._quadratic = solved.quadratic
 
     def observe_output(self, duration: Millis, tokens: int) -> None:
         """Learn from ``tokens`` generated in ``duration`` ms."""
         if tokens > 0:
             seen = duration / tokens
-            self._output += (seen - self._output) * (1 - _KEPT)
+            self._output_ms += (seen - self._output_ms) * (1 - _DECAY)
 
-    def _plain(self, tokens: float) -> float:
+    def _uncached(self, tokens: float) -> float:
         squares = tokens * tokens / _SQUARE_UNIT
-        return self._linear * tokens + self._square * squares
+        return self._linear * tokens + self._quadratic * squares
 
 
 class _Coefficients(NamedTuple):
     linear: float
-    square: float
+    quadratic: float
 
 
-class _Sums(NamedTuple):
+class _NormalEquations(NamedTuple):
     """Sums of the normal equations of two coefficients."""
 
     xx: float = 0
@@ -88,15 +92,17 @@
     xy: float = 0
     zy: float = 0
 
-    def decayed(self, kept: float) -> '_Sums':
+    def decayed(self, factor: float) -> '_NormalEquations':
         """Return the sums with older samples weighing less."""
-        return _Sums(*(part * kept for part in self))
+        return _NormalEquations(*(part * factor for part in self))
 
-    def plus(self, tokens: float, squares: float, busy: float) -> '_Sums':
+    def with_sample(
+        self, tokens: float, squares: float, busy: float
+    ) -> '_NormalEquations':
         """Return the sums with one sample, weighed by its inverse size."""
         # Relative errors count, so that long prompts do not rule the fit.
         scale = 1 / max(busy, 1) ** 2
-        return _Sums(
+        return _NormalEquations(
             self.xx + tokens * tokens * scale,
             self.xz + tokens * squares * scale,
             self.zz + squares * squares * scale,
@@ -130,23 +136,27 @@
         self._log_by_key: dict[tuple[str, str], float] = {}
         self._log_by_service: dict[str, float] = {}
 
-    def expected(self, account: str, service: str, most: int) -> int:
+    def expected(self, account: str, service: str, limit: int) -> int:
         """Return the expected output tokens, at most ``most``."""
-        start = self._log_by_service.get(service, math.log(_FIRST_OUTPUT))
+        start = self._log_by_service.get(
+            service, math.log(_INITIAL_OUTPUT_TOKENS)
+        )
         estimate = self._log_by_key.get((account, service), start)
-        return max(1, min(most, round(math.exp(estimate))))
+        return max(1, min(limit, round(math.exp(estimate))))
 
     def observe(self, account: str, service: str, tokens: int) -> None:
         """Learn from a request that ended after ``tokens``."""
         seen = math.log(max(1, tokens))
-        start = self._log_by_service.get(service, math.log(_FIRST_OUTPUT))
-        self._log_by_service[service] = self._moved(start, seen)
+        start = self._log_by_service.get(
+            service, math.log(_INITIAL_OUTPUT_TOKENS)
+        )
+        self._log_by_service[service] = self._updated(start, seen)
         key = (account, service)
-        self._log_by_key[key] = self._moved(
+        self._log_by_key[key] = self._updated(
             self._log_by_key.get(key, start), seen
         )
 
-    def _moved(self, estimate: float, seen: float) -> float:
+    def _updated(self, estimate: float, seen: float) -> float:
         if seen > estimate:
             return estimate + _QUANTILE_STEP * self._quantile
         return estimate - _QUANTILE_STEP * (1 - self._quantile)
@@ -171,5 +181,5 @@
         if tokens <= 0 or size <= 0:
             return
         ratio = self._ratio_by_service.get(service, first_guess)
-        ratio += (size / tokens - ratio) * (1 - _KEPT)
+        ratio += (size / tokens - ratio) * (1 - _DECAY)
         self._ratio_by_service[service] = ratio
--- a/verbenathread/scheduling/granting.py
+++ b/verbenathread/scheduling/granting.py
@@ -8,17 +8,17 @@
 
 from collections.abc import Iterable
 
-from verbenathread.scheduling.forecast import Gate
-from verbenathread.scheduling.groups import group_order
-from verbenathread.scheduling.holds import Hold, HoldBook, memory_outlook
-from verbenathread.scheduling.queueing import Waiting, WaitQueue
+from verbenathread.scheduling.forecast import PrefillWindows
+from verbenathread.scheduling.groups import group_sort_key
+from verbenathread.scheduling.holds import Hold, HoldTable, memory_forecast
+from verbenathread.scheduling.queueing import QueuedRequest, RequestQueue
 from verbenathread.scheduling.tuning import Tuning
 from verbenathread.schema import settings_pb2
 from verbenathread.types import LengthClass, Millis
 
 
-def kept_for_short(
-    book: HoldBook,
+def required_headroom(
+    holds: HoldTable,
     length: LengthClass,
     policy: settings_pb2.PolicySettings,
 ) -> int:
@@ -28,11 +28,11 @@
     """
     if length == LengthClass.SHORT:
         return 0
-    headroom = int(book.memory_tokens * policy.short_headroom)
-    return max(0, headroom - book.short_tokens)
+    headroom = int(holds.memory_tokens * policy.short_headroom)
+    return max(0, headroom - holds.short_tokens)
 
 
-class Promise:
+class ProtectedStart:
     """When the protected ask should begin, as first forecast.
 
     The forecast is kept: those that pass may take longer than expected, and
@@ -42,37 +42,41 @@
     def __init__(self) -> None:
         """Promise nothing yet."""
         self._attempt_id = ''
-        self._begins_at: float = 0
+        self._starts_at: float = 0
 
-    def left(self, waiting: Waiting, begins_in: float, now: Millis) -> float:
+    def remaining(
+        self, queued: QueuedRequest, starts_in: float, now: Millis
+    ) -> float:
         """Return ms until the ask should begin; 0 when that has passed."""
-        if waiting.ask.attempt_id != self._attempt_id:
-            self._attempt_id = waiting.ask.attempt_id
-            self._begins_at = now + begins_in
-        return max(0, min(begins_in, self._begins_at - now))
+        if queued.request.attempt_id != self._attempt_id:
+            self._attempt_id = queued.request.attempt_id
+            self._starts_at = now + starts_in
+        return max(0, min(starts_in, self._starts_at - now))
 
 
-class Granter:
+class GrantPass:
     """One look at the queue of an engine."""
 
     def __init__(
         self,
-        book: HoldBook,
+        holds: HoldTable,
         policy: settings_pb2.PolicySettings,
         tuning: Tuning,
         now: Millis,
     ) -> None:
         """Look at the memory as it is now."""
-        self._book = book
+        self._holds = holds
         self._policy = policy
         self._tuning = tuning
         self._now = now
-        self._gate = Gate(book, tuning, now)
-        self._protected: Waiting | None = None
-        self._begins_in: float = 0
-        self._beside = 0
+        self._windows = PrefillWindows(holds, tuning, now)
+        self._protected: QueuedRequest | None = None
+        self._starts_in: float = 0
+        self._spare_tokens = 0
 
-    def protect(self, queue: WaitQueue, promise: Promise) -> None:
+    def protect_oldest(
+        self, queue: RequestQueue, protected_start: ProtectedStart
+    ) -> None:
         """Protect the oldest ask above the short class."""
         if not self._tuning.backfill:
             return
@@ -81,75 +85,79 @@
         ]
         if not longer:
             return
-        oldest = min(longer, key=_age)
-        outlook = memory_outlook(self._book, self._missing(oldest), self._now)
+        oldest = min(longer, key=_arrival_key)
+        outlook = memory_forecast(
+            self._holds, self._missing_tokens(oldest), self._now
+        )
         self._protected = oldest
-        self._begins_in = promise.left(oldest, outlook.wait, self._now)
-        if outlook.wait <= 0 or self._begins_in > 0:
-            self._beside = max(0, outlook.surplus)
+        self._starts_in = protected_start.remaining(
+            oldest, outlook.wait, self._now
+        )
+        if outlook.wait <= 0 or self._starts_in > 0:
+            self._spare_tokens = max(0, outlook.surplus)
 
     @property
-    def is_shut(self) -> bool:
+    def is_closed(self) -> bool:
         """Tell whether nobody else can get memory in this look."""
-        return self._gate.is_shut
+        return self._windows.is_closed
 
-    def may_have(self, waiting: Waiting) -> bool:
+    def accept(self, queued: QueuedRequest) -> bool:
         """Tell whether an ask gets its memory now."""
-        if not self._gate.is_open(waiting.length):
+        if not self._windows.has_room(queued.length):
             return False
-        if self._missing(waiting) > 0:
+        if self._missing_tokens(queued) > 0:
             if not self._tuning.backfill:
-                self._gate.close_for_longer()
+                self._windows.restrict_to_short()
             return False
-        if not self._may_pass(waiting):
+        if not self._may_overtake(queued):
             return False
-        self._gate.count(waiting)
-        if waiting is self._protected:
+        self._windows.add(queued)
+        if queued is self._protected:
             self._protected = None
         return True
 
-    def _missing(self, waiting: Waiting) -> int:
-        kept = kept_for_short(self._book, waiting.length, self._policy)
-        return waiting.ask.memory_tokens + kept - self._book.free
+    def _missing_tokens(self, queued: QueuedRequest) -> int:
+        kept = required_headroom(self._holds, queued.length, self._policy)
+        return queued.request.memory_tokens + kept - self._holds.free_tokens
 
-    def _may_pass(self, waiting: Waiting) -> bool:
-        if self._protected is None or waiting is self._protected:
+    def _may_overtake(self, queued: QueuedRequest) -> bool:
+        if self._protected is None or queued is self._protected:
             return True
-        if waiting.length == LengthClass.SHORT:
+        if queued.length == LengthClass.SHORT:
             return True
-        tokens = waiting.ask.memory_tokens
-        if waiting.prefill + waiting.output <= self._begins_in:
+        tokens = queued.request.memory_tokens
+        if queued.prefill_ms + queued.output_ms <= self._starts_in:
             return True
-        if tokens <= self._beside:
-            self._beside -= tokens
+        if tokens <= self._spare_tokens:
+            self._spare_tokens -= tokens
             return True
         return False
 
 
-def ahead_of(queue: Iterable[Waiting], asked: Waiting) -> int:
+def memory_ahead(queue: Iterable[QueuedRequest], queued: QueuedRequest) -> int:
     """Return the memory that older asks will take before this one.
 
     Those are protected in the order of their age; short ones have headroom.
     """
-    if asked.length == LengthClass.SHORT:
+    if queued.length == LengthClass.SHORT:
         return 0
     tokens = 0
     for waiting in queue:
-        if waiting.length == LengthClass.SHORT or waiting is asked:
+        if waiting.length == LengthClass.SHORT or waiting is queued:
             continue
-        if _age(waiting) < _age(asked):
-            tokens += waiting.ask.memory_tokens
+        if _arrival_key(waiting) < _arrival_key(queued):
+            tokens += waiting.request.memory_tokens
     return tokens
 
 
-def must_yield(hold: Hold, queue: Iterable[Waiting]) -> bool:
+def must_yield(hold: Hold, queue: Iterable[QueuedRequest]) -> bool:
     """Tell whether a group that comes before this hold's waits here."""
-    place = group_order(hold.ask)
+    place = group_sort_key(hold.request)
     return any(
-        waiting.ask.group and group_order(waiting.ask) < place
+        waiting.request.group and group_sort_key(waiting.request) < place
         for waiting in queue
     )
 
 
-def _age(waiting: Waiting) -> tuple[Millis, str]:
-    return waiting.ask.work.arrival, waiting.ask.attempt_id
+def _arrival_key(queued: QueuedRequest) -> tuple[Millis, str]:
+    return queued.request.work.arrival, queued.request.attempt_id
--- a/verbenathread/scheduling/groups.py
+++ b/verbenathread/scheduling/groups.py
@@ -36,9 +36,9 @@
     return max(1, -(-memory_tokens // usable))
 
 
-def group_order(ask: ReservationRequest) -> tuple[Millis, str]:
+def group_sort_key(request: ReservationRequest) -> tuple[Millis, str]:
     """Return the place of a group in the one order of all groups."""
-    return ask.group_timestamp, ask.attempt_id
+    return request.group_timestamp, request.attempt_id
 
 
 class GroupRequest:
@@ -70,7 +70,7 @@
             admitted=admitted,
         )
         self._accepted: set[UpstreamId] = set()
-        self._held_by_id: dict[UpstreamId, Reservation] = {}
+        self._reservation_by_id: dict[UpstreamId, Reservation] = {}
 
     def record_accepted(self, upstream_id: UpstreamId) -> bool:
         """Note that an owner did not refuse; True once none did."""
@@ -79,30 +79,32 @@
 
     def record_grant(self, reservation: Reservation) -> None:
         """Note a hold."""
-        self._held_by_id[reservation.upstream_ids[0]] = reservation
+        self._reservation_by_id[reservation.upstream_ids[0]] = reservation
 
     def record_renewal(self, upstream_id: UpstreamId, start_by: Millis) -> None:
         """Note that an owner has renewed its hold."""
-        held = self._held_by_id.get(upstream_id)
+        held = self._reservation_by_id.get(upstream_id)
         if held is not None:
-            self._held_by_id[upstream_id] = held._replace(start_by=start_by)
+            self._reservation_by_id[upstream_id] = held._replace(
+                start_by=start_by
+            )
 
     def record_loss(self, upstream_id: UpstreamId) -> ReservationRequest:
         """Note that a hold has yielded or run out; return what to ask."""
-        self._held_by_id.pop(upstream_id, None)
+        self._reservation_by_id.pop(upstream_id, None)
         return self.member_request._replace(admitted=True)
 
     def member_reservations(self) -> tuple[Reservation, ...]:
         """Return the holds so far: to renew, or to give back."""
         return tuple(
-            self._held_by_id[member]
+            self._reservation_by_id[member]
             for member in self.members
-            if member in self._held_by_id
+            if member in self._reservation_by_id
         )
 
     def complete_reservation(self) -> Reservation | None:
         """Return the reservation of the whole group once all is held."""
-        if len(self._held_by_id) < len(self.members):
+        if len(self._reservation_by_id) < len(self.members):
             return None
         every = self.member_reservations()
         return every[0]._replace(
--- a/verbenathread/scheduling/limits.py
+++ b/verbenathread/scheduling/limits.py
@@ -27,7 +27,7 @@
 LOCAL_SHARE_FACTOR = 3
 # Usage older than this means that the other entries are not heard.
 USAGE_STALE_AFTER: Millis = 5000
-_LEAST_RETRY: Millis = 100
+_MIN_RETRY: Millis = 100
 
 
 class AccountUsage(NamedTuple):
@@ -39,34 +39,34 @@
     long_running: int
 
 
-class Bucket:
+class TokenBucket:
     """Tokens that come back at a rate; spending may run into debt."""
 
     def __init__(self, rate: float, now: Millis, burst: Millis) -> None:
         """Start full; ``rate`` is by second, ``burst`` in ms of the rate."""
         self.rate = rate
-        self._most = max(1, rate * burst / MS_PER_SECOND)
-        self._level = self._most
-        self._at = now
+        self._capacity = max(1, rate * burst / MS_PER_SECOND)
+        self._available = self._capacity
+        self._updated_at = now
 
-    def level(self, now: Millis) -> float:
+    def available(self, now: Millis) -> float:
         """Return what may be spent now; below zero is debt."""
-        back = (now - self._at) * self.rate / MS_PER_SECOND
-        self._level = min(self._most, self._level + back)
-        self._at = now
-        return self._level
+        back = (now - self._updated_at) * self.rate / MS_PER_SECOND
+        self._available = min(self._capacity, self._available + back)
+        self._updated_at = now
+        return self._available
 
     def spend(self, amount: float, now: Millis) -> None:
         """Take ``amount``; a negative one gives back."""
-        self._level = self.level(now) - amount
+        self._available = self.available(now) - amount
 
     def wait(self, now: Millis) -> Millis:
         """Return ms until there is one to spend."""
-        missing = 1 - self.level(now)
+        missing = 1 - self.available(now)
         return max(0, int(missing * MS_PER_SECOND / self.rate) + 1)
 
 
-class _Limit:
+class _RateLimit:
     """One rate of one account as this entry sees it."""
 
     def __init__(
@@ -75,17 +75,17 @@
         self.rate = rate
         self.entries = entries
         local = min(rate, rate * LOCAL_SHARE_FACTOR / entries)
-        self._fleet = Bucket(rate, now, burst)
-        self._local = Bucket(local, now, burst)
+        self._fleet = TokenBucket(rate, now, burst)
+        self._local = TokenBucket(local, now, burst)
 
-    def wait(self, now: Millis, *, alone: bool) -> Millis:
+    def wait(self, now: Millis, *, is_isolated: bool) -> Millis:
         """Return ms until the next may go; 0 for now."""
-        share = 1 if alone else LOCAL_SHARE_FACTOR
+        share = 1 if is_isolated else LOCAL_SHARE_FACTOR
         self._local.rate = min(self.rate, self.rate * share / self.entries)
         waits = [
             bucket.wait(now)
             for bucket in (self._fleet, self._local)
-            if bucket.level(now) < 1
+            if bucket.available(now) < 1
         ]
         return max(waits, default=0)
 
@@ -93,14 +93,14 @@
         """Count what this entry admits."""
         self._fleet.spend(amount, now)
         # Debt is paid off in the fleet's bucket, at the whole rate.
-        self._local.spend(min(amount, self._local.level(now)), now)
+        self._local.spend(min(amount, self._local.available(now)), now)
 
-    def hear(self, amount: float, now: Millis) -> None:
+    def record_remote(self, amount: float, now: Millis) -> None:
         """Count what another entry admitted."""
         self._fleet.spend(amount, now)
 
 
-class _Account:
+class _AccountState:
     """One account: its limits and what this entry admitted for it."""
 
     def __init__(
@@ -108,13 +108,15 @@
     ) -> None:
         self.limits = limits
         self.entries = entries
-        self.requests = _Limit(limits.requests_per_second, entries, BURST, now)
-        self.tokens = _Limit(
+        self.requests = _RateLimit(
+            limits.requests_per_second, entries, BURST, now
+        )
+        self.tokens = _RateLimit(
             limits.tokens_per_second, entries, TOKEN_BURST, now
         )
         self.own = AccountUsage('', 0, 0, 0)
 
-    def long_room(self, others: int) -> bool:
+    def allows_long(self, others: int) -> bool:
         """Tell whether one more long prompt may run beside the others'."""
         most = self.limits.long_prompts
         own_most = max(1, -(-most * LOCAL_SHARE_FACTOR // self.entries))
@@ -128,9 +130,9 @@
     def __init__(self, entries: int, now: Millis) -> None:
         """Know that ``entries`` entries share each limit."""
         self._entries = entries
-        self._account_by_name: dict[str, _Account] = {}
-        self._heard_at: Millis = now
-        self._heard_by_entry: dict[NodeId, dict[str, AccountUsage]] = {}
+        self._state_by_account: dict[str, _AccountState] = {}
+        self._usage_received_at: Millis = now
+        self._usage_by_entry: dict[NodeId, dict[str, AccountUsage]] = {}
 
     def admit(
         self,
@@ -142,19 +144,22 @@
         is_long: bool,
     ) -> Refusal | None:
         """Count one request, or refuse it and say when to come back."""
-        account = self._account(name, limits, now)
-        alone = self._entries > 1 and now - self._heard_at > USAGE_STALE_AFTER
+        account = self._state(name, limits, now)
+        alone = (
+            self._entries > 1
+            and now - self._usage_received_at > USAGE_STALE_AFTER
+        )
         wait = max(
-            account.requests.wait(now, alone=alone),
-            account.tokens.wait(now, alone=alone),
+            account.requests.wait(now, is_isolated=alone),
+            account.tokens.wait(now, is_isolated=alone),
         )
-        if is_long and not account.long_room(self._others_long(name)):
+        if is_long and not account.allows_long(self._others_long(name)):
             wait = max(wait, MS_PER_SECOND)
         if wait:
             return Refusal(
                 RefusalReason.ACCOUNT_LIMIT,
                 'The account is over its limit; send more slowly.',
-                max(wait, _LEAST_RETRY),
+                max(wait, _MIN_RETRY),
             )
         account.requests.spend(1, now)
         account.tokens.spend(tokens, now)
@@ -170,7 +175,7 @@
         self, name: str, unspent: int, now: Millis, *, is_long: bool
     ) -> None:
         """Note the end of an admitted request; give back unspent tokens."""
-        account = self._account_by_name.get(name)
+        account = self._state_by_account.get(name)
         if account is None:
             return
         account.tokens.spend(-unspent, now)
@@ -184,56 +189,58 @@
         """Return the usage of this entry, to be gossiped."""
         return [
             account.own._replace(account=name)
-            for name, account in self._account_by_name.items()
+            for name, account in self._state_by_account.items()
         ]
 
     def record_usage(
         self, entry_id: NodeId, usages: Iterable[AccountUsage], now: Millis
     ) -> None:
         """Count what another entry says that it admitted."""
-        self._heard_at = now
-        heard = self._heard_by_entry.get(entry_id)
+        self._usage_received_at = now
+        heard = self._usage_by_entry.get(entry_id)
         if heard is None:
             # What it admitted before this entry listened is not known.
             heard = {usage.account: usage for usage in usages}
-            self._heard_by_entry[entry_id] = heard
+            self._usage_by_entry[entry_id] = heard
         for usage in usages:
             last = heard.get(usage.account)
             if usage == last:
                 continue
             heard[usage.account] = usage
-            account = self._account_by_name.get(usage.account)
+            account = self._state_by_account.get(usage.account)
             if account is None:
                 continue
             if last is None:
                 last = AccountUsage(usage.account, 0, 0, 0)
             if last.requests <= usage.requests:
-                account.requests.hear(usage.requests - last.requests, now)
-                account.tokens.hear(usage.tokens - last.tokens, now)
+                account.requests.record_remote(
+                    usage.requests - last.requests, now
+                )
+                account.tokens.record_remote(usage.tokens - last.tokens, now)
 
     def forget_entry(self, entry_id: NodeId) -> None:
         """Drop the usage of an entry that is gone."""
-        self._heard_by_entry.pop(entry_id, None)
+        self._usage_by_entry.pop(entry_id, None)
 
     def _others_long(self, name: str) -> int:
         """Return the long prompts that the other entries run."""
         running = 0
-        for heard in self._heard_by_entry.values():
+        for heard in self._usage_by_entry.values():
             usage = heard.get(name)
             if usage is not None:
                 running += usage.long_running
         return running
 
-    def _account(
+    def _state(
         self, name: str, limits: settings_pb2.AccountSettings, now: Millis
-    ) -> _Account:
-        known = self._account_by_name.get(name)
+    ) -> _AccountState:
+        known = self._state_by_account.get(name)
         if known is not None:
             same_limits = known.limits == limits
             if same_limits and known.entries == self._entries:
                 return known
-        account = _Account(limits, self._entries, now)
+        account = _AccountState(limits, self._entries, now)
         if known is not None:
             account.own = known.own
-        self._account_by_name[name] = account
+        self._state_by_account[name] = account
         return account
--- a/verbenathread/scheduling/outliers.py
+++ b/verbenathread/scheduling/outliers.py
@@ -7,7 +7,7 @@
 # Failures in a row that put an engine aside.
 CONSECUTIVE_FAILURES = 3
 BASE_EJECTION: Millis = 2000
-_LONGEST_EJECTION: Millis = 60000
+_MAX_EJECTION: Millis = 60000
 # A probe that is not heard of for this long counts as failed.
 PROBE_TIMEOUT: Millis = 30000
 
@@ -18,8 +18,8 @@
     failures: int = 0
     ejections: int = 0
     # Nothing but a probe goes there after this time, nothing before it.
-    until: Millis | None = None
-    probe_at: Millis | None = None
+    ejected_until: Millis | None = None
+    probed_at: Millis | None = None
 
 
 _HEALTHY = _Health()
@@ -41,14 +41,14 @@
         return frozenset(
             upstream_id
             for upstream_id, health in self._health_by_id.items()
-            if _is_aside(health, now)
+            if _is_ejected(health, now)
         )
 
     def record_sent(self, upstream_id: UpstreamId, now: Millis) -> None:
         """Note an attempt; at an engine put aside it is the probe."""
         health = self._health_by_id.get(upstream_id, _HEALTHY)
-        if health.until is not None:
-            self._health_by_id[upstream_id] = health._replace(probe_at=now)
+        if health.ejected_until is not None:
+            self._health_by_id[upstream_id] = health._replace(probed_at=now)
 
     def record_success(self, upstream_id: UpstreamId) -> None:
         """Let the engine back."""
@@ -58,21 +58,21 @@
         """Count a failure; put the engine aside when there are enough."""
         health = self._health_by_id.get(upstream_id, _HEALTHY)
         failures = health.failures + 1
-        health = health._replace(failures=failures, probe_at=None)
+        health = health._replace(failures=failures, probed_at=None)
         if failures >= CONSECUTIVE_FAILURES:
             ejection = BASE_EJECTION * 2**health.ejections
             health = health._replace(
                 ejections=health.ejections + 1,
-                until=now + min(ejection, _LONGEST_EJECTION),
+                ejected_until=now + min(ejection, _MAX_EJECTION),
             )
         self._health_by_id[upstream_id] = health
 
     def eject(self, upstream_id: UpstreamId, now: Millis) -> None:
         """Put an engine aside on somebody's word, for the first time span."""
         health = self._health_by_id.get(upstream_id, _HEALTHY)
-        until = max(health.until or 0, now + BASE_EJECTION)
+        until = max(health.ejected_until or 0, now + BASE_EJECTION)
         self._health_by_id[upstream_id] = health._replace(
-            until=until, probe_at=None
+            ejected_until=until, probed_at=None
         )
 
     def forget(self, upstream_id: UpstreamId) -> None:
@@ -80,11 +80,11 @@
         self._health_by_id.pop(upstream_id, None)
 
 
-def _is_aside(health: _Health, now: Millis) -> bool:
-    if health.until is None:
+def _is_ejected(health: _Health, now: Millis) -> bool:
+    if health.ejected_until is None:
         return False
-    if now < health.until:
+    if now < health.ejected_until:
         return True
-    if health.probe_at is None:
+    if health.probed_at is None:
         return False
-    return now < health.probe_at + PROBE_TIMEOUT
+    return now < health.probed_at + PROBE_TIMEOUT
--- a/verbenathread/scheduling/prefixes.py
+++ b/verbenathread/scheduling/prefixes.py
@@ -12,7 +12,7 @@
 
 # Tokens under the first hash; each next one covers twice as many.
 BLOCK_TOKENS = 1024
-_MOST_HASHES = 11
+_MAX_HASHES = 11
 _HASH_BYTES = 8
 
 
@@ -26,14 +26,14 @@
     is_snapshot: bool = False
 
 
-class _Index(NamedTuple):
+class _CachedPrefixes(NamedTuple):
     """Hashes cached by one engine, as of an event."""
 
-    number: int
+    sequence: int
     hashes: frozenset[int]
 
 
-_UNKNOWN = _Index(0, frozenset())
+_NOTHING_CACHED = _CachedPrefixes(0, frozenset())
 
 
 class PrefixIndex:
@@ -41,7 +41,7 @@
 
     def __init__(self) -> None:
         """Know of nothing cached."""
-        self._index_by_id: dict[UpstreamId, _Index] = {}
+        self._cached_by_id: dict[UpstreamId, _CachedPrefixes] = {}
         self._holders_by_hash: dict[int, set[UpstreamId]] = {}
 
     def apply(self, upstream_id: UpstreamId, event: CacheEvent) -> bool:
@@ -49,27 +49,29 @@
 
         After a gap nothing is known of the engine until its snapshot.
         """
-        known = self._index_by_id.get(upstream_id)
+        known = self._cached_by_id.get(upstream_id)
         if event.is_snapshot:
-            if known is None or event.sequence >= known.number:
-                self._put(upstream_id, event.sequence, frozenset(event.added))
+            if known is None or event.sequence >= known.sequence:
+                self._replace(
+                    upstream_id, event.sequence, frozenset(event.added)
+                )
             return True
         if known is None:
             return False
-        if event.sequence <= known.number:
+        if event.sequence <= known.sequence:
             return True
-        if event.sequence > known.number + 1:
+        if event.sequence > known.sequence + 1:
             self.forget(upstream_id)
             return False
         hashes = (known.hashes - set(event.removed)) | set(event.added)
-        self._put(upstream_id, event.sequence, hashes)
+        self._replace(upstream_id, event.sequence, hashes)
         return True
 
     def forget(self, upstream_id: UpstreamId) -> None:
         """Drop what is known of an engine, as when it starts anew."""
-        if upstream_id in self._index_by_id:
-            self._put(upstream_id, 0, frozenset())
-            self._index_by_id.pop(upstream_id)
+        if upstream_id in self._cached_by_id:
+            self._replace(upstream_id, 0, frozenset())
+            self._cached_by_id.pop(upstream_id)
 
     def holders(self, prefix_hashes: Sequence[int]) -> list[UpstreamId]:
         """Return the engines with the longest prefix that any has cached."""
@@ -83,15 +85,15 @@
         self, upstream_id: UpstreamId, prefix_hashes: Sequence[int]
     ) -> int:
         """Return how many leading tokens the engine has cached."""
-        known = self._index_by_id.get(upstream_id)
+        known = self._cached_by_id.get(upstream_id)
         if known is None:
             return 0
         return covered_tokens(prefix_hashes, known.hashes)
 
-    def _put(
-        self, upstream_id: UpstreamId, number: int, hashes: frozenset[int]
+    def _replace(
+        self, upstream_id: UpstreamId, sequence: int, hashes: frozenset[int]
     ) -> None:
-        known = self._index_by_id.get(upstream_id, _UNKNOWN)
+        known = self._cached_by_id.get(upstream_id, _NOTHING_CACHED)
         for lost in known.hashes - hashes:
             holders = self._holders_by_hash[lost]
             holders.discard(upstream_id)
@@ -99,7 +101,7 @@
                 self._holders_by_hash.pop(lost)
         for added in hashes - known.hashes:
             self._holders_by_hash.setdefault(added, set()).add(upstream_id)
-        self._index_by_id[upstream_id] = _Index(number, hashes)
+        self._cached_by_id[upstream_id] = _CachedPrefixes(sequence, hashes)
 
 
 def covered_tokens(prefix_hashes: Sequence[int], cached: Container[int]) -> int:
@@ -116,7 +118,7 @@
     size = int(BLOCK_TOKENS * bytes_per_token)
     hasher = hashlib.blake2b(digest_size=_HASH_BYTES)
     done = 0
-    while size <= len(prompt) and len(hashes) < _MOST_HASHES:
+    while size <= len(prompt) and len(hashes) < _MAX_HASHES:
         hasher.update(prompt[done:size])
         hashes.append(int.from_bytes(hasher.digest(), 'big'))
         done = size
--- a/verbenathread/scheduling/queueing.py
+++ b/verbenathread/scheduling/queueing.py
@@ -4,57 +4,62 @@
 from typing import NamedTuple
 
 from verbenathread.scheduling.estimates import PrefillCost
-from verbenathread.scheduling.length_classes import length_class, size_level
+from verbenathread.scheduling.length_classes import length_class, priority_level
 from verbenathread.scheduling.messages import ReservationRequest
 from verbenathread.scheduling.tuning import Tuning
 from verbenathread.schema import settings_pb2
 from verbenathread.types import LengthClass, Millis
 
 
-class Waiting(NamedTuple):
+class QueuedRequest(NamedTuple):
     """One ask in the queue."""
 
-    ask: ReservationRequest
+    request: ReservationRequest
     length: LengthClass
     # Expected prefill in ms.
-    prefill: float
-    since: Millis
+    prefill_ms: float
+    queued_at: Millis
     # Lower is more urgent, here and at the engine.
     level: int = 0
     # Expected ms of generation.
-    output: float = 0
+    output_ms: float = 0
     # Virtual finish of the account's share; smaller goes first.
-    finish: float = 0
+    virtual_finish: float = 0
 
 
-def make_waiting(
-    ask: ReservationRequest,
+def make_queued_request(
+    request: ReservationRequest,
     cost: PrefillCost,
     policy: settings_pb2.PolicySettings,
     tuning: Tuning,
     now: Millis,
-) -> Waiting:
+) -> QueuedRequest:
     """Return the queue's view of an ask that arrives now."""
-    prefill = cost.prefill(ask.work.prompt_tokens)
-    if ask.group:
-        prefill /= len(ask.group)
-    length = length_class(ask.work.prompt_tokens, policy)
+    prefill = cost.prefill(request.work.prompt_tokens)
+    if request.group:
+        prefill /= len(request.group)
+    length = length_class(request.work.prompt_tokens, policy)
     level = int(length)
     if tuning.size_priority:
-        level = size_level(ask.work.prompt_tokens, policy)
+        level = priority_level(request.work.prompt_tokens, policy)
     if not tuning.class_priority:
         level = 0
-    output = cost.output(ask.work.expected_output_tokens)
-    return Waiting(ask, length, prefill, now, level, output)
+    output = cost.output(request.work.expected_output_tokens)
+    return QueuedRequest(request, length, prefill, now, level, output)
 
 
-def rank(waiting: Waiting) -> tuple[int, float, Millis, str]:
+def queue_key(queued: QueuedRequest) -> tuple[int, float, Millis, str]:
     """Return the sort key of one ask; lower goes first."""
-    level = waiting.level
-    return level, waiting.finish, waiting.since, waiting.ask.attempt_id
+    level = queued.level
+    return (
+        level,
+        queued.virtual_finish,
+        queued.queued_at,
+        queued.request.attempt_id,
+    )
 
 
-class WaitQueue:
+class RequestQueue:
     """Asks in the order in which memory goes to them.
 
     Between accounts the order is self-clocked fair queueing by weight
@@ -64,48 +69,48 @@
     def __init__(self, tuning: Tuning) -> None:
         """Start empty."""
         self._tuning = tuning
-        self._by_attempt: dict[str, Waiting] = {}
+        self._by_attempt: dict[str, QueuedRequest] = {}
         self._finish_by_account: dict[str, float] = {}
-        self._virtual: float = 0
+        self._virtual_time: float = 0
 
     def __len__(self) -> int:
         """Return how many wait."""
         return len(self._by_attempt)
 
-    def __iter__(self) -> Iterator[Waiting]:
+    def __iter__(self) -> Iterator[QueuedRequest]:
         """Go over all that wait, in the order of their arrival."""
         return iter(self._by_attempt.values())
 
-    def get(self, attempt_id: str) -> Waiting | None:
+    def get(self, attempt_id: str) -> QueuedRequest | None:
         """Return one that waits, or None."""
         return self._by_attempt.get(attempt_id)
 
-    def placed(self, waiting: Waiting) -> Waiting:
+    def with_virtual_finish(self, queued: QueuedRequest) -> QueuedRequest:
         """Return an ask with the place that it would get now."""
         if not self._tuning.fair_queueing:
-            return waiting
-        account = waiting.ask.work.account
-        start = max(self._virtual, self._finish_by_account.get(account, 0))
-        finish = start + waiting.prefill / waiting.ask.weight
-        return waiting._replace(finish=finish)
+            return queued
+        account = queued.request.work.account
+        start = max(self._virtual_time, self._finish_by_account.get(account, 0))
+        finish = start + queued.prefill_ms / queued.request.weight
+        return queued._replace(virtual_finish=finish)
 
-    def add(self, waiting: Waiting) -> None:
+    def add(self, queued: QueuedRequest) -> None:
         """Put an ask that is placed into the queue."""
-        account = waiting.ask.work.account
-        self._finish_by_account[account] = waiting.finish
-        self._by_attempt[waiting.ask.attempt_id] = waiting
+        account = queued.request.work.account
+        self._finish_by_account[account] = queued.virtual_finish
+        self._by_attempt[queued.request.attempt_id] = queued
 
-    def remove(self, attempt_id: str) -> Waiting | None:
+    def remove(self, attempt_id: str) -> QueuedRequest | None:
         """Take one out, if it waits."""
         waiting = self._by_attempt.pop(attempt_id, None)
         if not self._by_attempt:
             # Nobody competes, so no account owes anything.
             self._finish_by_account.clear()
-            self._virtual = 0
+            self._virtual_time = 0
         elif waiting is not None:
-            self._virtual = max(self._virtual, waiting.finish)
+            self._virtual_time = max(self._virtual_time, waiting.virtual_finish)
         return waiting
 
-    def ordered(self) -> list[Waiting]:
+    def ordered(self) -> list[QueuedRequest]:
         """Return all that wait, the most urgent first."""
-        return sorted(self._by_attempt.values(), key=rank)
+        return sorted(self._by_attempt.values(), key=queue_key)
--- a/verbenathread/scheduling/retries.py
+++ b/verbenathread/scheduling/retries.py
@@ -11,11 +11,11 @@
     RefusalReason,
 )
 
-_LONGEST_BACKOFF: Millis = 5000
+_MAX_BACKOFF: Millis = 5000
 # Retries that a quiet entry may make before its traffic earns more: one
 # engine's death breaks all of its streams at this entry at once.
-_LEAST_BUDGET = 10.0
-_MOST_BUDGET = 50.0
+_INITIAL_BUDGET = 10.0
+_MAX_BUDGET = 50.0
 
 
 class Retry(NamedTuple):
@@ -33,12 +33,12 @@
         """Start with a small budget; ``rng`` decides the jitter."""
         self.policy = policy
         self._rng = rng
-        self._budget = _LEAST_BUDGET
+        self._budget = _INITIAL_BUDGET
 
     def record_first_attempt(self) -> None:
         """Count a first attempt, which earns a share of a retry."""
         earned = self._budget + self.policy.retry_share
-        self._budget = min(_MOST_BUDGET, earned)
+        self._budget = min(_MAX_BUDGET, earned)
 
     def decide(
         self,
@@ -69,8 +69,8 @@
     def backoff(self, attempts: int) -> Millis:
         """Return a delay with full jitter, doubling with each attempt."""
         most = self.policy.retry_base * 2 ** (attempts - 1)
-        return self._rng.randint(0, min(most, _LONGEST_BACKOFF))
+        return self._rng.randint(0, min(most, _MAX_BACKOFF))
 
 
 def _refused(message: str) -> Refusal:
-    return Refusal(RefusalReason.RETRY_BUDGET, message, _LONGEST_BACKOFF)
+    return Refusal(RefusalReason.RETRY_BUDGET, message, _MAX_BACKOFF)
--- a/verbenathread/scheduling/router.py
+++ b/verbenathread/scheduling/router.py
@@ -21,38 +21,38 @@
 # A report tells of the engine as it was this long ago.
 REPORT_LAG: Millis = 1000
 _US_PER_MS = 1000
-_FIRST_PREFILL_US = 50000
+_DEFAULT_PREFILL_US = 50000
 _TOKENS_PER_SAMPLE = 1000
 # Expected wait for memory where the report shows too little.
-_MEMORY_WAIT: Millis = 2000
+_MEMORY_WAIT_PENALTY: Millis = 2000
 # Each running request slows the prefill of the others by this share.
-_RUNNING_SHARE = 0.008
+_SLOWDOWN_PER_RUNNING = 0.008
 # A more urgent prompt waits for the end of a chunk of one that runs.
 _CHUNK_WAIT: Millis = 15
 _LONG = LengthClass.LONG
 # Engines drawn among those that have the prompt's beginning cached.
-_HOLDERS = 2
+_MAX_CACHE_HOLDERS = 2
 
 
-class _Sent(NamedTuple):
+class _UnreportedSend(NamedTuple):
     """One send of this entry that no report shows yet."""
 
     request_id: str
-    at: Millis
+    sent_at: Millis
     length: LengthClass
-    prefill: float
+    prefill_ms: float
     memory_tokens: int
 
 
-class _Seen(NamedTuple):
+class _EngineState(NamedTuple):
     """What this entry knows of one engine."""
 
     report: EngineReport | None
-    noted_at: Millis
-    sent: tuple[_Sent, ...]
+    received_at: Millis
+    sends: tuple[_UnreportedSend, ...]
 
 
-_UNSEEN = _Seen(None, 0, ())
+_UNKNOWN_STATE = _EngineState(None, 0, ())
 
 
 class Router:
@@ -75,7 +75,7 @@
         self._rng = rng
         self._tuning = tuning
         self._prefixes = prefixes or PrefixIndex()
-        self._seen_by_id: dict[UpstreamId, _Seen] = {}
+        self._state_by_id: dict[UpstreamId, _EngineState] = {}
 
     def choose(
         self,
@@ -100,42 +100,46 @@
             if record.upstream_id not in failed
         ]
         scored = [
-            (self._expected(work, record, now), record.upstream_id)
+            (self._expected_wait(work, record, now), record.upstream_id)
             for record in sample
         ]
         return [upstream_id for _, upstream_id in sorted(scored)]
 
     def record_report(self, report: EngineReport, now: Millis) -> None:
         """Take a load report; an older one than the last is ignored."""
-        seen = self._seen_by_id.get(report.upstream_id, _UNSEEN)
-        fresh = tuple(sent for sent in seen.sent if sent.at > now - REPORT_LAG)
-        self._seen_by_id[report.upstream_id] = _Seen(report, now, fresh)
+        seen = self._state_by_id.get(report.upstream_id, _UNKNOWN_STATE)
+        fresh = tuple(
+            sent for sent in seen.sends if sent.sent_at > now - REPORT_LAG
+        )
+        self._state_by_id[report.upstream_id] = _EngineState(report, now, fresh)
 
     def record_sent(
         self, upstream_id: UpstreamId, work: Work, now: Millis
     ) -> None:
         """Count a send that no report shows yet."""
-        seen = self._seen_by_id.get(upstream_id, _UNSEEN)
-        sent = _Sent(
+        seen = self._state_by_id.get(upstream_id, _UNKNOWN_STATE)
+        sent = _UnreportedSend(
             work.request_id,
             now,
             length_class(work.prompt_tokens, self.policy),
             self._prefill(seen, work.prompt_tokens),
             work.prompt_tokens + work.most_output_tokens,
         )
-        self._seen_by_id[upstream_id] = seen._replace(sent=(*seen.sent, sent))
+        self._state_by_id[upstream_id] = seen._replace(
+            sends=(*seen.sends, sent)
+        )
 
     def record_done(self, upstream_id: UpstreamId, work: Work) -> None:
         """Stop counting a send that has ended or never went out."""
-        seen = self._seen_by_id.get(upstream_id, _UNSEEN)
+        seen = self._state_by_id.get(upstream_id, _UNKNOWN_STATE)
         rest = tuple(
-            sent for sent in seen.sent if sent.request_id != work.request_id
+            sent for sent in seen.sends if sent.request_id != work.request_id
         )
-        self._seen_by_id[upstream_id] = seen._replace(sent=rest)
+        self._state_by_id[upstream_id] = seen._replace(sends=rest)
 
     def forget(self, upstream_id: UpstreamId) -> None:
         """Drop what is known of an engine that is gone."""
-        self._seen_by_id.pop(upstream_id, None)
+        self._state_by_id.pop(upstream_id, None)
 
     def _sample(
         self, records: Sequence[UpstreamRecord], wanted: int
@@ -145,11 +149,11 @@
         drawn = self._rng.sample(range(len(records)), count)
         return [records[position] for position in drawn]
 
-    def _expected(
+    def _expected_wait(
         self, work: Work, record: UpstreamRecord, now: Millis
     ) -> float:
         """Return expected ms before the first token."""
-        seen = self._seen_by_id.get(record.upstream_id, _UNSEEN)
+        seen = self._state_by_id.get(record.upstream_id, _UNKNOWN_STATE)
         length = length_class(work.prompt_tokens, self.policy)
         prefill = self._prefill(seen, work.prompt_tokens)
         cached = self._cached(work, record)
@@ -158,17 +162,17 @@
         if seen.report is not None:
             free = seen.report.free_tokens
             backlog = sum(seen.report.backlog_by_class[: length + 1])
-            wait += max(0, backlog - (now - seen.noted_at))
-            wait += seen.report.running * _RUNNING_SHARE * prefill
+            wait += max(0, backlog - (now - seen.received_at))
+            wait += seen.report.running * _SLOWDOWN_PER_RUNNING * prefill
             if sum(seen.report.backlog_by_class[length + 1 :]) > 0:
                 wait += _CHUNK_WAIT
-        for sent in seen.sent:
+        for sent in seen.sends:
             free -= sent.memory_tokens
             if sent.length <= length:
-                wait += max(0, sent.prefill - (now - sent.at))
+                wait += max(0, sent.prefill_ms - (now - sent.sent_at))
         needed = work.prompt_tokens + work.most_output_tokens
         if needed > free:
-            wait += _MEMORY_WAIT * (needed - free) / needed
+            wait += _MEMORY_WAIT_PENALTY * (needed - free) / needed
         return wait + prefill - self._prefill(seen, cached)
 
     def _cached(self, work: Work, record: UpstreamRecord) -> int:
@@ -193,7 +197,7 @@
         if not self._has_affinity(work):
             return sample
         holders = self._prefixes.holders(work.prefix_hashes)
-        drawn = self._rng.sample(holders, min(_HOLDERS, len(holders)))
+        drawn = self._rng.sample(holders, min(_MAX_CACHE_HOLDERS, len(holders)))
         known = {record.upstream_id for record in sample}
         for upstream_id in drawn:
             place = bisect.bisect_left(records, upstream_id, key=_upstream_id)
@@ -203,10 +207,10 @@
                 sample.append(records[place])
         return sample
 
-    def _prefill(self, seen: _Seen, tokens: int) -> float:
-        sample_us = _FIRST_PREFILL_US
-        if seen.report is not None:
-            sample_us = seen.report.prefill_us
+    def _prefill(self, state: _EngineState, tokens: int) -> float:
+        sample_us = _DEFAULT_PREFILL_US
+        if state.report is not None:
+            sample_us = state.report.prefill_us
         return tokens * sample_us / _TOKENS_PER_SAMPLE / _US_PER_MS
 
 
--- a/verbenathread/scheduling/tuning.py
+++ b/verbenathread/scheduling/tuning.py
@@ -41,8 +41,8 @@
 
 # The first policy that ran; replays keep it as a baseline.
 PREVIOUS = Tuning()
-_PATIENCE: Millis = 50
-_LOOK_AGAIN = 1.5
+_WAIT_THRESHOLD: Millis = 50
+_REROUTE_FACTOR = 1.5
 _SHORT_WINDOW: Millis = 100
 _MIDDLE_WINDOW: Millis = 300
 CURRENT = PREVIOUS._replace(
@@ -50,8 +50,8 @@
     middle_window=_MIDDLE_WINDOW,
     size_priority=True,
     fair_queueing=True,
-    wait_threshold=_PATIENCE,
+    wait_threshold=_WAIT_THRESHOLD,
     backfill=True,
-    reroute_factor=_LOOK_AGAIN,
+    reroute_factor=_REROUTE_FACTOR,
     slow_memory_release=True,
 )
--- a/verbenathread/scheduling/weight_loads.py
+++ b/verbenathread/scheduling/weight_loads.py
@@ -61,10 +61,10 @@
         self, demand_by_model: dict[str, ModelDemand], now: Millis
     ) -> list[WeightLoad]:
         """Return the loads to order now, the most needed first."""
-        self._give_up(now)
+        self._requeue_expired(now)
         begun: list[WeightLoad] = []
         while len(self._started_at_by_load) < self.limit:
-            best = self._most_needed(demand_by_model)
+            best = self._neediest(demand_by_model)
             if best is None:
                 break
             self._waiting_by_id.pop(best.upstream_id)
@@ -72,20 +72,20 @@
             begun.append(best)
         return begun
 
-    def _give_up(self, now: Millis) -> None:
+    def _requeue_expired(self, now: Millis) -> None:
         for load, started_at in tuple(self._started_at_by_load.items()):
             if now - started_at > LOAD_TIMEOUT:
                 self.finish(load)
                 self.enqueue(load)
 
-    def _most_needed(
-        self, need_by_model: dict[str, ModelDemand]
+    def _neediest(
+        self, demand_by_model: dict[str, ModelDemand]
     ) -> WeightLoad | None:
         loading = [load.model for load in self._started_at_by_load]
         best: WeightLoad | None = None
         best_rank = (-1.0, -1.0)
         for load in self._waiting_by_id.values():
-            need = need_by_model.get(load.model, ModelDemand(0, 0))
+            need = demand_by_model.get(load.model, ModelDemand(0, 0))
             engines = need.engines + loading.count(load.model)
             # A model that nobody serves goes before any that is served.
             rank = (float(not engines), need.demand / max(1, engines))
