--- a/tests/test_scheduling_choice.py
+++ b/tests/test_scheduling_choice.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of engines, cached prefixes, estimates and weights."""
+"""Tests of engine choice, cached prefixes, estimates and weight loads."""
 
 import random
 import unittest
@@ -48,7 +48,7 @@
         self.assertEqual(len(chosen), 20)
         self.assertLessEqual(max(chosen.values()), 18)
 
-    def test_looks_at_as_many_engines_of_any_fleet(self):
+    def test_sample_size_is_independent_of_the_fleet(self):
         sampled_count = set()
         for engines in (20, 200, 4000):
             records = engine_records(TILLERY._replace(engines=engines))
@@ -58,12 +58,13 @@
         self.assertEqual(len(sampled_count), 1)
 
     def test_one_known_rate_does_not_draw_every_prompt(self):
-        # One engine was used and is faster than the first guess, which the
-        # others still report; they may be as fast. Nothing else runs.
+        # One engine has measured a prefill time below the initial estimate,
+        # which the unused engines still report. They may be as fast, so they
+        # must get prompts too. All engines are otherwise idle.
         records = engine_records(TILLERY._replace(engines=4))
         router = make_router(1)
         for record in records:
-            is_known = record.upstream_id == 'e0002'
+            is_measured = record.upstream_id == 'e0002'
             report = EngineReport(
                 upstream_id=record.upstream_id,
                 sequence=1,
@@ -71,9 +72,9 @@
                 free_tokens=record.memory_tokens,
                 running=0,
                 queued=0,
-                backlog_by_class=(5, 0, 0) if is_known else (0, 0, 0),
+                backlog_by_class=(5, 0, 0) if is_measured else (0, 0, 0),
                 granted_by_class=(0, 0, 0),
-                prefill_us=5000 if is_known else 50000,
+                prefill_us=5000 if is_measured else 50000,
                 output_us=2000,
             )
             router.record_report(report, 0)
@@ -84,28 +85,28 @@
             chosen[first] += 1
         self.assertLess(chosen['e0002'], 20)
 
-    def test_passes_over_failed_engines(self):
+    def test_leaves_out_failed_engines(self):
         records = engine_records(TILLERY._replace(engines=3))
         router = make_router(1)
-        left = router.choose(
+        chosen = router.choose(
             make_work('r', 3000), records, 0, {'e0000', 'e0002'}
         )
-        self.assertEqual(left, ['e0001'])
-
-    def test_walk_waits_where_the_wait_is_least(self):
-        walk = CandidateIterator(('a', 'b', 'c'), 50)
-        self.assertEqual(walk.next(), 'a')
-        self.assertFalse(walk.accepts_wait('a', 900))
-        self.assertEqual(walk.next(), 'b')
-        self.assertFalse(walk.accepts_wait('b', 300))
+        self.assertEqual(chosen, ['e0001'])
+
+    def test_iterator_ends_at_the_shortest_wait(self):
+        candidates = CandidateIterator(('a', 'b', 'c'), 50)
+        self.assertEqual(candidates.next(), 'a')
+        self.assertFalse(candidates.accepts_wait('a', 900))
+        self.assertEqual(candidates.next(), 'b')
+        self.assertFalse(candidates.accepts_wait('b', 300))
         # c refuses.
-        self.assertEqual(walk.next(), 'c')
-        self.assertEqual(walk.next(), 'b')
-        self.assertTrue(walk.accepts_wait('b', 300))
+        self.assertEqual(candidates.next(), 'c')
+        self.assertEqual(candidates.next(), 'b')
+        self.assertTrue(candidates.accepts_wait('b', 300))
         self.assertIsNone(CandidateIterator((), 50).next())
 
-    def test_when_to_look_again(self):
-        # Prompt tokens, expected wait and the delay; None stays for good.
+    def test_reroute_delay(self):
+        # Prompt tokens, expected wait and delay; None is never rerouted.
         cases = (
             (3000, 100, 500),
             (30000, 2000, 3000),
@@ -126,8 +127,8 @@
         cases = {
             'in order': ([first, CacheEvent(2, (13,))], 4096, True),
             'removed': ([first, CacheEvent(2, (), (12,))], 1024, True),
-            'a gap drops all': ([first, CacheEvent(3, (13,))], 0, False),
-            'an old one is ignored': (
+            'a gap removes all': ([first, CacheEvent(3, (13,))], 0, False),
+            'an old event is ignored': (
                 [first, CacheEvent(1, (13,))],
                 2048,
                 True,
@@ -139,16 +140,16 @@
                 True,
             ),
         }
-        for name, (events, tokens, is_known) in cases.items():
+        for name, (events, tokens, is_applied) in cases.items():
             with self.subTest(name):
                 index = PrefixIndex()
                 answers = [index.apply('e1', event) for event in events]
-                self.assertEqual(answers[-1], is_known)
+                self.assertEqual(answers[-1], is_applied)
                 self.assertEqual(
                     index.cached_tokens('e1', (11, 12, 13)), tokens
                 )
 
-    def test_equal_beginnings_share_their_hashes(self):
+    def test_equal_prefixes_have_equal_hashes(self):
         one = hash_prefixes(b'a' * 4096 + b'b' * 4096, 4)
         other = hash_prefixes(b'a' * 4096 + b'c' * 4096, 4)
         self.assertEqual(one[0], other[0])
@@ -156,7 +157,7 @@
 
 
 class EstimateTest(unittest.TestCase):
-    def test_prefill_cost_finds_both_coefficients(self):
+    def test_prefill_cost_fits_both_coefficients(self):
         cost = PrefillCost()
         rng = random.Random(1)
         for _ in range(600):
@@ -169,7 +170,7 @@
                 cost.prefill(tokens) / expected, 1, delta=0.1
             )
 
-    def test_output_follows_the_account_and_a_shift(self):
+    def test_output_follows_a_change_of_the_account(self):
         outputs = OutputEstimator()
         rng = random.Random(1)
         for mean in (100, 800):
@@ -188,26 +189,26 @@
         self.assertAlmostEqual(tokens.tokens('s', 3000, 4), 1000, delta=20)
 
 
-class WeightTest(unittest.TestCase):
-    def test_a_restart_storm_loads_what_is_needed_first(self):
+class WeightLoadTest(unittest.TestCase):
+    def test_mass_restart_starts_the_most_needed_loads(self):
         queue = WeightLoadQueue(2)
         need = {'big': ModelDemand(90, 0), 'small': ModelDemand(10, 0)}
         for number in range(10):
             model = 'small' if number == 9 else 'big'
             queue.enqueue(WeightLoad(f'e{number}', model))
-        begun = queue.start(need, 0)
+        started = queue.start(need, 0)
         # Each model gets its first engine before any gets its second.
-        self.assertEqual([load.model for load in begun], ['big', 'small'])
+        self.assertEqual([load.model for load in started], ['big', 'small'])
         self.assertEqual(queue.start(need, 0), [])
-        queue.finish(begun[0])
+        queue.finish(started[0])
         self.assertEqual(len(queue.start(need, 0)), 1)
 
-    def test_a_lost_load_is_queued_again(self):
+    def test_an_expired_load_is_queued_again(self):
         queue = WeightLoadQueue(1)
-        lost = WeightLoad('e1', 'm')
-        queue.enqueue(lost)
-        self.assertEqual(queue.start({}, 0), [lost])
+        expired = WeightLoad('e1', 'm')
+        queue.enqueue(expired)
+        self.assertEqual(queue.start({}, 0), [expired])
         self.assertEqual(queue.start({}, LOAD_TIMEOUT), [])
-        self.assertEqual(queue.start({}, LOAD_TIMEOUT + 1), [lost])
+        self.assertEqual(queue.start({}, LOAD_TIMEOUT + 1), [expired])
         queue.forget('e1')
         self.assertEqual(queue.start({}, 3 * LOAD_TIMEOUT), [])
--- a/tests/test_scheduling_failures.py
+++ b/tests/test_scheduling_failures.py
@@ -1,4 +1,4 @@
-"""Tests of retries and outliers: an outage must not multiply load."""
+"""Tests of retries and ejection: an outage must not multiply load."""
 
 import random
 import unittest
@@ -35,7 +35,7 @@
             attempts += made
         self.assertLessEqual(attempts, requests * (1 + policy.retry_share) + 50)
 
-    def test_what_may_be_tried_again(self):
+    def test_what_may_be_retried(self):
         cases = {
             'unknown, repeatable': (Outcome.UNKNOWN, True, 1, 0, True),
             'unknown, not repeatable': (Outcome.UNKNOWN, False, 1, 0, False),
@@ -74,7 +74,7 @@
             self.assertEqual(self.tracker.ejected(0), frozenset())
             self.tracker.record_failure('e1', 0)
 
-    def test_one_probe_at_a_time_lets_it_back(self):
+    def test_one_successful_probe_ends_the_ejection(self):
         self.assertEqual(self.tracker.ejected(1), {'e1'})
         now = BASE_EJECTION
         self.assertEqual(self.tracker.ejected(now), frozenset())
@@ -83,14 +83,14 @@
         self.tracker.record_success('e1')
         self.assertEqual(self.tracker.ejected(now), frozenset())
 
-    def test_a_failed_probe_doubles_the_time(self):
+    def test_a_failed_probe_doubles_the_ejection(self):
         self.tracker.record_sent('e1', BASE_EJECTION)
         self.tracker.record_failure('e1', BASE_EJECTION)
         late = BASE_EJECTION + 2 * BASE_EJECTION
         self.assertEqual(self.tracker.ejected(late - 1), {'e1'})
         self.assertEqual(self.tracker.ejected(late), frozenset())
 
-    def test_a_lost_probe_does_not_shut_it_out_for_good(self):
+    def test_a_lost_probe_times_out(self):
         self.tracker.record_sent('e1', BASE_EJECTION)
         late = BASE_EJECTION + PROBE_TIMEOUT
         self.assertEqual(self.tracker.ejected(late), frozenset())
--- a/tests/test_scheduling_ledger.py
+++ b/tests/test_scheduling_ledger.py
@@ -1,4 +1,4 @@
-"""Tests of the ledger: memory, deadlines, order, takeover."""
+"""Tests of the ledger: memory, refusals, queue order, takeover."""
 
 import unittest
 
@@ -17,16 +17,16 @@
 from verbenathread.types import Refusal, RefusalReason, Reservation, Work
 
 _MEMORY = 10000
-_FAR = 600000
+_FAR_DEADLINE = 600000
 
 
-def make_work(name, tokens, *, deadline=_FAR, arrival=0, output=100):
+def make_work(name, tokens, *, deadline=_FAR_DEADLINE, arrival=0, output=100):
     return Work(
         name, 'county', 'draft', tokens, output, output, deadline, arrival
     )
 
 
-def make_ask(name, tokens, **parts):
+def make_request(name, tokens, **parts):
     memory = parts.pop('memory', tokens + 100)
     entry_id = parts.pop('entry_id', 'n1')
     work = make_work(name, tokens, **parts)
@@ -40,15 +40,15 @@
     return EngineLedger('e1', memory, rules, clock or ManualClock(), tuning)
 
 
-class Caller:
-    """An entry that asks, starts and releases in any order."""
+class RandomEntry:
+    """An entry that requests, starts and releases in any order."""
 
     def __init__(self):
         self.clock = ManualClock()
         self.ledger = make_ledger(self.clock)
 
-    def ask(self, name, tokens):
-        self.ledger.reserve(make_ask(name, tokens))
+    def reserve(self, name, tokens):
+        self.ledger.reserve(make_request(name, tokens))
 
     def cancel(self, name, tokens):
         self.ledger.cancel(name)
@@ -70,8 +70,8 @@
         self.ledger.release(f'e1/{name}', 10)
 
 
-# Asks and starts come often, so that memory is short most of the time.
-_ACTIONS = ('ask', 'ask', 'ask', 'start', 'start', 'progress') + (
+# Requests and starts are frequent, so that memory is scarce most of the time.
+_ACTIONS = ('reserve', 'reserve', 'reserve', 'start', 'start', 'progress') + (
     'release',
     'cancel',
     'wait',
@@ -89,11 +89,11 @@
 class MemoryTest(unittest.TestCase):
     @settings(derandomize=True, max_examples=200, deadline=None)
     @given(_STEPS)
-    def test_promises_memory_once_in_any_order(self, steps):
-        caller = Caller()
-        ledger = caller.ledger
+    def test_grants_memory_once_in_any_order(self, steps):
+        entry = RandomEntry()
+        ledger = entry.ledger
         for action, number, tokens in steps:
-            getattr(caller, action)(f'r{number}', tokens)
+            getattr(entry, action)(f'r{number}', tokens)
             ledger.take_grants()
             self.assertGreaterEqual(ledger.free_tokens, 0)
             self.assertLessEqual(ledger.free_tokens, _MEMORY)
@@ -102,26 +102,28 @@
             ledger.release(f'e1/r{number}', 0)
         self.assertEqual(ledger.free_tokens, _MEMORY)
 
-    def test_takes_back_what_did_not_start_in_time(self):
+    def test_frees_grants_that_did_not_start_in_time(self):
         clock = ManualClock()
         ledger = make_ledger(clock)
-        self.assertIsInstance(ledger.reserve(make_ask('a', 8000)), Reservation)
-        self.assertIsInstance(ledger.reserve(make_ask('b', 8000)), Queued)
+        self.assertIsInstance(
+            ledger.reserve(make_request('a', 8000)), Reservation
+        )
+        self.assertIsInstance(ledger.reserve(make_request('b', 8000)), Queued)
         clock.advance(START_TIMEOUT + 1)
         self.assertEqual(
-            [one.attempt_id for one in ledger.take_grants()], ['b']
+            [grant.attempt_id for grant in ledger.take_grants()], ['b']
         )
 
-    def test_a_resent_ask_holds_once(self):
+    def test_a_resent_request_is_granted_once(self):
         ledger = make_ledger()
-        first = ledger.reserve(make_ask('a', 4000))
-        self.assertEqual(ledger.reserve(make_ask('a', 4000)), first)
+        first = ledger.reserve(make_request('a', 4000))
+        self.assertEqual(ledger.reserve(make_request('a', 4000)), first)
         self.assertEqual(ledger.free_tokens, _MEMORY - 4100)
 
-    def test_a_cancelled_grant_is_not_handed_out(self):
+    def test_a_cancelled_grant_is_not_returned(self):
         ledger = make_ledger()
-        ledger.reserve(make_ask('a', 8000))
-        ledger.reserve(make_ask('b', 8000))
+        ledger.reserve(make_request('a', 8000))
+        ledger.reserve(make_request('b', 8000))
         ledger.release('e1/a', 0)
         ledger.cancel('b')
         self.assertEqual(ledger.take_grants(), [])
@@ -130,20 +132,20 @@
     def test_takeover_counts_what_the_engine_holds(self):
         ledger = make_ledger()
         ledger.restore([EngineHold('old', 8000, 7000, 5, 'n2')])
-        self.assertIsInstance(ledger.reserve(make_ask('a', 4000)), Queued)
+        self.assertIsInstance(ledger.reserve(make_request('a', 4000)), Queued)
         ledger.release('e1/old', 9)
         self.assertEqual(
-            [one.attempt_id for one in ledger.take_grants()], ['a']
+            [grant.attempt_id for grant in ledger.take_grants()], ['a']
         )
 
-    def test_an_entry_that_is_gone_leaves_only_what_runs(self):
+    def test_drop_entry_keeps_only_started_holds(self):
         ledger = make_ledger()
-        ledger.reserve(make_ask('runs', 3000, entry_id='gone'))
-        ledger.reserve(make_ask('granted', 3000, entry_id='gone'))
-        ledger.reserve(make_ask('waits', 8000, entry_id='gone'))
+        ledger.reserve(make_request('runs', 3000, entry_id='gone'))
+        ledger.reserve(make_request('granted', 3000, entry_id='gone'))
+        ledger.reserve(make_request('waits', 8000, entry_id='gone'))
         ledger.mark_started('e1/runs')
         left = ledger.drop_entry('gone')
-        self.assertEqual([one.attempt_id for one in left], ['runs'])
+        self.assertEqual([grant.attempt_id for grant in left], ['runs'])
         self.assertEqual(ledger.free_tokens, _MEMORY - 3100)
         self.assertEqual(ledger.take_grants(), [])
 
@@ -153,15 +155,20 @@
         cases = {
             'its own prefill': (None, 8000, 100, RefusalReason.DEADLINE),
             'the wait before it': (9000, 8000, 800, RefusalReason.DEADLINE),
-            'more than the engine': (None, 10500, _FAR, RefusalReason.TOO_LONG),
+            'more than the engine': (
+                None,
+                10500,
+                _FAR_DEADLINE,
+                RefusalReason.TOO_LONG,
+            ),
         }
         for name, (before, tokens, deadline, reason) in cases.items():
             with self.subTest(name):
                 ledger = make_ledger()
                 if before:
-                    ledger.reserve(make_ask('before', before - 200))
+                    ledger.reserve(make_request('before', before - 200))
                 answer = ledger.reserve(
-                    make_ask('late', tokens, deadline=deadline)
+                    make_request('late', tokens, deadline=deadline)
                 )
                 self.assertIsInstance(answer, Refusal)
                 self.assertEqual(answer.reason, reason)
@@ -173,8 +180,8 @@
         for backlog in (1, 3):
             ledger = make_ledger(memory=400000)
             for number in range(backlog):
-                ledger.reserve(make_ask(f'b{number}', 300000))
-            late = ledger.reserve(make_ask('late', 300000, deadline=20000))
+                ledger.reserve(make_request(f'b{number}', 300000))
+            late = ledger.reserve(make_request('late', 300000, deadline=20000))
             self.assertIsInstance(late, Refusal)
             waits.append(late.retry_after)
         self.assertGreater(waits[1], waits[0])
@@ -182,29 +189,30 @@
     def test_the_queue_is_bounded(self):
         ledger = make_ledger(queue_limit=2)
         answers = [
-            ledger.reserve(make_ask(f'r{number}', 8000)) for number in range(4)
+            ledger.reserve(make_request(f'r{number}', 8000))
+            for number in range(4)
         ]
         self.assertIsInstance(answers[2], Queued)
         self.assertIsInstance(answers[3], Refusal)
         self.assertEqual(answers[3].reason, RefusalReason.OVERLOADED)
 
-    def test_work_admitted_before_is_not_refused(self):
+    def test_admitted_work_is_not_refused(self):
         ledger = make_ledger(queue_limit=1)
-        ledger.reserve(make_ask('a', 8000))
-        ledger.reserve(make_ask('b', 8000))
-        again = make_ask('c', 8000, deadline=10)._replace(admitted=True)
+        ledger.reserve(make_request('a', 8000))
+        ledger.reserve(make_request('b', 8000))
+        again = make_request('c', 8000, deadline=10)._replace(admitted=True)
         self.assertIsInstance(ledger.reserve(again), Queued)
 
 
 class OrderTest(unittest.TestCase):
     def run_stream(self, tuning):
-        """Keep middle prompts coming; return when the long one begins."""
+        """Send middle prompts steadily; return when the long one starts."""
         clock = ManualClock()
         ledger = make_ledger(clock, memory=400000, tuning=tuning)
         for number in range(4):
-            ledger.reserve(make_ask(f'm{number}', 90000))
+            ledger.reserve(make_request(f'm{number}', 90000))
             ledger.mark_started(f'e1/m{number}')
-        ledger.reserve(make_ask('long', 300000, deadline=10**9))
+        ledger.reserve(make_request('long', 300000, deadline=10**9))
         running = [f'm{number}' for number in range(4)]
         for turn in range(100):
             clock.advance(3000)
@@ -212,9 +220,11 @@
             ledger.record_progress(f'e1/{ended}', 1)
             ledger.release(f'e1/{ended}', 100)
             answer = ledger.reserve(
-                make_ask(f'n{turn}', 90000, deadline=10**9, arrival=clock.now())
+                make_request(
+                    f'n{turn}', 90000, deadline=10**9, arrival=clock.now()
+                )
             )
-            granted = [one.attempt_id for one in ledger.take_grants()]
+            granted = [grant.attempt_id for grant in ledger.take_grants()]
             if isinstance(answer, Reservation):
                 granted.append(f'n{turn}')
             if 'long' in granted:
@@ -226,36 +236,38 @@
                 self.fail('Nothing runs.')
         return None
 
-    def test_a_long_prompt_is_not_passed_for_ever(self):
-        begun = self.run_stream(CURRENT)
-        self.assertIsNotNone(begun)
-        self.assertLessEqual(begun, 6)
+    def test_a_long_prompt_is_not_overtaken_forever(self):
+        started = self.run_stream(CURRENT)
+        self.assertIsNotNone(started)
+        self.assertLessEqual(started, 6)
 
-    def test_headroom_is_for_short_prompts(self):
+    def test_headroom_is_reserved_for_short_prompts(self):
         ledger = make_ledger()
-        ledger.reserve(make_ask('a', 4500))
+        ledger.reserve(make_request('a', 4500))
         # 5,400 tokens are free, of which 1,000 are for short prompts.
-        self.assertIsInstance(ledger.reserve(make_ask('m', 4400)), Queued)
-        self.assertIsInstance(ledger.reserve(make_ask('s', 4000)), Reservation)
+        self.assertIsInstance(ledger.reserve(make_request('m', 4400)), Queued)
+        self.assertIsInstance(
+            ledger.reserve(make_request('s', 4000)), Reservation
+        )
 
-    def test_shorter_goes_first_when_memory_comes_back(self):
+    def test_shorter_goes_first_when_memory_is_freed(self):
         for name, tuning in (('current', CURRENT), ('previous', PREVIOUS)):
             with self.subTest(name):
                 ledger = make_ledger(memory=20000, tuning=tuning)
-                ledger.reserve(make_ask('a', 17000))
-                ledger.reserve(make_ask('middle', 9000))
-                ledger.reserve(make_ask('short', 4000))
+                ledger.reserve(make_request('a', 17000))
+                ledger.reserve(make_request('middle', 9000))
+                ledger.reserve(make_request('short', 4000))
                 ledger.release('e1/a', 10)
-                order = [one.attempt_id for one in ledger.take_grants()]
+                order = [grant.attempt_id for grant in ledger.take_grants()]
                 self.assertEqual(order, ['short', 'middle'])
 
     def test_accounts_share_by_weight(self):
         tuning = PREVIOUS._replace(fair_queueing=True)
         ledger = make_ledger(tuning=tuning, memory=4000)
-        ledger.reserve(make_ask('runs', 3000))
+        ledger.reserve(make_request('runs', 3000))
         for number in range(6):
-            ledger.reserve(make_ask(f'flood{number}', 3000))
-        other = make_ask('other', 3000)
+            ledger.reserve(make_request(f'flood{number}', 3000))
+        other = make_request('other', 3000)
         work = other.work._replace(account='quiet')
         ledger.reserve(other._replace(work=work))
         order = []
--- a/tests/test_scheduling_limits.py
+++ b/tests/test_scheduling_limits.py
@@ -1,4 +1,4 @@
-"""Tests of limits per account: the stated overshoot, silence, long ones."""
+"""Tests of the account limits: overshoot, lost usage, long prompts."""
 
 import unittest
 
@@ -26,20 +26,20 @@
     return settings_pb2.AccountSettings(**parts)
 
 
-def flood(limits, duration, *, entries, hears, is_long=False):
-    """Send far over the limit; return what was admitted in the end."""
+def flood(limits, duration, *, entries, exchange_usage, is_long=False):
+    """Send far more than the limit; return the number admitted."""
     limiters = [AccountLimiter(_ENTRIES, 0) for _ in range(_ENTRIES)]
     admitted = 0
-    on_the_way = []
+    in_flight = []
     for now in range(0, duration, 10):
         for limiter in limiters[:entries]:
             refusal = limiter.admit('a', limits, 1, now, is_long=is_long)
             admitted += refusal is None
         if now % 1000:
             continue
-        on_the_way.append([limiter.usage() for limiter in limiters])
-        if hears and len(on_the_way) * 1000 > _LAG:
-            deliver(limiters, on_the_way.pop(0), now)
+        in_flight.append([limiter.usage() for limiter in limiters])
+        if exchange_usage and len(in_flight) * 1000 > _LAG:
+            deliver(limiters, in_flight.pop(0), now)
     return admitted
 
 
@@ -57,35 +57,47 @@
                 with self.subTest(entries=entries, seconds=seconds):
                     window = seconds * 1000
                     admitted = flood(
-                        make_limits(), window, entries=entries, hears=True
+                        make_limits(),
+                        window,
+                        entries=entries,
+                        exchange_usage=True,
                     )
-                    # Usage is sent each second and is then 2 s on its way.
+                    # Usage is sent every second and takes 2 s to arrive.
                     lag = _LAG + 1000
                     extra = BURST + LOCAL_SHARE_FACTOR * (BURST + lag)
                     most = _RATE * (window + extra) / 1000 + _ENTRIES
                     self.assertLessEqual(admitted, most)
 
-    def test_debt_brings_the_rate_back_to_the_limit(self):
-        long = flood(make_limits(), 330000, entries=9, hears=True)
-        short = flood(make_limits(), 30000, entries=9, hears=True)
+    def test_debt_keeps_the_long_term_rate_at_the_limit(self):
+        long = flood(make_limits(), 330000, entries=9, exchange_usage=True)
+        short = flood(make_limits(), 30000, entries=9, exchange_usage=True)
         self.assertLessEqual(long - short, _RATE * 300 * 1.03)
         self.assertGreaterEqual(long - short, _RATE * 300 * 0.9)
 
-    def test_an_entry_that_hears_nothing_keeps_its_share(self):
-        early = flood(make_limits(), USAGE_STALE_AFTER, entries=9, hears=False)
+    def test_an_entry_without_remote_usage_keeps_its_share(self):
+        early = flood(
+            make_limits(), USAGE_STALE_AFTER, entries=9, exchange_usage=False
+        )
         late = flood(
-            make_limits(), USAGE_STALE_AFTER + 60000, entries=9, hears=False
+            make_limits(),
+            USAGE_STALE_AFTER + 60000,
+            entries=9,
+            exchange_usage=False,
         )
         self.assertLessEqual(late - early, _RATE * 60 * 1.05)
 
     def test_long_prompts_in_progress_are_bounded(self):
         admitted = flood(
-            make_limits(), 20000, entries=_ENTRIES, hears=True, is_long=True
+            make_limits(),
+            20000,
+            entries=_ENTRIES,
+            exchange_usage=True,
+            is_long=True,
         )
         own_most = -(-8 * LOCAL_SHARE_FACTOR // _ENTRIES)
         self.assertLessEqual(admitted, own_most * _ENTRIES)
 
-    def test_refusal_says_when_to_come_back(self):
+    def test_retry_after_is_long_enough(self):
         limiter = AccountLimiter(1, 0)
         limits = make_limits(requests_per_second=1)
         answers = [
@@ -98,7 +110,7 @@
         )
         self.assertIsNone(again)
 
-    def test_unspent_tokens_and_long_places_come_back(self):
+    def test_finish_returns_unspent_tokens_and_long_slots(self):
         limiter = AccountLimiter(1, 0)
         limits = make_limits(tokens_per_second=10, long_prompts=1)
         limiter.admit('a', limits, 100, 0, is_long=True)
--- a/verbenathread/scheduling/__init__.py
+++ b/verbenathread/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions under load: admission, queues, engines, limits, retries."""
+"""Request scheduling: admission, queueing, engine choice, limits, retries."""
--- a/verbenathread/scheduling/admission.py
+++ b/verbenathread/scheduling/admission.py
@@ -1,4 +1,4 @@
-"""Admission at one entry: the first answer that a request gets."""
+"""Admission control at one entry, before a request reaches any engine."""
 
 from collections.abc import Sequence
 
@@ -20,15 +20,15 @@
 
 
 def memory_needed(work: Work) -> int:
-    """Return the memory that a request may come to hold, in tokens."""
+    """Return the maximum memory that a request may use, in tokens."""
     return work.prompt_tokens + work.most_output_tokens
 
 
 class Admission:
-    """Refuses at once what can't be served, whatever the load."""
+    """Refuses requests that can't be served or exceed an account's limits."""
 
     def __init__(self, limiter: AccountLimiter) -> None:
-        """Count admissions against the limits of each account."""
+        """Enforce the limits of each account with ``limiter``."""
         self.limiter = limiter
 
     def admit(
@@ -39,7 +39,7 @@
         records: Sequence[UpstreamRecord],
         now: Millis,
     ) -> Refusal | None:
-        """Return None when the request may go on to an engine."""
+        """Return None if the request is admitted, else the refusal."""
         refusal = self._unservable(work, policy, records, now)
         if refusal is not None:
             return refusal
@@ -58,7 +58,7 @@
         output_tokens: int,
         now: Millis,
     ) -> None:
-        """Note the end of an admitted request, however it ended."""
+        """Record the end of an admitted request, whatever its outcome."""
         self.limiter.finish(
             work.account,
             max(0, work.most_output_tokens - output_tokens),
--- a/verbenathread/scheduling/candidates.py
+++ b/verbenathread/scheduling/candidates.py
@@ -1,4 +1,4 @@
-"""The order in which one request asks the owners of its candidates."""
+"""The order in which a request tries the owners of its candidates."""
 
 from collections.abc import Sequence
 
@@ -16,36 +16,38 @@
     policy: settings_pb2.PolicySettings,
     tuning: Tuning,
 ) -> Millis | None:
-    """Return ms after which to choose anew if nothing was granted.
+    """Return the wait in ms after which to choose engines again.
 
-    None for a long prompt: moving it loses the promise that others keep to.
+    None if rerouting is off, and for a long prompt: moving it would lose the
+    protected start that other requests at its engine respect.
     """
     is_long = work.prompt_tokens >= policy.long_tokens
     if is_long or not tuning.reroute_factor:
         return None
-    patience = int(expected_wait * tuning.reroute_factor)
-    return min(_MAX_REROUTE_DELAY, max(_MIN_REROUTE_DELAY, patience))
+    delay = int(expected_wait * tuning.reroute_factor)
+    return min(_MAX_REROUTE_DELAY, max(_MIN_REROUTE_DELAY, delay))
 
 
 class CandidateIterator:
-    """Asks one owner after the other until one has room soon enough.
+    """Tries owners one by one until one grants memory soon enough.
 
-    Load reports are late; the owner's answer is not. An ask that would wait
-    longer than ``patience`` is cancelled and the next owner is asked; when
-    all would, the request waits at the one with the least wait.
+    Load reports are delayed; the owner's answer is current. A request that
+    would wait longer than ``wait_threshold`` ms is cancelled and sent to the
+    next owner; if all exceed it, it waits at the owner with the shortest
+    expected wait.
     """
 
     def __init__(
         self, candidates: Sequence[UpstreamId], wait_threshold: Millis
     ) -> None:
-        """Plan to ask ``candidates`` in order; patience 0 takes any wait."""
+        """Try ``candidates`` in order; a threshold of 0 accepts any wait."""
         self._remaining = list(candidates)
         self._wait_threshold = wait_threshold
         self._wait_by_id: dict[UpstreamId, Millis] = {}
         self._is_last = False
 
     def next(self) -> UpstreamId | None:
-        """Return the next to ask; None when every owner has refused."""
+        """Return the next engine to try; None if every owner refused."""
         if self._remaining:
             return self._remaining.pop(0)
         if not self._wait_by_id:
@@ -56,7 +58,7 @@
         return best
 
     def accepts_wait(self, upstream_id: UpstreamId, wait: Millis) -> bool:
-        """Tell whether to wait there; if not, cancel it and ask the next."""
+        """Return whether to wait there; if not, cancel and try the next."""
         if self._is_last or not self._wait_threshold:
             return True
         if wait <= self._wait_threshold:
--- a/verbenathread/scheduling/estimates.py
+++ b/verbenathread/scheduling/estimates.py
@@ -1,7 +1,7 @@
-"""Estimates that learn: prefill time, output length, tokens in a body.
+"""Adaptive estimates of prefill time, output length and prompt tokens.
 
-All are decayed sums, so that a shift of the load is followed and a single
-outlier is not.
+Older samples lose weight, so that the estimates follow a change of the load
+but not a single outlier.
 """
 
 import math
@@ -9,12 +9,16 @@
 
 from verbenathread.types import Millis
 
+# Squared tokens are counted in millions.
 _SQUARE_UNIT = 1e6
-_INITIAL_LINEAR = 0.05
-_INITIAL_QUADRATIC = 0.01
+_INITIAL_MS_PER_TOKEN = 0.05
+_INITIAL_MS_PER_SQUARE = 0.01
 _INITIAL_OUTPUT_MS = 30.0
+# Weight that older samples keep when one is added.
 _DECAY = 0.98
-_PRIOR_WEIGHT = 20.0
+# The prior of the prefill time counts as this many samples of each of two
+# prompts, one ten times as long as the other.
+_PRIOR_SAMPLES = 20.0
 _PRIOR_PROMPT_TOKENS = 8000.0
 _QUANTILE_STEP = 0.05
 _INITIAL_OUTPUT_TOKENS = 256.0
@@ -24,18 +28,18 @@
     """Time to prefill a prompt, linear and quadratic in its tokens.
 
     Least squares over busy periods of the engine: ``busy = a * tokens + b *
-    tokens ** 2``; the square stands for attention over the whole prompt.
+    tokens ** 2``; the quadratic term models attention over the whole prompt.
     """
 
     def __init__(self) -> None:
-        """Start from a guess that the first hundred prompts replace."""
-        self._linear = _INITIAL_LINEAR
-        self._quadratic = _INITIAL_QUADRATIC
+        """Start from a prior that the first hundred prompts outweigh."""
+        self._linear = _INITIAL_MS_PER_TOKEN
+        self._quadratic = _INITIAL_MS_PER_SQUARE
         self._output_ms = _INITIAL_OUTPUT_MS
         self._sums = _NormalEquations()
         base = _PRIOR_PROMPT_TOKENS
         squares = base * base / _SQUARE_UNIT
-        for _ in range(int(_PRIOR_WEIGHT)):
+        for _ in range(int(_PRIOR_SAMPLES)):
             self._sums = self._sums.with_sample(
                 base, squares, self._uncached(base)
             )
@@ -46,7 +50,7 @@
             )
 
     def prefill(self, tokens: int, cached: int = 0) -> float:
-        """Return expected ms to prefill ``tokens`` after ``cached`` ones."""
+        """Return expected ms to prefill ``tokens``, ``cached`` of them cached."""
         return self._uncached(tokens) - self._uncached(min(cached, tokens))
 
     def output(self, tokens: float) -> float:
@@ -54,7 +58,7 @@
         return tokens * self._output_ms
 
     def observe_busy_period(self, busy: Millis, prompts: list[int]) -> None:
-        """Learn from one busy period in which ``prompts`` were prefilled."""
+        """Add a busy period in which ``prompts`` were prefilled."""
         tokens = float(sum(prompts))
         if not tokens:
             return
@@ -62,16 +66,16 @@
         self._sums = self._sums.decayed(_DECAY).with_sample(
             tokens, squares, busy
         )
-        solved = self._sums.solve()
-        if solved is not None:
-            self._linear = solved.linear
-            self._quadratic = solved.quadratic
+        solution = self._sums.solve()
+        if solution is not None:
+            self._linear = solution.linear
+            self._quadratic = solution.quadratic
 
     def observe_output(self, duration: Millis, tokens: int) -> None:
-        """Learn from ``tokens`` generated in ``duration`` ms."""
+        """Add a sample of ``tokens`` generated in ``duration`` ms."""
         if tokens > 0:
-            seen = duration / tokens
-            self._output_ms += (seen - self._output_ms) * (1 - _DECAY)
+            observed = duration / tokens
+            self._output_ms += (observed - self._output_ms) * (1 - _DECAY)
 
     def _uncached(self, tokens: float) -> float:
         squares = tokens * tokens / _SQUARE_UNIT
@@ -84,7 +88,10 @@
 
 
 class _NormalEquations(NamedTuple):
-    """Sums of the normal equations of two coefficients."""
+    """Weighted sums of the normal equations for both coefficients.
+
+    x stands for tokens, z for squared tokens and y for the busy time.
+    """
 
     xx: float = 0
     xz: float = 0
@@ -93,14 +100,14 @@
     zy: float = 0
 
     def decayed(self, factor: float) -> '_NormalEquations':
-        """Return the sums with older samples weighing less."""
+        """Return the sums with the weight of all samples reduced."""
         return _NormalEquations(*(part * factor for part in self))
 
     def with_sample(
         self, tokens: float, squares: float, busy: float
     ) -> '_NormalEquations':
-        """Return the sums with one sample, weighed by its inverse size."""
-        # Relative errors count, so that long prompts do not rule the fit.
+        """Return the sums with one more sample."""
+        # Minimises relative errors, so that long prompts don't dominate.
         scale = 1 / max(busy, 1) ** 2
         return _NormalEquations(
             self.xx + tokens * tokens * scale,
@@ -111,7 +118,7 @@
         )
 
     def solve(self) -> _Coefficients | None:
-        """Return both coefficients, neither below zero; None if unclear."""
+        """Return non-negative coefficients; None if underdetermined."""
         determinant = self.xx * self.zz - self.xz * self.xz
         if determinant <= 0 or not self.xx:
             return None
@@ -125,19 +132,19 @@
 class OutputEstimator:
     """Expected output length by client account and service.
 
-    Tracks a quantile by stochastic approximation in the log of the length:
-    each sample moves the estimate up or down by a step that fits the
+    Tracks a quantile by stochastic approximation on the log of the length:
+    each sample moves the estimate up or down by a step that depends on the
     quantile (Robbins and Monro 1951).
     """
 
     def __init__(self, quantile: float = 0.8) -> None:
-        """Estimate this quantile of the output lengths."""
+        """Estimate ``quantile`` of the output lengths."""
         self._quantile = quantile
         self._log_by_key: dict[tuple[str, str], float] = {}
         self._log_by_service: dict[str, float] = {}
 
     def expected(self, account: str, service: str, limit: int) -> int:
-        """Return the expected output tokens, at most ``most``."""
+        """Return the expected output tokens, between 1 and ``limit``."""
         start = self._log_by_service.get(
             service, math.log(_INITIAL_OUTPUT_TOKENS)
         )
@@ -145,41 +152,44 @@
         return max(1, min(limit, round(math.exp(estimate))))
 
     def observe(self, account: str, service: str, tokens: int) -> None:
-        """Learn from a request that ended after ``tokens``."""
-        seen = math.log(max(1, tokens))
+        """Add a request that ended after ``tokens``."""
+        observed = math.log(max(1, tokens))
         start = self._log_by_service.get(
             service, math.log(_INITIAL_OUTPUT_TOKENS)
         )
-        self._log_by_service[service] = self._updated(start, seen)
+        self._log_by_service[service] = self._updated(start, observed)
         key = (account, service)
         self._log_by_key[key] = self._updated(
-            self._log_by_key.get(key, start), seen
+            self._log_by_key.get(key, start), observed
         )
 
-    def _updated(self, estimate: float, seen: float) -> float:
-        if seen > estimate:
+    def _updated(self, estimate: float, observed: float) -> float:
+        if observed > estimate:
             return estimate + _QUANTILE_STEP * self._quantile
         return estimate - _QUANTILE_STEP * (1 - self._quantile)
 
 
 class TokenEstimator:
-    """Prompt tokens in a body of some bytes, learned per service."""
+    """Number of prompt tokens in a request body, learned per service."""
 
     def __init__(self) -> None:
-        """Know nothing; callers give the first guess from settings."""
+        """Start empty; callers pass the initial ratio from settings."""
         self._ratio_by_service: dict[str, float] = {}
 
-    def tokens(self, service: str, size: int, first_guess: float) -> int:
-        """Return expected tokens of ``size`` bytes; at least one."""
-        ratio = self._ratio_by_service.get(service, first_guess)
+    def tokens(self, service: str, size: int, initial_ratio: float) -> int:
+        """Return the expected tokens of ``size`` bytes, at least one.
+
+        ``initial_ratio`` is in bytes per token.
+        """
+        ratio = self._ratio_by_service.get(service, initial_ratio)
         return max(1, math.ceil(size / ratio))
 
     def observe(
-        self, service: str, size: int, tokens: int, first_guess: float
+        self, service: str, size: int, tokens: int, initial_ratio: float
     ) -> None:
-        """Learn from a prompt whose tokens the engine counted."""
+        """Add a prompt whose tokens the engine counted."""
         if tokens <= 0 or size <= 0:
             return
-        ratio = self._ratio_by_service.get(service, first_guess)
+        ratio = self._ratio_by_service.get(service, initial_ratio)
         ratio += (size / tokens - ratio) * (1 - _DECAY)
         self._ratio_by_service[service] = ratio
--- a/verbenathread/scheduling/forecast.py
+++ b/verbenathread/scheduling/forecast.py
@@ -1,20 +1,20 @@
-"""How long an ask will wait at an engine, from its owner's ledger."""
+"""Expected waiting times at one engine, from the owner's ledger."""
 
 from collections.abc import Iterable
 
 from verbenathread.scheduling.holds import Hold, HoldTable, memory_forecast
+from verbenathread.scheduling.prefill_usage import PrefillUsage
 from verbenathread.scheduling.queueing import (
     QueuedRequest,
     RequestQueue,
     queue_key,
 )
 from verbenathread.scheduling.tuning import Tuning
-from verbenathread.scheduling.usage import PrefillUsage
 from verbenathread.types import LengthClass, Millis
 
 
 class WaitForecast:
-    """The load of one engine at one moment."""
+    """Forecasts waiting times from the current load of one engine."""
 
     def __init__(
         self,
@@ -24,7 +24,7 @@
         tuning: Tuning,
         now: Millis,
     ) -> None:
-        """Look at the ledger's parts as they are."""
+        """Forecast from the current state of the ledger's parts."""
         self._holds = holds
         self._queue = queue
         self._usage = usage
@@ -32,63 +32,63 @@
         self._now = now
 
     def wait(self, queued: QueuedRequest, required_tokens: int) -> float:
-        """Return expected ms until the engine begins the prompt.
+        """Return expected ms until the engine starts the prompt.
 
-        ``needed`` is the memory that must be free for it.
+        ``required_tokens`` is the memory that must be free before it.
         """
         prefill: float = 0
         for hold in self._holds:
             if hold.level <= queued.level:
                 prefill += hold.remaining_prefill(self._now)
-        missing = required_tokens - self._holds.free_tokens
-        own_rank = queue_key(queued)
+        missing_tokens = required_tokens - self._holds.free_tokens
+        own_key = queue_key(queued)
         for other in self._queue:
-            if queue_key(other) >= own_rank:
+            if queue_key(other) >= own_key:
                 continue
             prefill += other.prefill_ms
-        memory = memory_forecast(self._holds, missing, self._now)
-        memory_wait = memory.wait
-        if memory.surplus < 0:
-            # What waits before it must come and go first.
+        release = memory_forecast(self._holds, missing_tokens, self._now)
+        memory_wait = release.wait
+        if release.surplus < 0:
+            # The requests queued before it must run and finish first.
             memory_wait += self._queue_time(queued)
         if self._tuning.slow_memory_release:
             memory_wait = self._slowed(memory_wait, queued.level)
         return max(self._slowed(prefill, queued.level), memory_wait)
 
     def prefill_time(self, queued: QueuedRequest) -> float:
-        """Return expected ms of prefill beside more urgent classes."""
+        """Return expected ms of prefill, shared with more urgent levels."""
         return self._slowed(queued.prefill_ms, queued.level)
 
     def half_drain_time(self) -> Millis:
-        """Return expected ms until the queue is half as long."""
-        queued = sum(waiting.prefill_ms for waiting in self._queue)
-        return int(queued / 2)
+        """Return expected ms until half of the queued prefill is done."""
+        prefill = sum(queued.prefill_ms for queued in self._queue)
+        return int(prefill / 2)
 
     def _queue_time(self, queued: QueuedRequest) -> float:
-        """Return ms that the queue before an ask fills all memory for."""
-        filled: float = 0
+        """Return ms for which earlier requests would fill all memory."""
+        token_ms: float = 0
         for other in self._queue:
             if other is queued or other.length == LengthClass.SHORT:
                 continue
             if other.queued_at > queued.queued_at:
                 continue
             time = other.prefill_ms + other.output_ms
-            filled += time * other.request.memory_tokens
-        return filled / self._holds.memory_tokens
+            token_ms += time * other.request.memory_tokens
+        return token_ms / self._holds.memory_tokens
 
     def _slowed(self, prefill: float, level: int) -> float:
         return prefill / (1 - self._usage.more_urgent_share(level, self._now))
 
 
 class PrefillWindows:
-    """How much more prefill the engine should get now, by length class."""
+    """Limits the prefill in progress at the engine, by length class."""
 
     def __init__(
         self, holds: Iterable[Hold], tuning: Tuning, now: Millis
     ) -> None:
-        """Count what is granted and has no first token yet."""
+        """Count the holds that have no first token yet."""
         self._tuning = tuning
-        # Long prompts are held back by their memory alone.
+        # Long prompts are limited by memory alone.
         self._window_by_class = (tuning.short_window, tuning.middle_window, 0)
         self._prefill: list[float] = [0 for _ in LengthClass]
         self._short_only = False
@@ -99,7 +99,7 @@
             self._prefill[hold.length] += hold.remaining_prefill(now)
 
     def has_room(self, length: LengthClass) -> bool:
-        """Tell whether a prompt of this class may go to the engine."""
+        """Return whether a prompt of this class may go to the engine."""
         if self.is_closed:
             return False
         if length == LengthClass.SHORT:
@@ -109,11 +109,14 @@
         return self._in_window(length)
 
     def add(self, queued: QueuedRequest) -> None:
-        """Count one that is granted."""
+        """Count a request that is granted."""
         self._prefill[queued.length] += queued.prefill_ms
 
     def restrict_to_short(self) -> None:
-        """Let only short ones pass one that waits for memory."""
+        """Let only short prompts overtake one that waits for memory.
+
+        Without class priority nothing overtakes it.
+        """
         self._short_only = True
         self.is_closed = not self._tuning.class_priority
 
@@ -125,11 +128,11 @@
 def backlog_by_class(
     holds: Iterable[Hold], queue: Iterable[QueuedRequest], now: Millis
 ) -> tuple[Millis, Millis, Millis]:
-    """Return expected prefill not yet done, by length class, in ms."""
+    """Return the expected remaining prefill, by length class, in ms."""
     backlog: list[float] = [0 for _ in LengthClass]
     for hold in holds:
         backlog[hold.length] += hold.remaining_prefill(now)
-    for waiting in queue:
-        backlog[waiting.length] += waiting.prefill_ms
+    for queued in queue:
+        backlog[queued.length] += queued.prefill_ms
     short, middle, long = backlog
     return int(short), int(middle), int(long)
--- a/verbenathread/scheduling/granting.py
+++ b/verbenathread/scheduling/granting.py
@@ -1,9 +1,10 @@
-"""Which waiting asks get the memory of an engine now.
+"""Decides which queued requests are granted memory of an engine now.
 
-The most urgent go first. The oldest ask above the short class is protected:
-another may pass it only if that is expected to end before the protected one
-can begin, or fits beside it (EASY backfilling, Lifka 1995). So a long prompt
-waits for those that hold memory, not for all that come after it.
+The most urgent go first. The oldest request above the short class is
+protected: a later one may overtake it only if it is expected to end before
+the protected one can start, or if its memory fits beside it (EASY
+backfilling, Lifka 1995). So a long prompt waits for the current holds, not
+for everything that arrives after it.
 """
 
 from collections.abc import Iterable
@@ -22,9 +23,9 @@
     length: LengthClass,
     policy: settings_pb2.PolicySettings,
 ) -> int:
-    """Return the free memory that a prompt of this class must leave.
+    """Return the memory that must stay free beside a prompt of this class.
 
-    What short prompts hold already counts against what is kept for them.
+    Memory that short prompts already hold counts towards their headroom.
     """
     if length == LengthClass.SHORT:
         return 0
@@ -33,21 +34,21 @@
 
 
 class ProtectedStart:
-    """When the protected ask should begin, as first forecast.
+    """Expected start of the protected request, fixed when first forecast.
 
-    The forecast is kept: those that pass may take longer than expected, and
-    a new forecast each time would let others pass for ever.
+    Requests that overtake it may run longer than expected. A new forecast
+    each time would then let others overtake it forever.
     """
 
     def __init__(self) -> None:
-        """Promise nothing yet."""
+        """Start without a protected request."""
         self._attempt_id = ''
         self._starts_at: float = 0
 
     def remaining(
         self, queued: QueuedRequest, starts_in: float, now: Millis
     ) -> float:
-        """Return ms until the ask should begin; 0 when that has passed."""
+        """Return ms until the expected start; 0 once it has passed."""
         if queued.request.attempt_id != self._attempt_id:
             self._attempt_id = queued.request.attempt_id
             self._starts_at = now + starts_in
@@ -55,7 +56,7 @@
 
 
 class GrantPass:
-    """One look at the queue of an engine."""
+    """One pass over the queue of an engine."""
 
     def __init__(
         self,
@@ -64,7 +65,7 @@
         tuning: Tuning,
         now: Millis,
     ) -> None:
-        """Look at the memory as it is now."""
+        """Start from the current holds."""
         self._holds = holds
         self._policy = policy
         self._tuning = tuning
@@ -77,32 +78,32 @@
     def protect_oldest(
         self, queue: RequestQueue, protected_start: ProtectedStart
     ) -> None:
-        """Protect the oldest ask above the short class."""
+        """Protect the oldest queued request above the short class."""
         if not self._tuning.backfill:
             return
         longer = [
-            waiting for waiting in queue if waiting.length != LengthClass.SHORT
+            queued for queued in queue if queued.length != LengthClass.SHORT
         ]
         if not longer:
             return
         oldest = min(longer, key=_arrival_key)
-        outlook = memory_forecast(
+        forecast = memory_forecast(
             self._holds, self._missing_tokens(oldest), self._now
         )
         self._protected = oldest
         self._starts_in = protected_start.remaining(
-            oldest, outlook.wait, self._now
+            oldest, forecast.wait, self._now
         )
-        if outlook.wait <= 0 or self._starts_in > 0:
-            self._spare_tokens = max(0, outlook.surplus)
+        if forecast.wait <= 0 or self._starts_in > 0:
+            self._spare_tokens = max(0, forecast.surplus)
 
     @property
     def is_closed(self) -> bool:
-        """Tell whether nobody else can get memory in this look."""
+        """Return whether no further request can be granted in this pass."""
         return self._windows.is_closed
 
     def accept(self, queued: QueuedRequest) -> bool:
-        """Tell whether an ask gets its memory now."""
+        """Return whether to grant a request now; if so, count it."""
         if not self._windows.has_room(queued.length):
             return False
         if self._missing_tokens(queued) > 0:
@@ -117,8 +118,8 @@
         return True
 
     def _missing_tokens(self, queued: QueuedRequest) -> int:
-        kept = required_headroom(self._holds, queued.length, self._policy)
-        return queued.request.memory_tokens + kept - self._holds.free_tokens
+        headroom = required_headroom(self._holds, queued.length, self._policy)
+        return queued.request.memory_tokens + headroom - self._holds.free_tokens
 
     def _may_overtake(self, queued: QueuedRequest) -> bool:
         if self._protected is None or queued is self._protected:
@@ -135,27 +136,28 @@
 
 
 def memory_ahead(queue: Iterable[QueuedRequest], queued: QueuedRequest) -> int:
-    """Return the memory that older asks will take before this one.
+    """Return the memory that older requests will take before this one.
 
-    Those are protected in the order of their age; short ones have headroom.
+    Older requests above the short class are protected one after the other;
+    short prompts have their own headroom.
     """
     if queued.length == LengthClass.SHORT:
         return 0
     tokens = 0
-    for waiting in queue:
-        if waiting.length == LengthClass.SHORT or waiting is queued:
+    for other in queue:
+        if other.length == LengthClass.SHORT or other is queued:
             continue
-        if _arrival_key(waiting) < _arrival_key(queued):
-            tokens += waiting.request.memory_tokens
+        if _arrival_key(other) < _arrival_key(queued):
+            tokens += other.request.memory_tokens
     return tokens
 
 
 def must_yield(hold: Hold, queue: Iterable[QueuedRequest]) -> bool:
-    """Tell whether a group that comes before this hold's waits here."""
-    place = group_sort_key(hold.request)
+    """Return whether a group that precedes the hold's group is queued."""
+    own_key = group_sort_key(hold.request)
     return any(
-        waiting.request.group and group_sort_key(waiting.request) < place
-        for waiting in queue
+        other.request.group and group_sort_key(other.request) < own_key
+        for other in queue
     )
 
 
--- a/verbenathread/scheduling/groups.py
+++ b/verbenathread/scheduling/groups.py
@@ -1,11 +1,12 @@
-"""Groups of engines for prompts larger than one: all or nothing.
-
-The asking entry asks every owner of the group at once, so that the engines
-make room at the same time, and begins when all have granted. One order of
-groups holds at every owner: a hold that has not started yields, when its
-entry renews the lease, to a group that comes before it. The first group in
-that order never yields, so two half-held groups can't wait for each other.
-The holds of an entry that dies come back when their leases run out.
+"""Reservations on a group of engines, for prompts larger than one engine.
+
+A group is reserved as a whole or not at all. The entry sends a request to
+the owner of each member at once, so that the engines free memory at the same
+time, and starts when all have granted it. Groups have the same order at
+every owner: when an entry renews the lease of a hold that has not started,
+the hold yields to a group that precedes its own. The first group in that
+order never yields, so two groups that each hold a part can't deadlock. Holds
+of an entry that dies are released when their leases expire.
 """
 
 from collections.abc import Sequence
@@ -26,9 +27,9 @@
     engine_tokens: int,
     policy: settings_pb2.PolicySettings,
 ) -> int:
-    """Return how many engines hold ``memory_tokens`` between them.
+    """Return the number of engines needed to hold ``memory_tokens``.
 
-    What short prompts have to themselves does not count.
+    The headroom for short prompts can't be used.
     """
     usable = int(engine_tokens * (1 - policy.short_headroom))
     if usable <= 0:
@@ -37,12 +38,12 @@
 
 
 def group_sort_key(request: ReservationRequest) -> tuple[Millis, str]:
-    """Return the place of a group in the one order of all groups."""
+    """Return the sort key that orders groups at every owner."""
     return request.group_timestamp, request.attempt_id
 
 
 class GroupRequest:
-    """One group from the first ask to the last grant."""
+    """Tracks one group from its first request to its last grant."""
 
     def __init__(
         self,
@@ -55,9 +56,9 @@
         *,
         admitted: bool = False,
     ) -> None:
-        """Plan to hold an even share of the memory on each member.
+        """Request an even share of the memory on each member.
 
-        ``order`` is the wall clock at the arrival of the request.
+        ``group_timestamp`` is the wall clock at the arrival of the request.
         """
         self.members = tuple(sorted(members))
         self.member_request = ReservationRequest(
@@ -73,29 +74,29 @@
         self._reservation_by_id: dict[UpstreamId, Reservation] = {}
 
     def record_accepted(self, upstream_id: UpstreamId) -> bool:
-        """Note that an owner did not refuse; True once none did."""
+        """Record that an owner did not refuse; return whether none did."""
         self._accepted.add(upstream_id)
         return self._accepted.issuperset(self.members)
 
     def record_grant(self, reservation: Reservation) -> None:
-        """Note a hold."""
+        """Record the reservation that an owner has granted."""
         self._reservation_by_id[reservation.upstream_ids[0]] = reservation
 
     def record_renewal(self, upstream_id: UpstreamId, start_by: Millis) -> None:
-        """Note that an owner has renewed its hold."""
-        held = self._reservation_by_id.get(upstream_id)
-        if held is not None:
-            self._reservation_by_id[upstream_id] = held._replace(
+        """Record that an owner has renewed the lease on a member."""
+        reservation = self._reservation_by_id.get(upstream_id)
+        if reservation is not None:
+            self._reservation_by_id[upstream_id] = reservation._replace(
                 start_by=start_by
             )
 
     def record_loss(self, upstream_id: UpstreamId) -> ReservationRequest:
-        """Note that a hold has yielded or run out; return what to ask."""
+        """Record that a hold yielded or expired; return what to request."""
         self._reservation_by_id.pop(upstream_id, None)
         return self.member_request._replace(admitted=True)
 
     def member_reservations(self) -> tuple[Reservation, ...]:
-        """Return the holds so far: to renew, or to give back."""
+        """Return the reservations granted so far, to renew or release."""
         return tuple(
             self._reservation_by_id[member]
             for member in self.members
@@ -103,12 +104,14 @@
         )
 
     def complete_reservation(self) -> Reservation | None:
-        """Return the reservation of the whole group once all is held."""
+        """Return the reservation of the group once every member granted."""
         if len(self._reservation_by_id) < len(self.members):
             return None
-        every = self.member_reservations()
-        return every[0]._replace(
+        granted = self.member_reservations()
+        return granted[0]._replace(
             upstream_ids=self.members,
-            memory_tokens=sum(held.memory_tokens for held in every),
-            start_by=min(held.start_by for held in every),
+            memory_tokens=sum(
+                reservation.memory_tokens for reservation in granted
+            ),
+            start_by=min(reservation.start_by for reservation in granted),
         )
--- a/verbenathread/scheduling/holds.py
+++ b/verbenathread/scheduling/holds.py
@@ -1,4 +1,4 @@
-"""Memory that an owner has given out, and when it should come back."""
+"""Memory that an owner has granted, and when it is expected to be free."""
 
 import heapq
 from collections.abc import Iterable, Iterator
@@ -8,12 +8,13 @@
 from verbenathread.scheduling.queueing import QueuedRequest
 from verbenathread.types import LengthClass, Millis, Reservation, UpstreamId
 
-# An expected time that has passed still counts as this share of itself.
+# Work that takes longer than expected still counts as this share of the
+# expected time.
 _MIN_REMAINING_SHARE = 0.1
 
 
 class Hold(NamedTuple):
-    """One grant from the ask to the release."""
+    """One granted reservation, from the grant to the release."""
 
     request: ReservationRequest
     reservation: Reservation
@@ -28,7 +29,7 @@
     output_tokens: int = 0
 
     def remaining_prefill(self, now: Millis) -> float:
-        """Return expected ms of prefill still to do."""
+        """Return the expected remaining ms of prefill."""
         if self.first_token_at is not None:
             return 0
         if self.started_at is None:
@@ -37,7 +38,7 @@
         return max(least, self.prefill_ms - (now - self.started_at))
 
     def remaining_time(self, now: Millis) -> float:
-        """Return expected ms until the memory comes back."""
+        """Return the expected ms until the memory is released."""
         if self.first_token_at is None:
             return self.remaining_prefill(now) + self.output_ms
         least = self.output_ms * _MIN_REMAINING_SHARE
@@ -47,7 +48,7 @@
 def make_reservation_id(upstream_id: UpstreamId, attempt_id: str) -> str:
     """Return the identifier of an attempt's hold on one engine.
 
-    It is the same after a takeover, so an entry can release what an earlier
+    It survives a takeover, so that an entry can release what a previous
     owner granted.
     """
     return f'{upstream_id}/{attempt_id}'
@@ -60,18 +61,18 @@
     now: Millis,
     start_by: Millis,
 ) -> Hold:
-    """Return the hold of an ask that is granted now."""
-    ask = queued.request
+    """Return the hold for a request that is granted now."""
+    request = queued.request
     reservation = Reservation(
-        reservation_id=make_reservation_id(upstream_id, ask.attempt_id),
-        attempt_id=ask.attempt_id,
+        reservation_id=make_reservation_id(upstream_id, request.attempt_id),
+        attempt_id=request.attempt_id,
         upstream_ids=(upstream_id,),
-        memory_tokens=ask.memory_tokens,
+        memory_tokens=request.memory_tokens,
         start_by=start_by,
         priority=priority,
     )
     return Hold(
-        request=ask,
+        request=request,
         reservation=reservation,
         length=queued.length,
         level=queued.level,
@@ -82,7 +83,7 @@
 
 
 class HoldTable:
-    """Every hold on one engine, and the memory that is left."""
+    """All holds on one engine, and its free memory."""
 
     def __init__(self, memory_tokens: int) -> None:
         """Start with all memory free."""
@@ -92,11 +93,11 @@
         self._by_id: dict[str, Hold] = {}
 
     def __iter__(self) -> Iterator[Hold]:
-        """Go over a copy, so that the loop may drop holds."""
+        """Iterate over a copy, so that the loop may remove holds."""
         return iter(tuple(self._by_id.values()))
 
     def __len__(self) -> int:
-        """Return how many there are."""
+        """Return the number of holds."""
         return len(self._by_id)
 
     def get(self, reservation_id: str) -> Hold | None:
@@ -104,7 +105,7 @@
         return self._by_id.get(reservation_id)
 
     def put(self, hold: Hold) -> None:
-        """Add a hold, or put its new state in place of the old one."""
+        """Add a hold, or replace its previous state."""
         key = hold.reservation.reservation_id
         if key not in self._by_id:
             self._take(hold, hold.reservation.memory_tokens)
@@ -119,7 +120,7 @@
         ]
 
     def remove(self, hold: Hold) -> None:
-        """Take the memory of a hold back."""
+        """Remove a hold and free its memory."""
         self._by_id.pop(hold.reservation.reservation_id)
         self._take(hold, -hold.reservation.memory_tokens)
 
@@ -130,26 +131,26 @@
 
 
 class MemoryForecast(NamedTuple):
-    """When some memory comes back, and what comes back beyond it."""
+    """Expected ms until memory is free, and what is then free beyond it."""
 
     wait: float
-    # Below zero when the holds do not give back enough.
+    # Negative if all holds together don't free enough.
     surplus: int
 
 
 def memory_forecast(
     holds: Iterable[Hold], missing: int, now: Millis
 ) -> MemoryForecast:
-    """Return when ``missing`` tokens of memory are expected back."""
+    """Return when ``missing`` more tokens are expected to be free."""
     if missing <= 0:
         return MemoryForecast(0, -missing)
-    ends = [
+    releases = [
         (hold.remaining_time(now), hold.reservation.memory_tokens)
         for hold in holds
     ]
-    heapq.heapify(ends)
+    heapq.heapify(releases)
     wait: float = 0
-    while ends and missing > 0:
-        wait, tokens = heapq.heappop(ends)
+    while releases and missing > 0:
+        wait, tokens = heapq.heappop(releases)
         missing -= tokens
     return MemoryForecast(wait, -missing)
--- a/verbenathread/scheduling/ledger.py
+++ b/verbenathread/scheduling/ledger.py
@@ -1,7 +1,7 @@
 """Memory and queue of one engine, kept by the entry that owns its lease.
 
-The ledger promises each token of memory once. It is a plain object: one
-thread calls it, and it waits for nothing.
+The ledger grants each token of memory only once. It is not thread-safe, and
+no call blocks.
 """
 
 from collections.abc import Iterable
@@ -28,13 +28,13 @@
     Queued,
     ReservationRequest,
 )
+from verbenathread.scheduling.prefill_usage import BusyPeriodMeter, PrefillUsage
 from verbenathread.scheduling.queueing import (
     QueuedRequest,
     RequestQueue,
     make_queued_request,
 )
 from verbenathread.scheduling.tuning import CURRENT, Tuning
-from verbenathread.scheduling.usage import BusyPeriodMeter, PrefillUsage
 from verbenathread.schema import settings_pb2
 from verbenathread.types import (
     LengthClass,
@@ -47,18 +47,18 @@
     Work,
 )
 
-# A granted attempt must reach the engine within this time.
+# A granted attempt that has not started within this time loses its memory.
 START_TIMEOUT: Millis = 2000
-# A hold of a group lives this long unless its entry renews it.
+# A hold of a group expires after this time unless its entry renews it.
 GROUP_LEASE: Millis = 6000
-# How often waiting asks are looked at when nothing else happens.
+# Interval between passes over the queue while no event triggers one.
 TICK_INTERVAL: Millis = 250
 _US_PER_MS = 1000
 _SAMPLE_TOKENS = 1000
 
 
 class EngineLedger:
-    """Exact memory and queue of one engine."""
+    """Exact accounting of the memory and the queue of one engine."""
 
     def __init__(
         self,
@@ -68,7 +68,7 @@
         clock: Clock,
         tuning: Tuning = CURRENT,
     ) -> None:
-        """Start with all memory free and nobody waiting."""
+        """Start with all memory free and an empty queue."""
         self.upstream_id = upstream_id
         self.memory_tokens = memory_tokens
         self.policy = policy
@@ -85,15 +85,15 @@
 
     @property
     def free_tokens(self) -> int:
-        """Return the memory that nobody holds."""
+        """Return the free memory in tokens."""
         return self._holds.free_tokens
 
     def reserve(
         self, request: ReservationRequest
     ) -> Reservation | Queued | Refusal:
-        """Grant memory, queue the ask, or refuse it for good.
+        """Grant a request, queue it, or refuse it for good.
 
-        A resent ask gets the state of the first one.
+        A resent request returns the state of the first one.
         """
         now = self._clock.now()
         held = self._holds.get(
@@ -101,20 +101,20 @@
         )
         if held is not None:
             return held.reservation
-        waiting = self._queue.get(request.attempt_id)
-        if waiting is None:
-            waiting = make_queued_request(
+        queued = self._queue.get(request.attempt_id)
+        if queued is None:
+            queued = make_queued_request(
                 request, self.cost, self.policy, self._tuning, now
             )
-            waiting = self._queue.with_virtual_finish(waiting)
-            refusal = self._refusal(waiting, now)
+            queued = self._queue.with_virtual_finish(queued)
+            refusal = self._refusal(queued, now)
             if refusal is not None:
                 return refusal
-            self._queue.add(waiting)
-        return self._grant_or_queue(waiting, now)
+            self._queue.add(queued)
+        return self._grant_or_queue(queued, now)
 
     def cancel(self, attempt_id: str) -> None:
-        """Forget an ask that waits, and a grant that never started."""
+        """Remove a queued request, or a grant that has not started."""
         self._queue.remove(attempt_id)
         self._granted = [
             granted
@@ -128,7 +128,7 @@
             self._remove_hold(hold)
 
     def mark_started(self, reservation_id: str) -> None:
-        """Note that the engine has taken the attempt."""
+        """Record that the engine has accepted the attempt."""
         hold = self._holds.get(reservation_id)
         if hold is None or hold.started_at is not None:
             return
@@ -139,8 +139,9 @@
     def renew(self, reservation_id: str) -> Millis | None:
         """Renew the lease of a group's hold.
 
-        None if it has run out, or if it yields to a group that comes before
-        it; the entry then asks for it again.
+        Returns the new start deadline. None if the hold has expired or
+        yields to a group that precedes its own; the entry then requests it
+        again.
         """
         hold = self._holds.get(reservation_id)
         if hold is None:
@@ -154,7 +155,7 @@
         return start_by
 
     def record_progress(self, reservation_id: str, output_tokens: int) -> None:
-        """Note the output so far; the first token ends the prefill."""
+        """Record the output so far; the first token ends the prefill."""
         hold = self._holds.get(reservation_id)
         if hold is None:
             return
@@ -165,7 +166,7 @@
         self._holds.put(hold._replace(output_tokens=output_tokens))
 
     def release(self, reservation_id: str, output_tokens: int) -> None:
-        """Take the memory back; a second release changes nothing."""
+        """Free the memory of a hold; releasing it again has no effect."""
         hold = self._holds.get(reservation_id)
         if hold is None:
             return
@@ -175,36 +176,36 @@
         self._remove_hold(hold)
 
     def take_grants(self) -> list[Reservation]:
-        """Return the grants made since the last call."""
+        """Grant what can be granted; return all grants since the last call."""
         now = self._clock.now()
-        for late in self._holds.expired(now):
-            # It can't start any more.
-            self._remove_hold(late)
+        for expired in self._holds.expired(now):
+            # Its start deadline has passed.
+            self._remove_hold(expired)
         self._grant_queued(now)
         granted = self._granted
         self._granted = []
         return granted
 
     def next_tick(self) -> Millis | None:
-        """Return when to call :meth:`ready` again, if nothing happens."""
-        moments = [
+        """Return when to call :meth:`take_grants` if nothing else happens."""
+        deadlines = [
             hold.reservation.start_by
             for hold in self._holds
             if hold.started_at is None
         ]
         if len(self._queue):
-            moments.append(self._clock.now() + TICK_INTERVAL)
-        return min(moments, default=None)
+            deadlines.append(self._clock.now() + TICK_INTERVAL)
+        return min(deadlines, default=None)
 
     def drop_entry(self, entry_id: NodeId) -> list[Reservation]:
-        """Forget the asks of an entry that is gone.
+        """Remove the requests and unstarted holds of an entry that is gone.
 
-        Returns what it had started: the caller cancels each at the engine
-        and releases it once the engine confirms.
+        Returns its started reservations: the caller cancels each at the
+        engine and releases it once the engine confirms.
         """
-        for waiting in self._queue.ordered():
-            if waiting.request.entry_id == entry_id:
-                self._queue.remove(waiting.request.attempt_id)
+        for queued in self._queue.ordered():
+            if queued.request.entry_id == entry_id:
+                self._queue.remove(queued.request.attempt_id)
         started = []
         for hold in self._holds:
             if hold.request.entry_id != entry_id:
@@ -216,7 +217,7 @@
         return started
 
     def restore(self, engine_holds: Iterable[EngineHold]) -> None:
-        """Start from what the engine holds, at takeover of its lease."""
+        """Load what the engine holds, at takeover of its lease."""
         now = self._clock.now()
         for listed in engine_holds:
             work = Work(
@@ -229,12 +230,12 @@
                 deadline=now,
                 arrival=now,
             )
-            ask = ReservationRequest(
+            request = ReservationRequest(
                 work, listed.attempt_id, listed.entry_id, listed.memory_tokens
             )
             hold = self._make_hold(
                 make_queued_request(
-                    ask, self.cost, self.policy, self._tuning, now
+                    request, self.cost, self.policy, self._tuning, now
                 ),
                 now,
             )
@@ -244,7 +245,7 @@
             )
 
     def report(self) -> EngineReport:
-        """Return the load digest that the owner gossips."""
+        """Return the load report that the owner gossips."""
         now = self._clock.now()
         self._sequence += 1
         backlog = forecast.backlog_by_class(self._holds, self._queue, now)
@@ -262,25 +263,25 @@
         )
 
     def _refusal(self, queued: QueuedRequest, now: Millis) -> Refusal | None:
-        ask = queued.request
-        if ask.memory_tokens > self._max_memory(queued.length):
+        request = queued.request
+        if request.memory_tokens > self._max_memory(queued.length):
             return Refusal(
                 RefusalReason.TOO_LONG,
                 'The prompt is longer than the engine; split it.',
                 0,
             )
-        if ask.admitted:
+        if request.admitted:
             return None
-        outlook = self._forecast(now)
-        wait = outlook.wait(queued, self._required_memory(queued))
+        wait_forecast = self._forecast(now)
+        wait = wait_forecast.wait(queued, self._required_memory(queued))
         if len(self._queue) >= self.policy.queue_limit:
             return Refusal(
                 RefusalReason.OVERLOADED,
                 'The queue of the engine is full; retry later.',
-                outlook.half_drain_time(),
+                wait_forecast.half_drain_time(),
             )
-        expected = wait + outlook.prefill_time(queued) + queued.output_ms
-        late = int(now + expected) - ask.work.deadline
+        expected = wait + wait_forecast.prefill_time(queued) + queued.output_ms
+        late = int(now + expected) - request.work.deadline
         if self._tuning.refuse_late and late > 0:
             return Refusal(
                 RefusalReason.DEADLINE,
@@ -297,8 +298,10 @@
             if reservation.attempt_id == queued.request.attempt_id:
                 self._granted.remove(reservation)
                 return reservation
-        outlook = self._forecast(now)
-        return Queued(int(outlook.wait(queued, self._required_memory(queued))))
+        wait_forecast = self._forecast(now)
+        return Queued(
+            int(wait_forecast.wait(queued, self._required_memory(queued)))
+        )
 
     def _forecast(self, now: Millis) -> forecast.WaitForecast:
         return forecast.WaitForecast(
@@ -306,28 +309,28 @@
         )
 
     def _max_memory(self, length: LengthClass) -> int:
-        """Return the most memory that one prompt of a class may hold."""
+        """Return the maximum memory for one prompt of a class."""
         if length == LengthClass.SHORT:
             return self.memory_tokens
         return int(self.memory_tokens * (1 - self.policy.short_headroom))
 
     def _required_memory(self, queued: QueuedRequest) -> int:
-        """Return the memory that must be free before an ask has its turn."""
-        kept = required_headroom(self._holds, queued.length, self.policy)
+        """Return the memory that must be free before a request's turn."""
+        headroom = required_headroom(self._holds, queued.length, self.policy)
         ahead = memory_ahead(self._queue, queued)
-        return queued.request.memory_tokens + kept + ahead
+        return queued.request.memory_tokens + headroom + ahead
 
     def _grant_queued(self, now: Millis) -> None:
-        """Grant memory to those that may have it now."""
+        """Run one pass over the queue and grant what may be granted."""
         if not len(self._queue):
             return
-        granter = GrantPass(self._holds, self.policy, self._tuning, now)
-        granter.protect_oldest(self._queue, self._protected_start)
-        for waiting in self._queue.ordered():
-            if granter.is_closed:
+        grant_pass = GrantPass(self._holds, self.policy, self._tuning, now)
+        grant_pass.protect_oldest(self._queue, self._protected_start)
+        for queued in self._queue.ordered():
+            if grant_pass.is_closed:
                 break
-            if granter.accept(waiting):
-                self._grant(waiting, now)
+            if grant_pass.accept(queued):
+                self._grant(queued, now)
 
     def _grant(self, queued: QueuedRequest, now: Millis) -> None:
         self._queue.remove(queued.request.attempt_id)
--- a/verbenathread/scheduling/length_classes.py
+++ b/verbenathread/scheduling/length_classes.py
@@ -1,16 +1,17 @@
-"""Length classes of prompts."""
+"""Length classes and priority levels of prompts."""
 
 from verbenathread.schema import settings_pb2
 from verbenathread.types import LengthClass
 
-# Levels of urgency by size: the short class and each doubling after it.
+# Priority levels by prompt size: one for the short class, then one for each
+# doubling of its limit; the last one has no upper limit.
 PRIORITY_LEVELS = 10
 
 
 def length_class(
     prompt_tokens: int, policy: settings_pb2.PolicySettings
 ) -> LengthClass:
-    """Return the class of a prompt under the policy in force."""
+    """Return the length class of a prompt under ``policy``."""
     if prompt_tokens <= policy.short_tokens:
         return LengthClass.SHORT
     if prompt_tokens < policy.long_tokens:
@@ -21,7 +22,7 @@
 def priority_level(
     prompt_tokens: int, policy: settings_pb2.PolicySettings
 ) -> int:
-    """Return the level of a prompt: 0 if short, one more each doubling."""
+    """Return 0 for a short prompt, and one more for each doubling."""
     if prompt_tokens <= policy.short_tokens:
         return 0
     doublings = (prompt_tokens - 1) // policy.short_tokens
--- a/verbenathread/scheduling/limits.py
+++ b/verbenathread/scheduling/limits.py
@@ -1,15 +1,15 @@
-"""Limits per client account over all entries, without a round trip.
+"""Rate limits per client account across all entries, without a round trip.
 
-Each entry counts its own admissions at once and those of the others as their
-usage arrives by gossip, in one bucket per limit. Late usage puts the bucket
-into debt, so that the rate over time is the limit. What one entry may admit
-between two reports is bounded by a second, local bucket; so over any window
-the entries together admit at most::
+Each entry counts its own admissions at once, and those of the other entries
+when their usage arrives by gossip, in one token bucket per limit. Usage that
+arrives late puts the bucket into debt, so that the long-term rate equals the
+limit. A second, local bucket bounds what one entry admits between two usage
+reports. So over any window the entries together admit at most::
 
-    rate * (window + burst + LOCAL_SHARE * (burst + lag))
+    rate * (window + burst + LOCAL_SHARE_FACTOR * (burst + lag))
 
-plus one request per entry, where ``lag`` is the age of the usage heard. An
-entry that hears nothing from the others keeps to its even share.
+plus one request per entry, where ``lag`` is the age of the received usage.
+An entry that receives no usage from the others keeps to its even share.
 """
 
 from collections.abc import Iterable
@@ -19,19 +19,19 @@
 from verbenathread.schema import settings_pb2
 from verbenathread.types import Millis, NodeId, Refusal, RefusalReason
 
-# A bucket holds the rate of this time.
+# Capacity of the request bucket, as a time at its rate.
 BURST: Millis = 3000
-# The same for tokens; one long prompt takes the rate of several seconds.
+# The same for tokens: one long prompt uses the rate of several seconds.
 TOKEN_BURST: Millis = 10000
-# An entry alone may use this many times its even share of the rate.
+# One entry may use up to this many times its even share of the rate.
 LOCAL_SHARE_FACTOR = 3
-# Usage older than this means that the other entries are not heard.
+# Without usage for this time, the other entries count as unreachable.
 USAGE_STALE_AFTER: Millis = 5000
 _MIN_RETRY: Millis = 100
 
 
 class AccountUsage(NamedTuple):
-    """What one entry admitted for an account since it started."""
+    """Total admitted by one entry for an account since the entry started."""
 
     account: str
     requests: float
@@ -40,34 +40,34 @@
 
 
 class TokenBucket:
-    """Tokens that come back at a rate; spending may run into debt."""
+    """Token bucket that refills at a rate and may go into debt."""
 
     def __init__(self, rate: float, now: Millis, burst: Millis) -> None:
-        """Start full; ``rate`` is by second, ``burst`` in ms of the rate."""
+        """Start full; ``rate`` is per second, ``burst`` is ms of that rate."""
         self.rate = rate
         self._capacity = max(1, rate * burst / MS_PER_SECOND)
         self._available = self._capacity
         self._updated_at = now
 
     def available(self, now: Millis) -> float:
-        """Return what may be spent now; below zero is debt."""
-        back = (now - self._updated_at) * self.rate / MS_PER_SECOND
-        self._available = min(self._capacity, self._available + back)
+        """Return what may be spent now; a negative amount is debt."""
+        refilled = (now - self._updated_at) * self.rate / MS_PER_SECOND
+        self._available = min(self._capacity, self._available + refilled)
         self._updated_at = now
         return self._available
 
     def spend(self, amount: float, now: Millis) -> None:
-        """Take ``amount``; a negative one gives back."""
+        """Take ``amount`` out; a negative amount is put back."""
         self._available = self.available(now) - amount
 
     def wait(self, now: Millis) -> Millis:
-        """Return ms until there is one to spend."""
+        """Return ms until at least one may be spent."""
         missing = 1 - self.available(now)
         return max(0, int(missing * MS_PER_SECOND / self.rate) + 1)
 
 
 class _RateLimit:
-    """One rate of one account as this entry sees it."""
+    """One rate limit of one account, as enforced by this entry."""
 
     def __init__(
         self, rate: float, entries: int, burst: Millis, now: Millis
@@ -79,7 +79,7 @@
         self._local = TokenBucket(local, now, burst)
 
     def wait(self, now: Millis, *, is_isolated: bool) -> Millis:
-        """Return ms until the next may go; 0 for now."""
+        """Return ms until the next request may be admitted; 0 is now."""
         share = 1 if is_isolated else LOCAL_SHARE_FACTOR
         self._local.rate = min(self.rate, self.rate * share / self.entries)
         waits = [
@@ -90,18 +90,18 @@
         return max(waits, default=0)
 
     def spend(self, amount: float, now: Millis) -> None:
-        """Count what this entry admits."""
+        """Count an admission of this entry."""
         self._fleet.spend(amount, now)
-        # Debt is paid off in the fleet's bucket, at the whole rate.
+        # Only the fleet's bucket goes into debt: it refills at the full rate.
         self._local.spend(min(amount, self._local.available(now)), now)
 
     def record_remote(self, amount: float, now: Millis) -> None:
-        """Count what another entry admitted."""
+        """Count admissions of another entry."""
         self._fleet.spend(amount, now)
 
 
 class _AccountState:
-    """One account: its limits and what this entry admitted for it."""
+    """Limits of one account, and what this entry admitted for it."""
 
     def __init__(
         self, limits: settings_pb2.AccountSettings, entries: int, now: Millis
@@ -117,18 +117,21 @@
         self.own = AccountUsage('', 0, 0, 0)
 
     def allows_long(self, others: int) -> bool:
-        """Tell whether one more long prompt may run beside the others'."""
-        most = self.limits.long_prompts
-        own_most = max(1, -(-most * LOCAL_SHARE_FACTOR // self.entries))
+        """Return whether one more long prompt may run.
+
+        ``others`` is the number that run through the other entries.
+        """
+        limit = self.limits.long_prompts
+        own_limit = max(1, -(-limit * LOCAL_SHARE_FACTOR // self.entries))
         own = self.own.long_running
-        return others + own < most and own < own_most
+        return others + own < limit and own < own_limit
 
 
 class AccountLimiter:
-    """Decides at this entry whether an account is within its limits."""
+    """Decides at one entry whether accounts are within their limits."""
 
     def __init__(self, entries: int, now: Millis) -> None:
-        """Know that ``entries`` entries share each limit."""
+        """Share each limit among ``entries`` entries."""
         self._entries = entries
         self._state_by_account: dict[str, _AccountState] = {}
         self._usage_received_at: Millis = now
@@ -143,17 +146,17 @@
         *,
         is_long: bool,
     ) -> Refusal | None:
-        """Count one request, or refuse it and say when to come back."""
-        account = self._state(name, limits, now)
-        alone = (
+        """Count one request, or refuse it with the time to retry after."""
+        state = self._state(name, limits, now)
+        is_isolated = (
             self._entries > 1
             and now - self._usage_received_at > USAGE_STALE_AFTER
         )
         wait = max(
-            account.requests.wait(now, is_isolated=alone),
-            account.tokens.wait(now, is_isolated=alone),
+            state.requests.wait(now, is_isolated=is_isolated),
+            state.tokens.wait(now, is_isolated=is_isolated),
         )
-        if is_long and not account.allows_long(self._others_long(name)):
+        if is_long and not state.allows_long(self._others_long(name)):
             wait = max(wait, MS_PER_SECOND)
         if wait:
             return Refusal(
@@ -161,10 +164,10 @@
                 'The account is over its limit; send more slowly.',
                 max(wait, _MIN_RETRY),
             )
-        account.requests.spend(1, now)
-        account.tokens.spend(tokens, now)
-        own = account.own
-        account.own = own._replace(
+        state.requests.spend(1, now)
+        state.tokens.spend(tokens, now)
+        own = state.own
+        state.own = own._replace(
             requests=own.requests + 1,
             tokens=own.tokens + tokens,
             long_running=own.long_running + is_long,
@@ -174,13 +177,13 @@
     def finish(
         self, name: str, unspent: int, now: Millis, *, is_long: bool
     ) -> None:
-        """Note the end of an admitted request; give back unspent tokens."""
-        account = self._state_by_account.get(name)
-        if account is None:
+        """Record the end of an admitted request; return unspent tokens."""
+        state = self._state_by_account.get(name)
+        if state is None:
             return
-        account.tokens.spend(-unspent, now)
-        own = account.own
-        account.own = own._replace(
+        state.tokens.spend(-unspent, now)
+        own = state.own
+        state.own = own._replace(
             tokens=own.tokens - unspent,
             long_running=max(0, own.long_running - is_long),
         )
@@ -188,45 +191,46 @@
     def usage(self) -> list[AccountUsage]:
         """Return the usage of this entry, to be gossiped."""
         return [
-            account.own._replace(account=name)
-            for name, account in self._state_by_account.items()
+            state.own._replace(account=name)
+            for name, state in self._state_by_account.items()
         ]
 
     def record_usage(
         self, entry_id: NodeId, usages: Iterable[AccountUsage], now: Millis
     ) -> None:
-        """Count what another entry says that it admitted."""
+        """Count the admissions that another entry reports."""
         self._usage_received_at = now
-        heard = self._usage_by_entry.get(entry_id)
-        if heard is None:
-            # What it admitted before this entry listened is not known.
-            heard = {usage.account: usage for usage in usages}
-            self._usage_by_entry[entry_id] = heard
+        last_by_account = self._usage_by_entry.get(entry_id)
+        if last_by_account is None:
+            # When the totals of a first report were admitted is not known, so
+            # they are only the baseline for the next one.
+            last_by_account = {usage.account: usage for usage in usages}
+            self._usage_by_entry[entry_id] = last_by_account
         for usage in usages:
-            last = heard.get(usage.account)
+            last = last_by_account.get(usage.account)
             if usage == last:
                 continue
-            heard[usage.account] = usage
-            account = self._state_by_account.get(usage.account)
-            if account is None:
+            last_by_account[usage.account] = usage
+            state = self._state_by_account.get(usage.account)
+            if state is None:
                 continue
             if last is None:
                 last = AccountUsage(usage.account, 0, 0, 0)
             if last.requests <= usage.requests:
-                account.requests.record_remote(
+                state.requests.record_remote(
                     usage.requests - last.requests, now
                 )
-                account.tokens.record_remote(usage.tokens - last.tokens, now)
+                state.tokens.record_remote(usage.tokens - last.tokens, now)
 
     def forget_entry(self, entry_id: NodeId) -> None:
-        """Drop the usage of an entry that is gone."""
+        """Remove the usage of an entry that is gone."""
         self._usage_by_entry.pop(entry_id, None)
 
     def _others_long(self, name: str) -> int:
-        """Return the long prompts that the other entries run."""
+        """Return the number of long prompts of the other entries."""
         running = 0
-        for heard in self._usage_by_entry.values():
-            usage = heard.get(name)
+        for usage_by_account in self._usage_by_entry.values():
+            usage = usage_by_account.get(name)
             if usage is not None:
                 running += usage.long_running
         return running
@@ -234,13 +238,13 @@
     def _state(
         self, name: str, limits: settings_pb2.AccountSettings, now: Millis
     ) -> _AccountState:
-        known = self._state_by_account.get(name)
-        if known is not None:
-            same_limits = known.limits == limits
-            if same_limits and known.entries == self._entries:
-                return known
-        account = _AccountState(limits, self._entries, now)
-        if known is not None:
-            account.own = known.own
-        self._state_by_account[name] = account
-        return account
+        current = self._state_by_account.get(name)
+        if current is not None:
+            same_limits = current.limits == limits
+            if same_limits and current.entries == self._entries:
+                return current
+        state = _AccountState(limits, self._entries, now)
+        if current is not None:
+            state.own = current.own
+        self._state_by_account[name] = state
+        return state
--- a/verbenathread/scheduling/messages.py
+++ b/verbenathread/scheduling/messages.py
@@ -1,4 +1,4 @@
-"""What entries and the owner of an engine's memory tell one another."""
+"""Messages between entries and the owner of an engine's memory."""
 
 from typing import NamedTuple
 
@@ -6,32 +6,33 @@
 
 
 class ReservationRequest(NamedTuple):
-    """A request for memory of one engine, for one attempt."""
+    """Requests memory of one engine for one attempt."""
 
     work: Work
     attempt_id: str
     entry_id: NodeId
-    # Prompt and most output, or this engine's part of them in a group.
+    # Prompt plus maximum output, or this engine's share of them in a group.
     memory_tokens: int
-    # Share of the account when accounts compete.
+    # Weight of the account in fair queueing.
     weight: float = 1.0
-    # All engines of the group in ascending order; empty for one engine.
+    # All engines of the group in ascending order; empty for a single engine.
     group: tuple[UpstreamId, ...] = ()
-    # Order between groups, the same at every owner: the asking entry's wall
-    # clock. Lower goes first; equal ones go by the attempt identifier.
+    # Wall clock of the requesting entry, which orders groups the same way at
+    # every owner. Lower goes first; ties are broken by attempt identifier.
     group_timestamp: Millis = 0
-    # The work was admitted before, so the owner does its best for it.
+    # Already admitted: the owner queues it without the queue limit and the
+    # deadline check.
     admitted: bool = False
 
 
 class Queued(NamedTuple):
-    """The ask waits in the owner's queue."""
+    """Reports that a request waits in the owner's queue."""
 
     expected_wait: Millis
 
 
 class EngineHold(NamedTuple):
-    """One attempt that an engine says it runs, read at takeover."""
+    """An attempt that an engine reports as running, read at takeover."""
 
     attempt_id: str
     memory_tokens: int
@@ -41,20 +42,20 @@
 
 
 class EngineReport(NamedTuple):
-    """Load of one engine as its owner knows it, small enough to gossip."""
+    """Load of one engine as seen by its owner, small enough to gossip."""
 
     upstream_id: UpstreamId
-    # Grows with each report of one owner; an older one is ignored.
+    # Increases with each report of one owner.
     sequence: int
     memory_tokens: int
     free_tokens: int
-    # Requests that run and that wait.
+    # Numbers of running and of queued requests.
     running: int
     queued: int
-    # Expected prefill not yet done, by length class, in ms.
+    # Expected remaining prefill, by length class, in ms.
     backlog_by_class: tuple[Millis, Millis, Millis]
-    # Prefill granted since the ledger began, by length class, in ms.
+    # Prefill granted since the ledger was created, by length class, in ms.
     granted_by_class: tuple[Millis, Millis, Millis]
-    # Expected prefill time of 1,000 tokens, and of one output token, in us.
+    # Expected time to prefill 1,000 tokens and to generate one token, in us.
     prefill_us: int
     output_us: int
--- a/verbenathread/scheduling/outliers.py
+++ b/verbenathread/scheduling/outliers.py
@@ -1,23 +1,23 @@
-"""Engines that fail are put aside, and let back by probes."""
+"""Outlier ejection: engines that fail are passed over until a probe works."""
 
 from typing import NamedTuple
 
 from verbenathread.types import Millis, UpstreamId
 
-# Failures in a row that put an engine aside.
+# Consecutive failures that eject an engine.
 CONSECUTIVE_FAILURES = 3
 BASE_EJECTION: Millis = 2000
 _MAX_EJECTION: Millis = 60000
-# A probe that is not heard of for this long counts as failed.
+# A probe without a result for this long counts as failed.
 PROBE_TIMEOUT: Millis = 30000
 
 
 class _Health(NamedTuple):
-    """What attempts at one engine came to."""
+    """Recent failures and ejections of one engine."""
 
     failures: int = 0
     ejections: int = 0
-    # Nothing but a probe goes there after this time, nothing before it.
+    # Nothing is sent before this time, and only a probe after it.
     ejected_until: Millis | None = None
     probed_at: Millis | None = None
 
@@ -26,17 +26,17 @@
 
 
 class OutlierTracker:
-    """Failures in a row by engine, as one entry sees them."""
+    """Consecutive failures by engine, as seen by one entry."""
 
     def __init__(self) -> None:
-        """Think well of every engine."""
+        """Start with every engine healthy."""
         self._health_by_id: dict[UpstreamId, _Health] = {}
 
     def ejected(self, now: Millis) -> frozenset[UpstreamId]:
-        """Return the engines that the next request must pass over.
+        """Return the engines that the next request must not use.
 
-        One that waits for a probe is not among them, until the probe is
-        sent. If every engine were aside the caller should try any of them.
+        An engine that is due for a probe is left out until the probe is sent.
+        If every engine is ejected, the caller should try any of them.
         """
         return frozenset(
             upstream_id
@@ -45,17 +45,17 @@
         )
 
     def record_sent(self, upstream_id: UpstreamId, now: Millis) -> None:
-        """Note an attempt; at an engine put aside it is the probe."""
+        """Record an attempt; at an ejected engine it is the probe."""
         health = self._health_by_id.get(upstream_id, _HEALTHY)
         if health.ejected_until is not None:
             self._health_by_id[upstream_id] = health._replace(probed_at=now)
 
     def record_success(self, upstream_id: UpstreamId) -> None:
-        """Let the engine back."""
+        """End the engine's ejection and reset its failures."""
         self._health_by_id.pop(upstream_id, None)
 
     def record_failure(self, upstream_id: UpstreamId, now: Millis) -> None:
-        """Count a failure; put the engine aside when there are enough."""
+        """Count a failure; eject the engine once there are enough."""
         health = self._health_by_id.get(upstream_id, _HEALTHY)
         failures = health.failures + 1
         health = health._replace(failures=failures, probed_at=None)
@@ -68,7 +68,7 @@
         self._health_by_id[upstream_id] = health
 
     def eject(self, upstream_id: UpstreamId, now: Millis) -> None:
-        """Put an engine aside on somebody's word, for the first time span."""
+        """Eject an engine at a peer's request, for the base time."""
         health = self._health_by_id.get(upstream_id, _HEALTHY)
         until = max(health.ejected_until or 0, now + BASE_EJECTION)
         self._health_by_id[upstream_id] = health._replace(
@@ -76,7 +76,7 @@
         )
 
     def forget(self, upstream_id: UpstreamId) -> None:
-        """Drop what is known of an engine, as when it starts anew."""
+        """Remove the state of an engine, as when it restarts."""
         self._health_by_id.pop(upstream_id, None)
 
 
--- a/verbenathread/scheduling/usage.py
+++ b/verbenathread/scheduling/prefill_usage.py
@@ -1,4 +1,4 @@
-"""What an engine's owner measures of the engine's prefill."""
+"""Measurements of an engine's prefill, taken by its owner."""
 
 import math
 
@@ -13,28 +13,28 @@
 
 
 class PrefillUsage:
-    """Use of the engine's prefill, by length class and by level."""
+    """Prefill time granted at one engine, by length class and by level."""
 
     def __init__(self) -> None:
-        """Start with no use."""
+        """Start with nothing granted."""
         self._granted: list[float] = [0 for _ in LengthClass]
         self._decayed: list[float] = [0 for _ in range(PRIORITY_LEVELS)]
         self._decayed_at: Millis = 0
 
     def record(self, queued: QueuedRequest, now: Millis) -> None:
-        """Count a grant of some ms of prefill."""
+        """Count the prefill of a granted request."""
         self._decay(now)
         self._granted[queued.length] += queued.prefill_ms
         self._decayed[queued.level] += queued.prefill_ms
 
     def more_urgent_share(self, level: int, now: Millis) -> float:
-        """Return the share that more urgent levels take, at most 0.9."""
+        """Return the share of time used by more urgent levels, at most 0.9."""
         self._decay(now)
-        above = sum(self._decayed[:level])
-        return min(_MAX_SHARE, above * math.log(2) / _HALF_LIFE_MS)
+        more_urgent = sum(self._decayed[:level])
+        return min(_MAX_SHARE, more_urgent * math.log(2) / _HALF_LIFE_MS)
 
     def granted_by_class(self) -> tuple[Millis, Millis, Millis]:
-        """Return the prefill granted so far, by class, in ms."""
+        """Return the total prefill granted, by length class, in ms."""
         short, middle, long = self._granted
         return int(short), int(middle), int(long)
 
@@ -48,10 +48,10 @@
 
 
 class BusyPeriodMeter:
-    """Busy periods of the engine's prefill, which teach its cost."""
+    """Measures busy periods of the engine's prefill."""
 
     def __init__(self, cost: PrefillCost) -> None:
-        """Teach ``cost`` after each busy period."""
+        """Add each busy period to the estimates of ``cost``."""
         self._cost = cost
         self._outstanding = 0
         self._started_at: Millis = 0
@@ -59,7 +59,7 @@
         self._is_valid = True
 
     def record_start(self, now: Millis) -> None:
-        """Note that the engine took one attempt."""
+        """Record that the engine has accepted an attempt."""
         if not self._outstanding:
             self._started_at = now
             self._prompts = []
@@ -67,17 +67,18 @@
         self._outstanding += 1
 
     def record_first_token(self, hold: Hold, now: Millis) -> None:
-        """Note the first token of one attempt."""
+        """Record the first token of an attempt."""
         if hold.started_at is None:
             return
         if hold.request.group or not hold.request.work.service:
-            # Its time is not that of the whole prompt on this engine.
+            # The engine prefills only a part of a group's prompt. One that
+            # was restored at a takeover had started before.
             self._is_valid = False
         self._prompts.append(hold.request.work.prompt_tokens)
         self._finish_one(now)
 
     def record_drop(self, hold: Hold, now: Millis) -> None:
-        """Note that one attempt ended, perhaps before its first token."""
+        """Record the end of an attempt, perhaps before its first token."""
         if hold.started_at is None or hold.first_token_at is not None:
             return
         self._is_valid = False
--- a/verbenathread/scheduling/prefixes.py
+++ b/verbenathread/scheduling/prefixes.py
@@ -1,7 +1,8 @@
-"""Which prefixes each engine has cached, from numbered events with gaps.
+"""Index of the prefixes that each engine has cached.
 
-A prefix is known by hashes over its first 1, 2, 4, ... blocks, so that a
-prompt of a million tokens has eleven of them.
+The index follows numbered events of the engines, some of which may be lost.
+A prompt has hashes over its first 1, 2, 4, ... blocks, so that one of a
+million tokens has eleven of them.
 """
 
 import hashlib
@@ -10,24 +11,24 @@
 
 from verbenathread.types import UpstreamId
 
-# Tokens under the first hash; each next one covers twice as many.
+# Tokens that the first hash covers; each further hash covers twice as many.
 BLOCK_TOKENS = 1024
 _MAX_HASHES = 11
 _HASH_BYTES = 8
 
 
 class CacheEvent(NamedTuple):
-    """What an engine's cache gained and lost since its last event."""
+    """Hashes that an engine's cache added and removed since its last event."""
 
     sequence: int
     added: tuple[int, ...] = ()
     removed: tuple[int, ...] = ()
-    # The event lists all that is cached; it may follow any number.
+    # The event lists all cached hashes, and may follow any sequence number.
     is_snapshot: bool = False
 
 
 class _CachedPrefixes(NamedTuple):
-    """Hashes cached by one engine, as of an event."""
+    """Hashes cached by one engine as of an event."""
 
     sequence: int
     hashes: frozenset[int]
@@ -37,44 +38,45 @@
 
 
 class PrefixIndex:
-    """Cached prefixes by engine, as one entry heard of them."""
+    """Cached prefixes by engine, from the events that one entry received."""
 
     def __init__(self) -> None:
-        """Know of nothing cached."""
+        """Start empty."""
         self._cached_by_id: dict[UpstreamId, _CachedPrefixes] = {}
         self._holders_by_hash: dict[int, set[UpstreamId]] = {}
 
     def apply(self, upstream_id: UpstreamId, event: CacheEvent) -> bool:
-        """Take an event; False asks for a snapshot, as some were lost.
+        """Apply an event; return False if a snapshot is needed.
 
-        After a gap nothing is known of the engine until its snapshot.
+        After a gap in the sequence numbers the engine has no entries until
+        its next snapshot.
         """
-        known = self._cached_by_id.get(upstream_id)
+        current = self._cached_by_id.get(upstream_id)
         if event.is_snapshot:
-            if known is None or event.sequence >= known.sequence:
+            if current is None or event.sequence >= current.sequence:
                 self._replace(
                     upstream_id, event.sequence, frozenset(event.added)
                 )
             return True
-        if known is None:
+        if current is None:
             return False
-        if event.sequence <= known.sequence:
+        if event.sequence <= current.sequence:
             return True
-        if event.sequence > known.sequence + 1:
+        if event.sequence > current.sequence + 1:
             self.forget(upstream_id)
             return False
-        hashes = (known.hashes - set(event.removed)) | set(event.added)
+        hashes = (current.hashes - set(event.removed)) | set(event.added)
         self._replace(upstream_id, event.sequence, hashes)
         return True
 
     def forget(self, upstream_id: UpstreamId) -> None:
-        """Drop what is known of an engine, as when it starts anew."""
+        """Remove the entries of an engine, as when it restarts."""
         if upstream_id in self._cached_by_id:
             self._replace(upstream_id, 0, frozenset())
             self._cached_by_id.pop(upstream_id)
 
     def holders(self, prefix_hashes: Sequence[int]) -> list[UpstreamId]:
-        """Return the engines with the longest prefix that any has cached."""
+        """Return the engines that have the longest cached prefix."""
         for prefix in reversed(prefix_hashes):
             holders = self._holders_by_hash.get(prefix)
             if holders:
@@ -84,28 +86,28 @@
     def cached_tokens(
         self, upstream_id: UpstreamId, prefix_hashes: Sequence[int]
     ) -> int:
-        """Return how many leading tokens the engine has cached."""
-        known = self._cached_by_id.get(upstream_id)
-        if known is None:
+        """Return the number of leading tokens that the engine has cached."""
+        current = self._cached_by_id.get(upstream_id)
+        if current is None:
             return 0
-        return covered_tokens(prefix_hashes, known.hashes)
+        return covered_tokens(prefix_hashes, current.hashes)
 
     def _replace(
         self, upstream_id: UpstreamId, sequence: int, hashes: frozenset[int]
     ) -> None:
-        known = self._cached_by_id.get(upstream_id, _NOTHING_CACHED)
-        for lost in known.hashes - hashes:
-            holders = self._holders_by_hash[lost]
+        current = self._cached_by_id.get(upstream_id, _NOTHING_CACHED)
+        for removed in current.hashes - hashes:
+            holders = self._holders_by_hash[removed]
             holders.discard(upstream_id)
             if not holders:
-                self._holders_by_hash.pop(lost)
-        for added in hashes - known.hashes:
+                self._holders_by_hash.pop(removed)
+        for added in hashes - current.hashes:
             self._holders_by_hash.setdefault(added, set()).add(upstream_id)
         self._cached_by_id[upstream_id] = _CachedPrefixes(sequence, hashes)
 
 
 def covered_tokens(prefix_hashes: Sequence[int], cached: Container[int]) -> int:
-    """Return the tokens under the longest prefix that is cached."""
+    """Return the number of tokens in the longest cached prefix."""
     for position in reversed(range(len(prefix_hashes))):
         if prefix_hashes[position] in cached:
             return BLOCK_TOKENS << position
@@ -113,7 +115,7 @@
 
 
 def hash_prefixes(prompt: bytes, bytes_per_token: float) -> tuple[int, ...]:
-    """Return the hashes of the leading blocks of a prompt."""
+    """Return the hashes of the prompt's prefixes, the shortest first."""
     hashes: list[int] = []
     size = int(BLOCK_TOKENS * bytes_per_token)
     hasher = hashlib.blake2b(digest_size=_HASH_BYTES)
--- a/verbenathread/scheduling/queueing.py
+++ b/verbenathread/scheduling/queueing.py
@@ -1,4 +1,4 @@
-"""The queue of one engine: levels of urgency and fair shares."""
+"""The queue of one engine: priority levels and fair queueing."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -12,18 +12,18 @@
 
 
 class QueuedRequest(NamedTuple):
-    """One ask in the queue."""
+    """A reservation request in the queue."""
 
     request: ReservationRequest
     length: LengthClass
-    # Expected prefill in ms.
+    # Expected time of prefill.
     prefill_ms: float
     queued_at: Millis
-    # Lower is more urgent, here and at the engine.
+    # Priority level; lower is more urgent, here and at the engine.
     level: int = 0
-    # Expected ms of generation.
+    # Expected time of generation.
     output_ms: float = 0
-    # Virtual finish of the account's share; smaller goes first.
+    # Virtual finish time in fair queueing; lower goes first.
     virtual_finish: float = 0
 
 
@@ -34,7 +34,7 @@
     tuning: Tuning,
     now: Millis,
 ) -> QueuedRequest:
-    """Return the queue's view of an ask that arrives now."""
+    """Return the queue entry of a request that arrives now."""
     prefill = cost.prefill(request.work.prompt_tokens)
     if request.group:
         prefill /= len(request.group)
@@ -49,7 +49,7 @@
 
 
 def queue_key(queued: QueuedRequest) -> tuple[int, float, Millis, str]:
-    """Return the sort key of one ask; lower goes first."""
+    """Return the sort key of a queued request; lower goes first."""
     level = queued.level
     return (
         level,
@@ -60,10 +60,10 @@
 
 
 class RequestQueue:
-    """Asks in the order in which memory goes to them.
+    """Reservation requests in the order in which they are granted.
 
-    Between accounts the order is self-clocked fair queueing by weight
-    (Golestani 1994), where that is on; between levels shorter goes first.
+    Lower levels go first. Within a level, accounts share by weight through
+    self-clocked fair queueing (Golestani 1994) if ``tuning`` enables it.
     """
 
     def __init__(self, tuning: Tuning) -> None:
@@ -74,19 +74,19 @@
         self._virtual_time: float = 0
 
     def __len__(self) -> int:
-        """Return how many wait."""
+        """Return the number of queued requests."""
         return len(self._by_attempt)
 
     def __iter__(self) -> Iterator[QueuedRequest]:
-        """Go over all that wait, in the order of their arrival."""
+        """Iterate over the queue in the order of arrival."""
         return iter(self._by_attempt.values())
 
     def get(self, attempt_id: str) -> QueuedRequest | None:
-        """Return one that waits, or None."""
+        """Return the queued request of an attempt, or None."""
         return self._by_attempt.get(attempt_id)
 
     def with_virtual_finish(self, queued: QueuedRequest) -> QueuedRequest:
-        """Return an ask with the place that it would get now."""
+        """Return the request with the virtual finish it would get now."""
         if not self._tuning.fair_queueing:
             return queued
         account = queued.request.work.account
@@ -95,22 +95,22 @@
         return queued._replace(virtual_finish=finish)
 
     def add(self, queued: QueuedRequest) -> None:
-        """Put an ask that is placed into the queue."""
+        """Add a request whose virtual finish is set."""
         account = queued.request.work.account
         self._finish_by_account[account] = queued.virtual_finish
         self._by_attempt[queued.request.attempt_id] = queued
 
     def remove(self, attempt_id: str) -> QueuedRequest | None:
-        """Take one out, if it waits."""
-        waiting = self._by_attempt.pop(attempt_id, None)
+        """Remove and return the request of an attempt, if it is queued."""
+        queued = self._by_attempt.pop(attempt_id, None)
         if not self._by_attempt:
-            # Nobody competes, so no account owes anything.
+            # No accounts compete, so fair queueing starts afresh.
             self._finish_by_account.clear()
             self._virtual_time = 0
-        elif waiting is not None:
-            self._virtual_time = max(self._virtual_time, waiting.virtual_finish)
-        return waiting
+        elif queued is not None:
+            self._virtual_time = max(self._virtual_time, queued.virtual_finish)
+        return queued
 
     def ordered(self) -> list[QueuedRequest]:
-        """Return all that wait, the most urgent first."""
+        """Return all queued requests, the most urgent first."""
         return sorted(self._by_attempt.values(), key=queue_key)
--- a/verbenathread/scheduling/retries.py
+++ b/verbenathread/scheduling/retries.py
@@ -1,4 +1,4 @@
-"""Retries: only what may be repeated, within a budget, after a backoff."""
+"""Retries of what is safe to repeat, with a budget and backoff."""
 
 import random
 from typing import NamedTuple
@@ -12,8 +12,8 @@
 )
 
 _MAX_BACKOFF: Millis = 5000
-# Retries that a quiet entry may make before its traffic earns more: one
-# engine's death breaks all of its streams at this entry at once.
+# Retries that an entry with little traffic may make before its requests earn
+# more: the failure of one engine breaks all of its streams at once.
 _INITIAL_BUDGET = 10.0
 _MAX_BUDGET = 50.0
 
@@ -25,18 +25,18 @@
 
 
 class RetryPolicy:
-    """Retries of one entry, as a share of its first attempts."""
+    """Limits the retries of one entry to a share of its first attempts."""
 
     def __init__(
         self, policy: settings_pb2.PolicySettings, rng: random.Random
     ) -> None:
-        """Start with a small budget; ``rng`` decides the jitter."""
+        """Start with the initial budget; ``rng`` draws the jitter."""
         self.policy = policy
         self._rng = rng
         self._budget = _INITIAL_BUDGET
 
     def record_first_attempt(self) -> None:
-        """Count a first attempt, which earns a share of a retry."""
+        """Count a first attempt, which adds a share of a retry."""
         earned = self._budget + self.policy.retry_share
         self._budget = min(_MAX_BUDGET, earned)
 
@@ -49,10 +49,11 @@
         *,
         repeatable: bool,
     ) -> Retry | Refusal:
-        """Return when to try again, or why not.
+        """Return a retry, or a refusal with the reason for none.
 
-        ``attempts`` is how many were made. What may have run is repeated
-        only if it is ``repeatable``; what did not run always may be.
+        ``attempts`` is the number made so far. A request that may have run
+        is retried only if it is ``repeatable``; one that did not run always
+        may be.
         """
         if outcome is Outcome.UNKNOWN and not repeatable:
             return _refused('The outcome is unknown; look before repeating.')
@@ -67,9 +68,9 @@
         return Retry(delay)
 
     def backoff(self, attempts: int) -> Millis:
-        """Return a delay with full jitter, doubling with each attempt."""
-        most = self.policy.retry_base * 2 ** (attempts - 1)
-        return self._rng.randint(0, min(most, _MAX_BACKOFF))
+        """Return a delay with full jitter; its maximum doubles each time."""
+        maximum = self.policy.retry_base * 2 ** (attempts - 1)
+        return self._rng.randint(0, min(maximum, _MAX_BACKOFF))
 
 
 def _refused(message: str) -> Refusal:
--- a/verbenathread/scheduling/router.py
+++ b/verbenathread/scheduling/router.py
@@ -1,4 +1,4 @@
-"""Choice of engines by one entry, from late load reports and own sends."""
+"""Choice of engines by one entry, from delayed reports and its own sends."""
 
 import bisect
 import random
@@ -18,24 +18,26 @@
     Work,
 )
 
-# A report tells of the engine as it was this long ago.
+# Age of the engine state in a report when it arrives.
 REPORT_LAG: Millis = 1000
 _US_PER_MS = 1000
+# Prefill time of 1,000 tokens that is assumed before the first report.
 _DEFAULT_PREFILL_US = 50000
 _TOKENS_PER_SAMPLE = 1000
-# Expected wait for memory where the report shows too little.
+# Wait for memory at an engine with none free; less in proportion to the share
+# of the required memory that is free.
 _MEMORY_WAIT_PENALTY: Millis = 2000
 # Each running request slows the prefill of the others by this share.
 _SLOWDOWN_PER_RUNNING = 0.008
-# A more urgent prompt waits for the end of a chunk of one that runs.
+# A more urgent prompt waits for the end of the chunk that is being prefilled.
 _CHUNK_WAIT: Millis = 15
 _LONG = LengthClass.LONG
-# Engines drawn among those that have the prompt's beginning cached.
+# Number of engines to add that have a prefix of the prompt cached.
 _MAX_CACHE_HOLDERS = 2
 
 
 class _UnreportedSend(NamedTuple):
-    """One send of this entry that no report shows yet."""
+    """A request sent by this entry that no load report includes yet."""
 
     request_id: str
     sent_at: Millis
@@ -45,7 +47,7 @@
 
 
 class _EngineState(NamedTuple):
-    """What this entry knows of one engine."""
+    """Last report of one engine, and the sends that it doesn't include."""
 
     report: EngineReport | None
     received_at: Millis
@@ -56,10 +58,10 @@
 
 
 class Router:
-    """Orders a few sampled engines by the wait that a prompt should expect.
+    """Orders a few sampled engines by the expected wait of a prompt.
 
-    A sample of some engines (the power of two choices, Mitzenmacher 2001)
-    keeps entries with equal, late reports from all choosing the same one.
+    Random sampling (the power of two choices, Mitzenmacher 2001) keeps
+    entries with the same delayed reports from all choosing the same engine.
     """
 
     def __init__(
@@ -69,7 +71,7 @@
         tuning: Tuning = CURRENT,
         prefixes: PrefixIndex | None = None,
     ) -> None:
-        """Know nothing of any engine; ``rng`` decides the samples."""
+        """Start without reports; ``rng`` draws the samples."""
         self.policy = policy
         self.sampled_count = 0
         self._rng = rng
@@ -85,17 +87,19 @@
         failed: Collection[UpstreamId] = (),
         min_engines: int = 1,
     ) -> list[UpstreamId]:
-        """Return sampled engines, the one with the least wait first.
+        """Return sampled engines, the one with the shortest wait first.
 
-        ``records`` are the engines of the service by their identifier; those
-        in ``failed`` are passed over. A group needs at least
-        ``least`` engines, and gets a sample of more.
+        ``records`` are the engines of the service, sorted by identifier;
+        those in ``failed`` are left out. A group needs at least
+        ``min_engines``, and gets a larger sample.
         """
-        wanted = self.policy.candidates + len(failed) + 2 * (min_engines - 1)
+        sample_size = (
+            self.policy.candidates + len(failed) + 2 * (min_engines - 1)
+        )
         sample = [
             record
             for record in self._with_holders(
-                work, records, self._sample(records, wanted)
+                work, records, self._sample(records, sample_size)
             )
             if record.upstream_id not in failed
         ]
@@ -106,45 +110,45 @@
         return [upstream_id for _, upstream_id in sorted(scored)]
 
     def record_report(self, report: EngineReport, now: Millis) -> None:
-        """Take a load report; an older one than the last is ignored."""
-        seen = self._state_by_id.get(report.upstream_id, _UNKNOWN_STATE)
+        """Store a load report, and drop the sends that it includes."""
+        state = self._state_by_id.get(report.upstream_id, _UNKNOWN_STATE)
         fresh = tuple(
-            sent for sent in seen.sends if sent.sent_at > now - REPORT_LAG
+            sent for sent in state.sends if sent.sent_at > now - REPORT_LAG
         )
         self._state_by_id[report.upstream_id] = _EngineState(report, now, fresh)
 
     def record_sent(
         self, upstream_id: UpstreamId, work: Work, now: Millis
     ) -> None:
-        """Count a send that no report shows yet."""
-        seen = self._state_by_id.get(upstream_id, _UNKNOWN_STATE)
+        """Count a send until a report includes it."""
+        state = self._state_by_id.get(upstream_id, _UNKNOWN_STATE)
         sent = _UnreportedSend(
             work.request_id,
             now,
             length_class(work.prompt_tokens, self.policy),
-            self._prefill(seen, work.prompt_tokens),
+            self._prefill(state, work.prompt_tokens),
             work.prompt_tokens + work.most_output_tokens,
         )
-        self._state_by_id[upstream_id] = seen._replace(
-            sends=(*seen.sends, sent)
+        self._state_by_id[upstream_id] = state._replace(
+            sends=(*state.sends, sent)
         )
 
     def record_done(self, upstream_id: UpstreamId, work: Work) -> None:
-        """Stop counting a send that has ended or never went out."""
-        seen = self._state_by_id.get(upstream_id, _UNKNOWN_STATE)
+        """Stop counting a send that has ended or was never made."""
+        state = self._state_by_id.get(upstream_id, _UNKNOWN_STATE)
         rest = tuple(
-            sent for sent in seen.sends if sent.request_id != work.request_id
+            sent for sent in state.sends if sent.request_id != work.request_id
         )
-        self._state_by_id[upstream_id] = seen._replace(sends=rest)
+        self._state_by_id[upstream_id] = state._replace(sends=rest)
 
     def forget(self, upstream_id: UpstreamId) -> None:
-        """Drop what is known of an engine that is gone."""
+        """Remove the state of an engine that is gone."""
         self._state_by_id.pop(upstream_id, None)
 
     def _sample(
-        self, records: Sequence[UpstreamRecord], wanted: int
+        self, records: Sequence[UpstreamRecord], sample_size: int
     ) -> list[UpstreamRecord]:
-        count = min(len(records), wanted)
+        count = min(len(records), sample_size)
         self.sampled_count += count
         drawn = self._rng.sample(range(len(records)), count)
         return [records[position] for position in drawn]
@@ -152,31 +156,31 @@
     def _expected_wait(
         self, work: Work, record: UpstreamRecord, now: Millis
     ) -> float:
-        """Return expected ms before the first token."""
-        seen = self._state_by_id.get(record.upstream_id, _UNKNOWN_STATE)
+        """Return the expected ms until the first token."""
+        state = self._state_by_id.get(record.upstream_id, _UNKNOWN_STATE)
         length = length_class(work.prompt_tokens, self.policy)
-        prefill = self._prefill(seen, work.prompt_tokens)
+        prefill = self._prefill(state, work.prompt_tokens)
         cached = self._cached(work, record)
         free = record.memory_tokens
         wait: float = 0
-        if seen.report is not None:
-            free = seen.report.free_tokens
-            backlog = sum(seen.report.backlog_by_class[: length + 1])
-            wait += max(0, backlog - (now - seen.received_at))
-            wait += seen.report.running * _SLOWDOWN_PER_RUNNING * prefill
-            if sum(seen.report.backlog_by_class[length + 1 :]) > 0:
+        if state.report is not None:
+            free = state.report.free_tokens
+            backlog = sum(state.report.backlog_by_class[: length + 1])
+            wait += max(0, backlog - (now - state.received_at))
+            wait += state.report.running * _SLOWDOWN_PER_RUNNING * prefill
+            if sum(state.report.backlog_by_class[length + 1 :]) > 0:
                 wait += _CHUNK_WAIT
-        for sent in seen.sends:
+        for sent in state.sends:
             free -= sent.memory_tokens
             if sent.length <= length:
                 wait += max(0, sent.prefill_ms - (now - sent.sent_at))
-        needed = work.prompt_tokens + work.most_output_tokens
-        if needed > free:
-            wait += _MEMORY_WAIT_PENALTY * (needed - free) / needed
-        return wait + prefill - self._prefill(seen, cached)
+        required = work.prompt_tokens + work.most_output_tokens
+        if required > free:
+            wait += _MEMORY_WAIT_PENALTY * (required - free) / required
+        return wait + prefill - self._prefill(state, cached)
 
     def _cached(self, work: Work, record: UpstreamRecord) -> int:
-        """Return the leading tokens that the engine has cached."""
+        """Return the number of leading tokens that the engine has cached."""
         if not self._has_affinity(work):
             return 0
         return self._prefixes.cached_tokens(
@@ -193,18 +197,20 @@
         records: Sequence[UpstreamRecord],
         sample: list[UpstreamRecord],
     ) -> list[UpstreamRecord]:
-        """Add a few engines that have the beginning of the prompt cached."""
+        """Add some engines that have a prefix of the prompt cached."""
         if not self._has_affinity(work):
             return sample
         holders = self._prefixes.holders(work.prefix_hashes)
         drawn = self._rng.sample(holders, min(_MAX_CACHE_HOLDERS, len(holders)))
-        known = {record.upstream_id for record in sample}
+        sampled = {record.upstream_id for record in sample}
         for upstream_id in drawn:
-            place = bisect.bisect_left(records, upstream_id, key=_upstream_id)
-            if upstream_id in known or place == len(records):
+            position = bisect.bisect_left(
+                records, upstream_id, key=_upstream_id
+            )
+            if upstream_id in sampled or position == len(records):
                 continue
-            if records[place].upstream_id == upstream_id:
-                sample.append(records[place])
+            if records[position].upstream_id == upstream_id:
+                sample.append(records[position])
         return sample
 
     def _prefill(self, state: _EngineState, tokens: int) -> float:
--- a/verbenathread/scheduling/tuning.py
+++ b/verbenathread/scheduling/tuning.py
@@ -1,4 +1,4 @@
-"""Which mechanisms of the policy are on, so that each can be measured."""
+"""Mechanisms and constants of the scheduling policy."""
 
 from typing import NamedTuple
 
@@ -8,38 +8,41 @@
 class Tuning(NamedTuple):
     """Switches and constants of the scheduling policy.
 
-    Operators set :class:`PolicySettings`; these stay in the code, and the
-    replay turns them one at a time to measure what each is worth.
+    Operators set :class:`PolicySettings`; these are fixed in the code, and
+    replays change one at a time to measure its effect.
     """
 
-    # Shorter classes go first; without it the queue is first in, first out.
+    # Shorter classes go first; otherwise the queue is first in, first out.
     class_priority: bool = True
-    # Prefill of short, and of middle, prompts in progress at the engine; more
-    # waits in the ledger, where it can still go elsewhere. 0 lets all through.
+    # Limits on the expected prefill of short and of middle prompts in progress
+    # at the engine. Prompts beyond them wait in the ledger, where they can
+    # still be moved to another engine. 0 is no limit.
     short_window: Millis = 0
     middle_window: Millis = 0
-    # Protect the oldest long ask; others pass if they do not delay it.
+    # Protect the oldest queued request above the short class; others overtake
+    # it only if they do not delay it.
     backfill: bool = False
-    # Order between accounts by weighted fair shares.
+    # Order accounts by weighted fair queueing.
     fair_queueing: bool = False
-    # Order within and between classes by size: one level each doubling.
+    # Derive the priority level from the prompt size instead of its class: one
+    # level for each doubling.
     size_priority: bool = False
-    # Engine priority follows the level of urgency.
+    # Pass the priority level to the engine.
     engine_priority: bool = True
-    # Refuse on arrival what can't finish in time.
+    # Refuse on arrival what is not expected to meet its deadline.
     refuse_late: bool = True
-    # Weigh cached prefixes when an engine is chosen.
+    # Prefer engines that have a prefix of the prompt cached.
     cache_affinity: bool = False
-    # Look for another engine after this share of the wait that was expected;
-    # 0 is never.
+    # Choose engines again after this multiple of the expected wait; 0 is
+    # never.
     reroute_factor: float = 0
-    # Expect memory to come back later, too, beside more urgent prompts.
+    # Assume that more urgent prompts also delay the release of memory.
     slow_memory_release: bool = False
-    # Ask the next engine when the first one's wait is over this; 0 is never.
+    # Try the next engine if the expected wait exceeds this; 0 is never.
     wait_threshold: Millis = 0
 
 
-# The first policy that ran; replays keep it as a baseline.
+# The first policy, kept as a baseline for replays.
 PREVIOUS = Tuning()
 _WAIT_THRESHOLD: Millis = 50
 _REROUTE_FACTOR = 1.5
--- a/verbenathread/scheduling/weight_loads.py
+++ b/verbenathread/scheduling/weight_loads.py
@@ -1,10 +1,10 @@
-"""Loads of weights, queued across the fleet under the store's limit."""
+"""Queue of weight loads across the fleet, within the limit of the store."""
 
 from typing import NamedTuple
 
 from verbenathread.types import Millis, UpstreamId
 
-# A load that is not confirmed for this long is given up and queued again.
+# A load that is not confirmed within this time is queued again.
 LOAD_TIMEOUT: Millis = 600000
 
 
@@ -16,43 +16,43 @@
 
 
 class ModelDemand(NamedTuple):
-    """Demand for one model and what serves it."""
+    """Demand for one model, and the number of engines that serve it."""
 
-    # Prefill asked for, in any one unit for all models.
+    # Requested prefill, in any unit that is the same for all models.
     demand: float
     engines: int
 
 
 class WeightLoadQueue:
-    """Starts the loads that are needed most, few at a time.
+    """Starts the most needed loads, a limited number at a time.
 
-    The need of a model is its demand over the engines that serve it or will
-    soon; each start counts at once, so that a storm of restarts brings every
-    model one engine before any brings its second.
+    The need of a model is its demand divided by the engines that serve or are
+    loading it. A started load counts at once, so that after a mass restart
+    every model gets its first engine before any gets its second.
     """
 
     def __init__(self, limit: int) -> None:
-        """Allow ``most`` loads in progress over the fleet."""
+        """Allow ``limit`` loads in progress across the fleet."""
         self.limit = limit
-        self._waiting_by_id: dict[UpstreamId, WeightLoad] = {}
+        self._queued_by_id: dict[UpstreamId, WeightLoad] = {}
         self._started_at_by_load: dict[WeightLoad, Millis] = {}
 
     def enqueue(self, load: WeightLoad) -> None:
-        """Queue a load; a newer wish for the same engine replaces it."""
+        """Queue a load; it replaces a queued one for the same engine."""
         if load not in self._started_at_by_load:
-            self._waiting_by_id[load.upstream_id] = load
+            self._queued_by_id[load.upstream_id] = load
 
     def finish(self, load: WeightLoad) -> None:
-        """Note that a load ended, whether it worked or not."""
+        """Record that a load ended, successfully or not."""
         self._started_at_by_load.pop(load, None)
 
     def is_started(self, load: WeightLoad) -> bool:
-        """Tell whether a load has its place."""
+        """Return whether a load is in progress."""
         return load in self._started_at_by_load
 
     def forget(self, upstream_id: UpstreamId) -> None:
-        """Drop the loads of an engine that is gone."""
-        self._waiting_by_id.pop(upstream_id, None)
+        """Remove the loads of an engine that is gone."""
+        self._queued_by_id.pop(upstream_id, None)
         for load in tuple(self._started_at_by_load):
             if load.upstream_id == upstream_id:
                 self.finish(load)
@@ -60,17 +60,17 @@
     def start(
         self, demand_by_model: dict[str, ModelDemand], now: Millis
     ) -> list[WeightLoad]:
-        """Return the loads to order now, the most needed first."""
+        """Return the loads to start now, the most needed first."""
         self._requeue_expired(now)
-        begun: list[WeightLoad] = []
+        started: list[WeightLoad] = []
         while len(self._started_at_by_load) < self.limit:
             best = self._neediest(demand_by_model)
             if best is None:
                 break
-            self._waiting_by_id.pop(best.upstream_id)
+            self._queued_by_id.pop(best.upstream_id)
             self._started_at_by_load[best] = now
-            begun.append(best)
-        return begun
+            started.append(best)
+        return started
 
     def _requeue_expired(self, now: Millis) -> None:
         for load, started_at in tuple(self._started_at_by_load.items()):
@@ -84,11 +84,11 @@
         loading = [load.model for load in self._started_at_by_load]
         best: WeightLoad | None = None
         best_rank = (-1.0, -1.0)
-        for load in self._waiting_by_id.values():
-            need = demand_by_model.get(load.model, ModelDemand(0, 0))
-            engines = need.engines + loading.count(load.model)
-            # A model that nobody serves goes before any that is served.
-            rank = (float(not engines), need.demand / max(1, engines))
+        for load in self._queued_by_id.values():
+            demand = demand_by_model.get(load.model, ModelDemand(0, 0))
+            engines = demand.engines + loading.count(load.model)
+            # A model without engines goes before any that has some.
+            rank = (float(not engines), demand.demand / max(1, engines))
             if rank > best_rank:
                 best = load
                 best_rank = rank
