--- a/verbenathread/scheduling/holds.py
+++ b/verbenathread/scheduling/holds.py
@@ -34,15 +34,15 @@
             return 0
         if self.started_at is None:
             return self.prefill_ms
-        least = self.prefill_ms * _MIN_REMAINING_SHARE
-        return max(least, self.prefill_ms - (now - self.started_at))
+        minimum = self.prefill_ms * _MIN_REMAINING_SHARE
+        return max(minimum, self.prefill_ms - (now - self.started_at))
 
     def remaining_time(self, now: Millis) -> float:
         """Return the expected ms until the memory is released."""
         if self.first_token_at is None:
             return self.remaining_prefill(now) + self.output_ms
-        least = self.output_ms * _MIN_REMAINING_SHARE
-        return max(least, self.output_ms - (now - self.first_token_at))
+        minimum = self.output_ms * _MIN_REMAINING_SHARE
+        return max(minimum, self.output_ms - (now - self.first_token_at))
 
 
 def make_reservation_id(upstream_id: UpstreamId, attempt_id: str) -> str:
--- a/verbenathread/scheduling/messages.py
+++ b/verbenathread/scheduling/messages.py
@@ -20,8 +20,7 @@
     # Wall clock of the requesting entry, which orders groups the same way at
     # every owner. Lower goes first; ties are broken by attempt identifier.
     group_timestamp: Millis = 0
-    # Already admitted: the owner queues it without the queue limit and the
-    # deadline check.
+    # Already admitted: the owner skips the queue limit and the deadline check.
     admitted: bool = False
 
 
--- a/verbenathread/scheduling/queueing.py
+++ b/verbenathread/scheduling/queueing.py
@@ -16,12 +16,11 @@
 
     request: ReservationRequest
     length: LengthClass
-    # Expected time of prefill.
+    # Expected times of prefill and of generation.
     prefill_ms: float
     queued_at: Millis
     # Priority level; lower is more urgent, here and at the engine.
     level: int = 0
-    # Expected time of generation.
     output_ms: float = 0
     # Virtual finish time in fair queueing; lower goes first.
     virtual_finish: float = 0
@@ -104,7 +103,7 @@
         """Remove and return the request of an attempt, if it is queued."""
         queued = self._by_attempt.pop(attempt_id, None)
         if not self._by_attempt:
-            # No accounts compete, so fair queueing starts afresh.
+            # No accounts compete in an empty queue: reset fair queueing.
             self._finish_by_account.clear()
             self._virtual_time = 0
         elif queued is not None:
