--- a/verbenathread/entry/access.py
+++ b/verbenathread/entry/access.py
@@ -1,4 +1,4 @@
-"""Who calls, what they may call, and how long it may take."""
+"""Authentication, authorization and time limits of callers' requests."""
 
 import http
 from typing import NamedTuple
@@ -12,11 +12,11 @@
 
 TIME_LIMIT_HEADER = 'X-Time-Limit-Ms'
 _RETRY_AFTER_MS = 1000
-_ANY = '*'
+_ANY_SERVICE = '*'
 
 
 class Account(NamedTuple):
-    """A client account that called with a key of its own."""
+    """The client account that sent a request."""
 
     name: str
     settings: settings_pb2.AccountSettings
@@ -24,11 +24,15 @@
     def may_call(self, service: str) -> bool:
         """Return whether the account may call the service."""
         allowed = [part.strip() for part in self.settings.services.split(',')]
-        return _ANY in allowed or service in allowed
+        return _ANY_SERVICE in allowed or service in allowed
 
 
 def authenticate(settings: SharedSettings, exchange: Exchange) -> Account:
-    """Return the account that owns the bearer key, or refuse with 401."""
+    """Return the account that owns the bearer key.
+
+    Raises :class:`HttpError`: 401 for an unknown key, 503 while the entry
+    has no shared settings.
+    """
     if settings.revision() == 0:
         raise HttpError(
             http.HTTPStatus.SERVICE_UNAVAILABLE,
@@ -50,14 +54,18 @@
 def authorize_service(
     settings: SharedSettings, account: Account, name: str, kind: str
 ) -> settings_pb2.ServiceSettings:
-    """Return a service that the account may call, or refuse with 404."""
+    """Return the service called ``name``, or raise a 404 :class:`HttpError`.
+
+    A service of another kind, or one that the account may not call, gets the
+    same answer as one that does not exist.
+    """
     service = settings.service(name)
-    known = service is not None and service.kind == kind
-    if not known or not account.may_call(name):
+    exists = service is not None and service.kind == kind
+    if not exists or not account.may_call(name):
         raise HttpError(
             http.HTTPStatus.NOT_FOUND,
             'model_not_found' if kind == 'model' else 'service_not_found',
-            f'There is no {kind} service of this name for this account; '
+            f'This account has no {kind} service of this name; '
             'GET /v1/models lists the models.',
         )
     assert service is not None
@@ -67,7 +75,10 @@
 def request_deadline(
     exchange: Exchange, service: settings_pb2.ServiceSettings, clock: Clock
 ) -> Deadline:
-    """Return when the request must be over, from the caller or the service."""
+    """Return the deadline set by the caller, or else by the service.
+
+    The service's longest time limit applies to both.
+    """
     text = exchange.headers.get(TIME_LIMIT_HEADER.lower(), '').strip()
     limit = service.time_limit
     if text:
@@ -75,7 +86,7 @@
             raise HttpError(
                 http.HTTPStatus.BAD_REQUEST,
                 'invalid_time_limit',
-                f'{TIME_LIMIT_HEADER} must be a whole number of ms above 0.',
+                f'{TIME_LIMIT_HEADER} must be a positive integer, in ms.',
             )
         limit = int(text)
     limit = min(limit, service.longest_time_limit)
--- a/verbenathread/entry/application.py
+++ b/verbenathread/entry/application.py
@@ -1,4 +1,4 @@
-"""The paths that an entry serves to callers and upstreams."""
+"""Routes requests of callers and upstreams to the services of an entry."""
 
 import http
 import uuid
@@ -21,7 +21,7 @@
 
 
 class Services(NamedTuple):
-    """What serves each kind of path."""
+    """The service behind each group of paths."""
 
     models: ModelService
     plain: PlainService
@@ -29,10 +29,10 @@
 
 
 class Application:
-    """Finds who serves a request, unless the entry is stopping."""
+    """Dispatches requests by path; refuses callers while the entry stops."""
 
     def __init__(self, services: Services, metrics: EntryMetrics) -> None:
-        """Serve with ``services``."""
+        """Dispatch to ``services``."""
         self._services = services
         self._metrics = metrics
         self.stopping = False
@@ -49,7 +49,7 @@
 
     def _route(self, exchange: Exchange) -> None:
         if exchange.path.startswith(_UPSTREAM_ROOT):
-            self._upstream(exchange)
+            self._route_upstream(exchange)
             return
         if self.stopping:
             raise HttpError(
@@ -61,9 +61,9 @@
         if exchange.on_reserved_worker:
             raise overloaded_error()
         with self._metrics.streams.track_inprogress():
-            self._caller(exchange)
+            self._route_caller(exchange)
 
-    def _caller(self, exchange: Exchange) -> None:
+    def _route_caller(self, exchange: Exchange) -> None:
         if exchange.path.startswith(_PLAIN_ROOT):
             self._services.plain.forward(exchange)
             return
@@ -76,9 +76,9 @@
             case ('GET', '/v1/models'):
                 models.list_models(exchange)
             case _:
-                raise _no_path()
+                raise _unknown_path()
 
-    def _upstream(self, exchange: Exchange) -> None:
+    def _route_upstream(self, exchange: Exchange) -> None:
         announce = self._services.announce
         match (exchange.method, exchange.path):
             case ('POST', '/upstreams/v1/announce' | '/upstreams/v1/renew'):
@@ -86,12 +86,12 @@
             case ('POST', '/upstreams/v1/leave'):
                 announce.leave(exchange)
             case _:
-                raise _no_path()
+                raise _unknown_path()
 
 
-def _no_path() -> HttpError:
+def _unknown_path() -> HttpError:
     return HttpError(
         http.HTTPStatus.NOT_FOUND,
         'unknown_path',
-        'No such path and method; see docs/CALLERS.md for those there are.',
+        'Unknown path or method; see docs/CALLERS.md for the API.',
     )
--- a/verbenathread/entry/claim_responses.py
+++ b/verbenathread/entry/claim_responses.py
@@ -1,4 +1,4 @@
-"""What a caller is answered whose call stands under a claim."""
+"""Responses to calls with an idempotency key that was claimed before."""
 
 import http
 from typing import NoReturn
@@ -9,32 +9,32 @@
 from verbenathread.schema import control_pb2
 
 _RETRY_AFTER_MS = 1000
-_REPLAYED = (('Idempotent-Replayed', 'true'),)
+_REPLAYED_HEADER = (('Idempotent-Replayed', 'true'),)
 
 
 def answer_repeated_call(
     exchange: Exchange, reply: control_pb2.ClaimReply
 ) -> None:
-    """Answer an arrival whose key was claimed before.
+    """Replay the stored response of the call that claimed the same key.
 
-    Raises :class:`HttpError` unless its answer is stored.
+    Raises :class:`HttpError` if there is no stored response.
     """
     if reply.state == control_pb2.CLAIM_COMPLETED:
         stored = reply.stored
-        headers = (*_REPLAYED, ('X-Run-State', RunState.RUN.value))
+        headers = (*_REPLAYED_HEADER, ('X-Run-State', RunState.RUN.value))
         exchange.reply(stored.status, stored.body, stored.content_type, headers)
         return
-    _refuse_claimed(reply)
+    _raise_claim_error(reply)
 
 
-def _refuse_claimed(reply: control_pb2.ClaimReply) -> NoReturn:
+def _raise_claim_error(reply: control_pb2.ClaimReply) -> NoReturn:
     wait = reply.retry_after_ms or _RETRY_AFTER_MS
     if reply.state == control_pb2.CLAIM_IN_PROGRESS:
         raise HttpError(
             http.HTTPStatus.CONFLICT,
             'in_progress',
-            'A call with this Idempotency-Key is running; send it again '
-            'later to get its answer.',
+            'A call with this Idempotency-Key is in progress; send it again '
+            'later to get its response.',
             run_state=RunState.MAY_HAVE_RUN,
             retry_after=wait,
         )
@@ -42,15 +42,15 @@
         raise HttpError(
             http.HTTPStatus.CONFLICT,
             'outcome_unknown',
-            'The call with this Idempotency-Key may have run, and nobody can '
-            'tell; look its effect up, and use a new key if it did not run.',
+            'The call with this Idempotency-Key may have run; its outcome is '
+            'unknown. Check its effect, and use a new key if it did not run.',
             run_state=RunState.MAY_HAVE_RUN,
         )
     if reply.state == control_pb2.CLAIM_MISMATCH:
         raise HttpError(
             http.HTTPStatus.UNPROCESSABLE_ENTITY,
             'idempotency_key_reused',
-            'This Idempotency-Key was used for another call; '
+            'This Idempotency-Key was used for a different call; '
             'use a new key for each call.',
         )
     raise HttpError(
@@ -62,7 +62,7 @@
 
 
 def no_quorum_error() -> HttpError:
-    """Return the refusal of a call whose claim was not recorded."""
+    """Return the error for a call whose claim was not recorded."""
     return HttpError(
         http.HTTPStatus.SERVICE_UNAVAILABLE,
         'no_quorum',
@@ -72,10 +72,10 @@
     )
 
 
-def build_stored_answer(answer: PlainResponse) -> control_pb2.StoredAnswer:
-    """Return an answer as the claim keeps it."""
+def build_stored_answer(response: PlainResponse) -> control_pb2.StoredAnswer:
+    """Return a response in the form that is stored with its claim."""
     return control_pb2.StoredAnswer(
-        status=answer.status,
-        content_type=answer.content_type,
-        body=answer.body,
+        status=response.status,
+        content_type=response.content_type,
+        body=response.body,
     )
--- a/verbenathread/entry/completion_format.py
+++ b/verbenathread/entry/completion_format.py
@@ -1,4 +1,4 @@
-"""Answers of a model in the shape of chat completions and completions."""
+"""Response bodies of /v1/chat/completions and /v1/completions."""
 
 import json
 from collections.abc import Sequence
@@ -8,13 +8,13 @@
 from verbenathread.entry.model_call import ModelCall
 
 EVENT_STREAM_TYPE = 'text/event-stream'
-_END = b'data: [DONE]\n\n'
-_MARK = '@'
+_DONE_EVENT = b'data: [DONE]\n\n'
+_TEXT_PLACEHOLDER = '@'
 _FINISH_REASON = 'finish_reason'
 
 
 class CompletionFormat(NamedTuple):
-    """The parts of one answer that stay the same from token to token."""
+    """Encodes one response; what all its chunks share is encoded once."""
 
     call: ModelCall
     completion_id: str
@@ -27,36 +27,39 @@
     def for_call(
         cls, call: ModelCall, request_id: str, created: int
     ) -> 'CompletionFormat':
-        """Prepare the answer to one call."""
+        """Prepare the response to one call."""
         prefix = 'chatcmpl' if call.chat else 'cmpl'
-        answer_id = f'{prefix}-{request_id}'
+        completion_id = f'{prefix}-{request_id}'
         choice: dict[str, Any] = {'index': 0, _FINISH_REASON: None}
         if call.chat:
-            choice['delta'] = {'content': _MARK}
+            choice['delta'] = {'content': _TEXT_PLACEHOLDER}
         else:
-            choice['text'] = _MARK
-        fields = _fields(call, answer_id, created, stream=True)
-        # The mark comes last, so that no other member can hold it before.
+            choice['text'] = _TEXT_PLACEHOLDER
+        fields = _fields(call, completion_id, created, stream=True)
+        # The placeholder comes last: rpartition finds it even if another
+        # member contains the same text.
         fields['choices'] = [choice]
         before, _, after = (
-            json.dumps(fields).encode().rpartition(f'"{_MARK}"'.encode())
+            json.dumps(fields)
+            .encode()
+            .rpartition(f'"{_TEXT_PLACEHOLDER}"'.encode())
         )
         return cls(
             call,
-            answer_id,
+            completion_id,
             created,
             b'data: %b' % before,
             b'%b\n\n' % after,
         )
 
     def stream_start(self) -> bytes:
-        """Return what a stream begins with."""
+        """Return the first event of a stream, empty for completions."""
         if not self.call.chat:
             return b''
         return self._event({'role': 'assistant', 'content': ''}, None)
 
     def stream_chunks(self, pieces: Sequence[Piece]) -> bytes:
-        """Return pieces as server-sent events, one for each."""
+        """Return one server-sent event for each piece."""
         parts = []
         for piece in pieces:
             parts.append(self.before_text)
@@ -65,7 +68,7 @@
         return b''.join(parts)
 
     def stream_end(self, finish: Finish) -> bytes:
-        """Return what a whole stream ends with."""
+        """Return the final events of a complete stream."""
         blocks = [self._event({}, finish.reason)]
         if self.call.include_usage:
             fields = _fields(
@@ -74,11 +77,11 @@
             fields['choices'] = []
             fields['usage'] = _usage(finish)
             blocks.append(b'data: %b\n\n' % json.dumps(fields).encode())
-        blocks.append(_END)
+        blocks.append(_DONE_EVENT)
         return b''.join(blocks)
 
     def full_body(self, text: str, finish: Finish) -> bytes:
-        """Return an answer that is not streamed."""
+        """Return the body of a response that is not streamed."""
         fields = _fields(
             self.call, self.completion_id, self.created, stream=False
         )
@@ -109,18 +112,18 @@
 
 
 def error_event(content: bytes) -> bytes:
-    """Return an error in the midst of a stream, as clients parse it."""
+    """Return an error as an event of a stream that has started."""
     return b'data: %b\n\n' % content
 
 
 def _fields(
-    call: ModelCall, answer_id: str, created: int, *, stream: bool
+    call: ModelCall, completion_id: str, created: int, *, stream: bool
 ) -> dict[str, Any]:
     kind = 'text_completion'
     if call.chat:
         kind = 'chat.completion.chunk' if stream else 'chat.completion'
     return {
-        'id': answer_id,
+        'id': completion_id,
         'object': kind,
         'created': created,
         'model': call.model,
--- a/verbenathread/entry/disconnect_watcher.py
+++ b/verbenathread/entry/disconnect_watcher.py
@@ -1,4 +1,4 @@
-"""Notices callers that hang up while their requests wait or stream."""
+"""Detects callers that disconnect while their requests are in progress."""
 
 import select
 import socket
@@ -10,21 +10,21 @@
 from verbenathread.observability.logs import get_logger
 
 _POLL_SECONDS = 0.5
-_HANG_UP = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR
+_DISCONNECT_EVENTS = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR
 
 _log = get_logger('callers')
 
 
 class _Watched(NamedTuple):
     sock: socket.socket
-    gone: Callable[[], None]
+    on_disconnect: Callable[[], None]
 
 
 class DisconnectWatcher:
     """One thread that polls the sockets of all requests in progress."""
 
     def __init__(self) -> None:
-        """Start nothing before :meth:`start`."""
+        """Create the thread, which does not run before :meth:`start`."""
         self._epoll = select.epoll()
         self._watched_by_descriptor: dict[int, _Watched] = {}
         self._lock = threading.Lock()
@@ -38,7 +38,7 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """End the thread."""
+        """Stop the thread and wait for it."""
         self._stopping.set()
         self._thread.join()
         self._epoll.close()
@@ -46,16 +46,21 @@
     def add(
         self, sock: socket.socket, on_disconnect: Callable[[], None]
     ) -> None:
-        """Call ``gone`` once, from the thread, if the caller hangs up."""
+        """Call ``on_disconnect`` once if the caller disconnects.
+
+        It is called from this watcher's thread.
+        """
         descriptor = sock.fileno()
         with self._lock:
             self._watched_by_descriptor[descriptor] = _Watched(
                 sock, on_disconnect
             )
-            self._epoll.register(descriptor, _HANG_UP | select.EPOLLONESHOT)
+            self._epoll.register(
+                descriptor, _DISCONNECT_EVENTS | select.EPOLLONESHOT
+            )
 
     def remove(self, sock: socket.socket) -> None:
-        """Watch no longer; the socket is still open."""
+        """Stop watching a socket, which must still be open."""
         descriptor = sock.fileno()
         with self._lock:
             if self._watched_by_descriptor.pop(descriptor, None) is not None:
@@ -65,7 +70,7 @@
     def watching(
         self, sock: socket.socket, on_disconnect: Callable[[], None]
     ) -> Iterator[None]:
-        """Watch within the context."""
+        """Watch a socket within the context."""
         self.add(sock, on_disconnect)
         try:
             yield
@@ -75,21 +80,21 @@
     def _run(self) -> None:
         while not self._stopping.is_set():
             for descriptor, _ in self._epoll.poll(_POLL_SECONDS):
-                self._tell(descriptor)
+                self._notify(descriptor)
 
-    def _tell(self, descriptor: int) -> None:
+    def _notify(self, descriptor: int) -> None:
         with self._lock:
             watched = self._watched_by_descriptor.get(descriptor)
-        if watched is None or not _hung_up(watched.sock):
-            # The descriptor may have passed to another caller meanwhile.
+        if watched is None or not _is_disconnected(watched.sock):
+            # The descriptor was reused for another connection meanwhile.
             return
         try:
-            watched.gone()
+            watched.on_disconnect()
         except Exception:
-            _log.exception('A caller left and its request failed to end.')
+            _log.exception('Handling the disconnect of a caller failed.')
 
 
-def _hung_up(sock: socket.socket) -> bool:
+def _is_disconnected(sock: socket.socket) -> bool:
     poller = select.poll()
     try:
         poller.register(sock, select.POLLRDHUP)
--- a/verbenathread/entry/error_responses.py
+++ b/verbenathread/entry/error_responses.py
@@ -1,4 +1,4 @@
-"""Final answers to callers, in the shape that their client libraries parse."""
+"""Error responses to callers, in the format that client libraries parse."""
 
 import enum
 import http
@@ -13,7 +13,7 @@
 
 
 class RunState(enum.Enum):
-    """Whether a call took effect, as the caller is told."""
+    """Whether a call took effect, as reported to the caller."""
 
     RUN = 'run'
     NOT_RUN = 'not_run'
@@ -21,9 +21,9 @@
 
 
 class HttpError(VerbenathreadError):
-    """A final error answer; the message names the remedy.
+    """A final error response; the message says what the caller can do.
 
-    ``retry_after`` is in ms, 0 when a later try would not help.
+    ``retry_after`` is in ms, 0 if a retry would not help.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
         run_state: RunState = RunState.NOT_RUN,
         retry_after: int = 0,
     ) -> None:
-        """Keep what the answer is made of."""
+        """Store the parts of the response."""
         super().__init__(message)
         self.status = status
         self.code = code
@@ -43,10 +43,10 @@
         self.retry_after = retry_after
 
     def body(self, request_id: str = '') -> bytes:
-        """Return the JSON body of the answer."""
+        """Return the JSON body of the response."""
         error = {
             'message': str(self),
-            'type': _kind(self.status),
+            'type': _error_type(self.status),
             'param': None,
             'code': self.code,
             'run_state': self.run_state.value,
@@ -56,13 +56,13 @@
         return json.dumps({'error': error}).encode()
 
     def headers(self) -> tuple[tuple[str, str], ...]:
-        """Return the headers beside the content's own."""
-        found = [('X-Run-State', self.run_state.value)]
+        """Return the headers of the response except those of its content."""
+        headers = [('X-Run-State', self.run_state.value)]
         if self.retry_after:
-            found.append(('Retry-After', str(ceil_seconds(self.retry_after))))
+            headers.append(('Retry-After', str(ceil_seconds(self.retry_after))))
         if self.status == http.HTTPStatus.UNAUTHORIZED:
-            found.append(('WWW-Authenticate', 'Bearer'))
-        return tuple(found)
+            headers.append(('WWW-Authenticate', 'Bearer'))
+        return tuple(headers)
 
 
 _STATUS_BY_REASON = MappingProxyType(
@@ -76,7 +76,7 @@
 def refusal_error(
     refusal: Refusal, run_state: RunState = RunState.NOT_RUN
 ) -> HttpError:
-    """Return the answer for a refusal of the scheduler."""
+    """Return the error response for a refusal by the scheduler."""
     status = _STATUS_BY_REASON.get(
         refusal.reason, http.HTTPStatus.SERVICE_UNAVAILABLE
     )
@@ -95,11 +95,11 @@
 
 
 def status_line(status: int) -> bytes:
-    """Return status and reason as they stand on the first line."""
+    """Return status code and reason phrase of the status line."""
     return f'{status} {http.HTTPStatus(status).phrase}'.encode()
 
 
-def _kind(status: int) -> str:
+def _error_type(status: int) -> str:
     if status == http.HTTPStatus.UNAUTHORIZED:
         return 'authentication_error'
     if status == http.HTTPStatus.TOO_MANY_REQUESTS:
--- a/verbenathread/entry/exchange.py
+++ b/verbenathread/entry/exchange.py
@@ -1,4 +1,4 @@
-"""One request of a caller and its one answer."""
+"""One HTTP request of a caller and its response."""
 
 import http
 from collections.abc import Mapping
@@ -18,36 +18,36 @@
 
 _READ_BYTES = 65536
 _RETRY_AFTER_MS = 1000
-_LENGTH = 'content-length'
-_TYPE = 'Content-Type'
+_CONTENT_LENGTH = 'content-length'
+_CONTENT_TYPE = 'Content-Type'
 
 
 class Limits(NamedTuple):
-    """Bounds on what one entry takes from callers."""
+    """Limits on the requests that one entry accepts."""
 
-    # Most requests served at once.
+    # Maximum number of concurrent requests.
     streams: int
-    # Most bytes of bodies held at once over all requests.
+    # Maximum bytes of request bodies in memory over all requests.
     buffered_bytes: int
-    # Largest body in bytes.
+    # Maximum bytes of one request body.
     body_bytes: int
-    # Longest time in ms to receive a request.
+    # Time in ms for a whole request to arrive.
     body_timeout: Millis
-    # Longest time in ms that one write may wait for a slow reader.
+    # Time in ms that one write may block on a slow reader.
     write_timeout: Millis = 10_000
 
 
 class Exchange:
-    """Reads one request and writes one answer, each within its time."""
+    """Reads one request and writes its response, each with a deadline."""
 
     def __init__(
         self, request: HTTPRequest, limits: Limits, budget: BodyBudget
     ) -> None:
-        """Wrap a request whose headers were read."""
+        """Wrap a request whose headers have been parsed."""
         self._request = request
         self._limits = limits
         self._budget = budget
-        self._held = 0
+        self._acquired_bytes = 0
         self.request_id = ''
         self.method: str = request.method.decode('latin-1')
         self.path: str = request.path.decode('latin-1')
@@ -56,46 +56,48 @@
             name.decode('latin-1').lower(): text.decode('latin-1')
             for name, text in request.inheaders.items()
         }
-        # Monotonic time in ms at which the request began to arrive.
+        # Monotonic time in ms of the first byte of the request.
         self.arrival: Millis = request.conn.arrival
         self.sock = request.conn.socket
         self.response_started = False
-        # True for requests that may be served beyond the streams' limit.
+        # True if every stream was in use when the request came in; only
+        # requests of upstreams are served then.
         self.on_reserved_worker: bool = request.conn.reserved
 
     def bearer_key(self) -> str:
-        """Return the bearer key, empty without one."""
+        """Return the bearer key, or an empty string if there is none."""
         scheme, _, key = self.headers.get('authorization', '').partition(' ')
         if scheme.lower() != 'bearer':
             return ''
         return key.strip()
 
     def read_body(self) -> bytes:
-        """Return the whole body; it counts as held until :meth:`finish`.
+        """Return the whole body.
 
-        Raises :class:`HttpError` for a body that is too large, too slow,
-        cut off, or one that there is no room for.
+        It counts against the body budget until :meth:`release_body`. Raises
+        :class:`HttpError` for a body that is too large, too slow or cut off,
+        or when the budget is used up.
         """
-        length = self._announced_length()
-        self._hold(length)
+        length = self._declared_length()
+        self._acquire(length)
         blocks = []
         received = 0
-        for block in self._blocks():
+        for block in self._read_blocks():
             blocks.append(block)
             received += len(block)
         if not self._request.chunked_read and received < length:
             raise HttpError(
                 http.HTTPStatus.BAD_REQUEST,
                 'body_cut_off',
-                'The body ended before its Content-Length; send it whole.',
+                'The body is shorter than its Content-Length.',
             )
-        self._budget.release(self._held - received)
-        self._held = received
+        self._budget.release(self._acquired_bytes - received)
+        self._acquired_bytes = received
         return b''.join(blocks)
 
     def set_write_deadline(self, deadline: Millis) -> None:
-        """Let no write of the answer wait beyond ``deadline``."""
-        self._request.conn.times.write_by = deadline
+        """Set the deadline of every write of the response."""
+        self._request.conn.deadlines.write_by = deadline
 
     def reply(
         self,
@@ -104,8 +106,11 @@
         content_type: str = JSON_TYPE,
         headers: tuple[tuple[str, str], ...] = (),
     ) -> None:
-        """Send a whole answer at once."""
-        lines = ((_TYPE, content_type), ('Content-Length', str(len(content))))
+        """Send a complete response."""
+        lines = (
+            (_CONTENT_TYPE, content_type),
+            ('Content-Length', str(len(content))),
+        )
         writer = self._request.conn.wfile
         writer.cork()
         self._send_headers(status, (*lines, *headers))
@@ -119,19 +124,19 @@
         content_type: str,
         headers: tuple[tuple[str, str], ...] = (),
     ) -> None:
-        """Hold the head of a streamed answer until its first part."""
+        """Prepare a streamed response; its head goes out with the first block."""
         self._request.conn.wfile.cork()
-        lines = ((_TYPE, content_type), ('Cache-Control', 'no-cache'))
+        lines = ((_CONTENT_TYPE, content_type), ('Cache-Control', 'no-cache'))
         self._send_headers(status, (*lines, *headers))
 
     def write(self, block: bytes) -> None:
-        """Send one part of a streamed answer at once."""
+        """Send one block of a streamed response."""
         writer = self._request.conn.wfile
         writer.write(self._framed(block))
         writer.uncork()
 
     def write_nonblocking(self, block: bytes) -> bytes:
-        """Send without waiting; return the bytes that are left to send."""
+        """Send a block without blocking; return the bytes left unsent."""
         framed = self._framed(block)
         if self.sock.gettimeout() != 0:
             self.sock.setblocking(False)
@@ -141,12 +146,12 @@
             return framed
         return framed[sent:]
 
-    def write_remaining(self, rest: bytes) -> None:
-        """Send what :meth:`write_ready` left, waiting for a slow reader."""
-        self._request.conn.wfile.write(rest)
+    def write_remaining(self, remaining: bytes) -> None:
+        """Send what :meth:`write_nonblocking` left; may block."""
+        self._request.conn.wfile.write(remaining)
 
     def send_error(self, error: HttpError) -> None:
-        """Send an error as the final answer."""
+        """Send an error response and close the connection after it."""
         self.close_after_response()
         self.reply(
             error.status,
@@ -155,14 +160,14 @@
         )
 
     def close_after_response(self) -> None:
-        """Close the connection once this answer is out."""
+        """Close the connection once the response is sent."""
         self._request.close_connection = True
         self._request.conn.drain_on_close = True
 
     def release_body(self) -> None:
-        """Let go of the body; called once, whatever happened."""
-        self._budget.release(self._held)
-        self._held = 0
+        """Return the body's bytes to the budget; called for every request."""
+        self._budget.release(self._acquired_bytes)
+        self._acquired_bytes = 0
 
     def _framed(self, block: bytes) -> bytes:
         if self._request.chunked_write:
@@ -174,7 +179,7 @@
     ) -> None:
         self.response_started = True
         lines = [('X-Request-Id', self.request_id), *headers]
-        # The stub says str; the library joins it with bytes.
+        # Typed as str in the stub, but cheroot joins it with bytes.
         request: Any = self._request
         request.status = status_line(status)
         self._request.outheaders = [
@@ -183,39 +188,39 @@
         ]
         self._request.ensure_headers_sent()
 
-    def _announced_length(self) -> int:
+    def _declared_length(self) -> int:
         if self._request.chunked_read:
-            # How much will come is not known: room for the largest.
+            # The length of a chunked body is unknown: assume the maximum.
             return self._limits.body_bytes
-        text = self.headers.get(_LENGTH, '0')
+        text = self.headers.get(_CONTENT_LENGTH, '0')
         if not text.isascii() or not text.isdigit():
             raise HttpError(
                 http.HTTPStatus.BAD_REQUEST,
                 'malformed_request',
-                'Content-Length is no whole number; send that of the body.',
+                'Content-Length must be a whole number.',
             )
         length = int(text)
         if length > self._limits.body_bytes:
-            raise _too_large(self._limits)
+            raise _body_too_large(self._limits)
         return length
 
-    def _hold(self, length: int) -> None:
+    def _acquire(self, length: int) -> None:
         if not self._budget.try_acquire(length):
             raise HttpError(
                 http.HTTPStatus.SERVICE_UNAVAILABLE,
                 'buffers_full',
-                'The entry holds as many request bodies as it may; '
+                'The entry has no buffer space left for request bodies; '
                 'send the request again later.',
                 retry_after=_RETRY_AFTER_MS,
             )
-        self._held = length
+        self._acquired_bytes = length
 
-    def _blocks(self) -> list[bytes]:
-        found = []
+    def _read_blocks(self) -> list[bytes]:
+        blocks = []
         try:
             block = self._request.rfile.read(_READ_BYTES)
             while block:
-                found.append(block)
+                blocks.append(block)
                 block = self._request.rfile.read(_READ_BYTES)
         except TimeoutError as exc:
             raise HttpError(
@@ -233,20 +238,20 @@
             ) from exc
         except (MaxSizeExceeded, OSError) as exc:
             if self._request.chunked_read:
-                raise _too_large(self._limits) from exc
+                raise _body_too_large(self._limits) from exc
             raise
-        return found
+        return blocks
 
 
 class Handler(Protocol):
-    """What serves the requests of callers."""
+    """The application that serves the requests of a server."""
 
     def handle(self, exchange: Exchange) -> None:
         """Serve one request; raise :class:`HttpError` to refuse it."""
 
 
 class ServerContext(NamedTuple):
-    """What the server and its connections share."""
+    """State shared by the server and its connections."""
 
     limits: Limits
     budget: BodyBudget
@@ -254,7 +259,7 @@
     clock: Clock
 
 
-def _too_large(limits: Limits) -> HttpError:
+def _body_too_large(limits: Limits) -> HttpError:
     return HttpError(
         http.HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
         'body_too_large',
--- a/verbenathread/entry/http_server.py
+++ b/verbenathread/entry/http_server.py
@@ -1,8 +1,8 @@
-"""The HTTP server towards callers: a bounded pool over cheroot.
+"""The HTTP server for callers: a bounded thread pool on top of cheroot.
 
-Cheroot queues accepted connections without a bound and without a deadline.
-Here every connection with a request either has a worker at once or gets a
-final refusal at once; one that sends nothing occupies no worker.
+Cheroot queues accepted connections without a limit or a deadline. Here a
+connection with a request either gets a worker at once or is refused at once
+with a final response; an idle connection occupies no worker.
 """
 
 import http
@@ -31,17 +31,17 @@
 from verbenathread.observability.logs import get_logger
 from verbenathread.types import Address, Millis
 
-# Workers beyond the limit of streams, so that upstreams can renew, and callers
-# read a refusal, while every stream is taken.
+# Workers beyond the limit of streams: they let upstreams renew their leases
+# and callers read a refusal while every stream is in use.
 RESERVED_WORKERS = 4
-_MOST_HEADER_BYTES = 32768
+_MAX_HEADER_BYTES = 32768
 _BACKLOG = 1024
-# Longest time in ms to receive the headers of a request.
+# Time in ms for the headers of a request to arrive.
 _HEADER_TIMEOUT = 5000
-# The same for a request that a reserved worker reads, its body included.
+# Time in ms for a whole request, body included, on a reserved worker.
 _RESERVED_TIMEOUT = 1000
 _RETRY_AFTER_MS = 1000
-_SINGLE_HEADERS = frozenset(
+_SINGLETON_HEADERS = frozenset(
     (
         b'Authorization',
         b'Content-Length',
@@ -56,33 +56,33 @@
 _log = get_logger('callers')
 
 
-class _Headers(dict[bytes, bytes]):
-    """Headers of a request; those that frame it may stand there once.
+class _StrictHeaders(dict[bytes, bytes]):
+    """Request headers that reject duplicates of headers such as the length.
 
-    Two ends that pick different ones of two lengths would see different
-    requests on one connection.
+    A proxy and a server that pick different ones of two lengths would see
+    different requests on one connection (request smuggling).
     """
 
     def __setitem__(self, name: bytes, text: bytes) -> None:
-        """Keep one header; the server answers ``ValueError`` with 400."""
-        if name in _SINGLE_HEADERS and name in self:
+        """Store one header; cheroot answers a ``ValueError`` with 400."""
+        if name in _SINGLETON_HEADERS and name in self:
             header = name.decode('latin-1')
-            raise ValueError(f'{header} stands there twice')
+            raise ValueError(f'Duplicate {header} header')
         super().__setitem__(name, text)
         if b'Content-Length' in self and b'Transfer-Encoding' in self:
-            raise ValueError('Content-Length stands beside chunks')
+            raise ValueError('Content-Length with a chunked body')
 
 
 class _JsonRequest(HTTPRequest):
-    """Answers malformed requests in the shape that clients parse."""
+    """Sends the errors of the HTTP parser as JSON error responses."""
 
     def __init__(self, *arguments: Any, **options: Any) -> None:
-        """Keep the headers strictly."""
+        """Use :class:`_StrictHeaders`."""
         super().__init__(*arguments, **options)
-        self.inheaders = _Headers()
+        self.inheaders = _StrictHeaders()
 
     def simple_response(self, status: str, msg: str = '') -> None:
-        """Send the refusal of a request that could not be parsed."""
+        """Send the response to a request that could not be parsed."""
         code = int(str(status).split(' ', 1)[0])
         if code == http.HTTPStatus.REQUEST_ENTITY_TOO_LARGE:
             error = self._too_large()
@@ -95,7 +95,7 @@
 
     def _too_large(self) -> HttpError:
         limit = self.server.max_request_body_size
-        if self._body_over(limit):
+        if self._body_exceeds(limit):
             return HttpError(
                 http.HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
                 'body_too_large',
@@ -104,29 +104,29 @@
         return HttpError(
             http.HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE,
             'headers_too_large',
-            f'The headers are over {_MOST_HEADER_BYTES} bytes; send fewer.',
+            f'The headers are over {_MAX_HEADER_BYTES} bytes; send fewer.',
         )
 
-    def _body_over(self, limit: int) -> bool:
+    def _body_exceeds(self, limit: int) -> bool:
         length = self.inheaders.get(b'Content-Length', b'')
         return length.isdigit() and int(length) > limit
 
 
 class _CallerConnection(HTTPConnection):
-    """One connection of a caller, with a deadline on each of its waits."""
+    """One connection of a caller; every read and write has a deadline."""
 
-    RequestHandlerClass = _JsonRequest  # noqa: WPS115 the library's name
+    RequestHandlerClass = _JsonRequest  # noqa: WPS115 cheroot's name
 
     def __init__(
         self, server: 'CallerServer', sock: Any, makefile: Any
     ) -> None:
-        """Read and write within the times of the request in progress."""
+        """Wrap the socket in a reader and a writer with deadlines."""
         super().__init__(server, sock)
         context = server.context
-        self.times = SocketDeadlines(context.clock)
-        self.times.write_timeout = context.limits.write_timeout
-        self.rfile = DeadlineReader(sock, self.times)
-        self.wfile = DeadlineWriter(sock, self.times)
+        self.deadlines = SocketDeadlines(context.clock)
+        self.deadlines.write_timeout = context.limits.write_timeout
+        self.rfile = DeadlineReader(sock, self.deadlines)
+        self.wfile = DeadlineWriter(sock, self.deadlines)
         self.arrival: Millis = 0
         self.reserved = False
         self.drain_on_close = False
@@ -139,14 +139,14 @@
         timeout = _HEADER_TIMEOUT
         if self.reserved:
             timeout = _RESERVED_TIMEOUT
-        self.times.read_by = self.arrival + timeout
-        self.times.write_by = self.arrival + context.limits.write_timeout
+        self.deadlines.read_by = self.arrival + timeout
+        self.deadlines.write_by = self.arrival + context.limits.write_timeout
         with ExitStack() as stack:
             stack.callback(self.server.release_worker)
             return bool(super().communicate())  # type: ignore[no-untyped-call]
 
     def close(self) -> None:
-        """Close at once, or linger until the answer was read."""
+        """Close at once, or with a lingering close after an error."""
         if not self.drain_on_close:
             super().close()
             return
@@ -155,15 +155,15 @@
 
 
 class _CallerGateway(Gateway):
-    """Hands one parsed request to the handler."""
+    """Passes one parsed request to the handler."""
 
     def respond(self) -> None:
-        """Serve the request and always let go of what it held."""
+        """Serve the request and release its body in any case."""
         context: ServerContext = self.req.server.context
         timeout = context.limits.body_timeout
         if self.req.conn.reserved:
             timeout = min(timeout, _RESERVED_TIMEOUT)
-        self.req.conn.times.read_by = self.req.conn.arrival + timeout
+        self.req.conn.deadlines.read_by = self.req.conn.arrival + timeout
         exchange = Exchange(self.req, context.limits, context.budget)
         with ExitStack() as stack:
             stack.callback(exchange.release_body)
@@ -177,7 +177,7 @@
                 raise
             exchange.send_error(error)
         except OSError:
-            # The caller went away or reads too slowly: nobody to answer.
+            # The caller disconnected or reads too slowly: no response.
             self.req.close_connection = True
             exchange.response_started = True
             self.req.chunked_write = False
@@ -190,22 +190,22 @@
 
 
 class CallerServer(HTTPServer):
-    """Takes callers' connections, at most ``streams`` in work at once."""
+    """Accepts callers' connections; serves ``streams`` requests at once."""
 
-    ConnectionClass = _CallerConnection  # noqa: WPS115 the library's name
+    ConnectionClass = _CallerConnection  # noqa: WPS115 cheroot's name
     request_queue_size = _BACKLOG
-    max_request_header_size = _MOST_HEADER_BYTES
-    # Idle connections are kept this many seconds between requests.
+    max_request_header_size = _MAX_HEADER_BYTES
+    # Keep-alive timeout of idle connections in seconds.
     timeout = 60
     shutdown_timeout = _STOP_SECONDS
 
     def __init__(self, address: Address, context: ServerContext) -> None:
-        """Listen on ``address`` once started."""
+        """Prepare to listen on ``address``; see :meth:`start`."""
         super().__init__((address.host, address.port), _CallerGateway)
         self.context = context
         self.lingering_closer = LingeringCloser(context.clock)
         self.max_request_body_size = context.limits.body_bytes
-        # Idle connections hold no worker, but each takes a descriptor.
+        # Idle connections occupy no worker, but a file descriptor each.
         self.keep_alive_conn_limit = 4 * context.limits.streams
         workers = context.limits.streams + RESERVED_WORKERS
         self.requests = ThreadPool(self, min=workers, max=workers)
@@ -217,41 +217,41 @@
 
     @property
     def address(self) -> Address:
-        """Return where the server listens; the port is the real one."""
+        """Return the address; the port is the bound one if 0 was given."""
         host, port = self.bind_addr[:2]
         return Address(host, port)
 
     @property
     def busy(self) -> int:
-        """Return how many requests are in work."""
+        """Return how many requests are in progress."""
         return self._busy
 
     def start(self) -> None:
-        """Listen and serve in threads of their own."""
+        """Listen and serve in background threads."""
         self.prepare()
         self.lingering_closer.start()
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop listening and close what is idle."""
+        """Stop listening and close idle connections."""
         super().stop()
         self._thread.join()
         self.lingering_closer.stop()
 
     def process_conn(self, conn: _CallerConnection) -> None:
-        """Give a readable connection a worker, or refuse it at once."""
+        """Pass a readable connection to a worker, or refuse it at once."""
         if not conn.seen_by_selector:
-            # A new connection waits for its first byte without a worker.
+            # A new connection gets a worker only after its first byte.
             conn.seen_by_selector = True
             self._wait_for_bytes(conn)
             return
         with self._changed:
             limit = self.context.limits.streams
             conn.reserved = self._busy >= limit
-            taken = self._busy < limit + RESERVED_WORKERS
-            if taken:
+            accepted = self._busy < limit + RESERVED_WORKERS
+            if accepted:
                 self._busy += 1
-        if taken:
+        if accepted:
             self.requests.put(conn)
             return
         conn.rfile.close()
@@ -260,13 +260,13 @@
         )
 
     def release_worker(self) -> None:
-        """Count a worker as free again."""
+        """Count one worker less as busy."""
         with self._changed:
             self._busy -= 1
             self._changed.notify_all()
 
     def wait_idle(self, timeout: Millis) -> bool:
-        """Wait up to ``limit`` ms until no request is in work."""
+        """Wait up to ``timeout`` ms until no request is in progress."""
         with self._changed:
             return self._changed.wait_for(
                 lambda: self._busy == 0, seconds(timeout)
@@ -275,15 +275,15 @@
     def error_log(
         self, msg: str = '', level: int = 20, traceback: bool = False
     ) -> None:
-        """Write what the server library reports to the log."""
+        """Forward messages of cheroot to the log."""
         if level >= logging.ERROR:
-            _log.error('The server reported a fault.', fault=msg)
+            _log.error('HTTP server error.', fault=msg)
             return
-        _log.debug('The server reported.', what=msg)
+        _log.debug('HTTP server message.', what=msg)
 
     def _wait_for_bytes(self, conn: _CallerConnection) -> None:
         if self.can_add_keepalive_connection:
-            # The library's own keeper of idle connections.
+            # cheroot's selector of idle connections.
             self._connections.put(conn)  # type: ignore[attr-defined]
             return
         conn.rfile.close()
@@ -293,18 +293,18 @@
 
 
 def overloaded_error() -> HttpError:
-    """Return the refusal of a request that there is no worker for."""
+    """Return the error for a request that no worker is free for."""
     return HttpError(
         http.HTTPStatus.SERVICE_UNAVAILABLE,
         'overloaded',
-        'The entry serves as many requests as it may; '
+        'The entry has reached its limit of concurrent requests; '
         'send the request again later.',
         retry_after=_RETRY_AFTER_MS,
     )
 
 
 def encode_error_response(error: HttpError) -> bytes:
-    """Return an error as the bytes of a whole HTTP answer."""
+    """Return an error as the bytes of a complete HTTP response."""
     content = error.body()
     lines = [
         b'HTTP/1.1 %b' % status_line(error.status),
@@ -340,7 +340,7 @@
     return HttpError(
         http.HTTPStatus.INTERNAL_SERVER_ERROR,
         'internal_error',
-        'The entry failed on this request; look its effect up before '
-        'sending it again, and tell the operators its request identifier.',
+        'The entry failed on this request. Check its effect before sending '
+        'it again, and report its request identifier to the operators.',
         run_state=RunState.MAY_HAVE_RUN,
     )
--- a/verbenathread/entry/lingering_close.py
+++ b/verbenathread/entry/lingering_close.py
@@ -1,8 +1,8 @@
-"""Refuses connections at once, and closes them so that the answer arrives.
+"""Closes connections in a way that the peer still receives the response.
 
-A socket closed with unread bytes sends a reset, upon which the other side may
-lose an answer that it has not read yet. So the answer is written, the write
-side is shut, and what still comes in is thrown away for a short while.
+Closing a socket with unread input sends a TCP reset, which may discard a
+response that the peer has not read yet. So the response is sent, the write
+side is shut down, and input is read and dropped for a short time.
 """
 
 import selectors
@@ -15,24 +15,24 @@
 from verbenathread.clock import Clock
 from verbenathread.types import Millis
 
-# Longest time in ms that a refused connection is kept.
+# Time in ms after which a lingering connection is closed.
 _LINGER_MS = 2000
-# Most connections that linger at once; more are closed outright.
-_MOST_LINGERING = 512
+# Maximum lingering connections; any more are closed at once.
+_MAX_LINGERING = 512
 _POLL_SECONDS = 0.1
 _READ_BYTES = 65536
 
 
 class _Lingering(NamedTuple):
     sock: socket.socket
-    until: Millis
+    expires_at: Millis
 
 
 class LingeringCloser:
-    """One thread that drains and closes the connections it is given."""
+    """A thread that drains and closes connections."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start nothing before :meth:`start`."""
+        """Create the thread, which does not run before :meth:`start`."""
         self._clock = clock
         self._incoming: deque[_Lingering] = deque()
         self._selector = selectors.DefaultSelector()
@@ -46,25 +46,25 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Close what still lingers and end the thread."""
+        """Close all lingering connections and stop the thread."""
         self._stopping.set()
         self._thread.join()
 
-    def close(self, sock: socket.socket, answer: bytes = b'') -> None:
-        """Send ``answer`` without waiting, then linger and close."""
+    def close(self, sock: socket.socket, response: bytes = b'') -> None:
+        """Send ``response`` without blocking, then linger and close."""
         sock.setblocking(False)
         try:
-            if answer:
-                sock.send(answer)
+            if response:
+                sock.send(response)
             sock.shutdown(socket.SHUT_WR)
         except OSError:
             sock.close()
             return
-        if len(self._incoming) >= _MOST_LINGERING:
+        if len(self._incoming) >= _MAX_LINGERING:
             sock.close()
             return
-        until = self._clock.now() + _LINGER_MS
-        self._incoming.append(_Lingering(sock, until))
+        expires_at = self._clock.now() + _LINGER_MS
+        self._incoming.append(_Lingering(sock, expires_at))
 
     def _run(self) -> None:
         while not self._stopping.is_set():
@@ -76,14 +76,14 @@
                 self._drain(key.data)
             self._expire()
         self._register()
-        for held in tuple(self._selector.get_map().values()):
-            self._close(held.data)
+        for key in tuple(self._selector.get_map().values()):
+            self._close_now(key.data)
         self._selector.close()
 
     def _register(self) -> None:
         while self._incoming:
             lingering = self._incoming.popleft()
-            if len(self._selector.get_map()) >= _MOST_LINGERING:
+            if len(self._selector.get_map()) >= _MAX_LINGERING:
                 lingering.sock.close()
                 continue
             self._selector.register(
@@ -92,21 +92,21 @@
 
     def _drain(self, lingering: _Lingering) -> None:
         try:
-            got = lingering.sock.recv(_READ_BYTES)
+            block = lingering.sock.recv(_READ_BYTES)
         except BlockingIOError:
             return
         except OSError:
-            got = b''
-        if not got:
-            self._close(lingering)
+            block = b''
+        if not block:
+            self._close_now(lingering)
 
     def _expire(self) -> None:
         now = self._clock.now()
         for key in tuple(self._selector.get_map().values()):
-            if key.data.until <= now:
-                self._close(key.data)
+            if key.data.expires_at <= now:
+                self._close_now(key.data)
 
-    def _close(self, lingering: _Lingering) -> None:
+    def _close_now(self, lingering: _Lingering) -> None:
         self._selector.unregister(lingering.sock)
         with suppress(OSError):
             lingering.sock.close()
--- a/verbenathread/entry/model_call.py
+++ b/verbenathread/entry/model_call.py
@@ -1,4 +1,4 @@
-"""A caller's call of a model: checked, and ready to be sent to an engine."""
+"""Parses and validates callers' requests to models."""
 
 import hashlib
 import http
@@ -11,11 +11,11 @@
 
 from verbenathread.entry.error_responses import HttpError
 
-# Bytes of prompt text whose hash names one prefix; 1024 tokens or so.
-_PREFIX_BLOCK = 4096
-_MOST_PREFIXES = 32
+# Bytes of prompt text per prefix hash, about 1024 tokens.
+_PREFIX_BLOCK_BYTES = 4096
+_MAX_PREFIXES = 32
 _HASH_BYTES = 8
-# Members that engines take as they are; each with the types allowed.
+# Members passed to engines unchanged, with the types allowed for each.
 _TYPES_BY_SAMPLING_MEMBER: Mapping[str, tuple[type, ...]] = MappingProxyType(
     {
         'temperature': (int, float),
@@ -34,35 +34,37 @@
 
 
 class ModelCall(NamedTuple):
-    """What a caller asks of a model."""
+    """A validated request to a model."""
 
     model: str
     # True for /v1/chat/completions, False for /v1/completions.
     chat: bool
     stream: bool
-    # Whether a stream ends with a chunk that carries the usage.
+    # Whether a stream ends with a chunk that contains the token usage.
     include_usage: bool
-    # None when the caller names no limit.
+    # None if the caller sets no limit.
     max_tokens: int | None
     # Bytes of prompt text.
     prompt_bytes: int
-    # Hashes of the leading blocks of the prompt, each over all before it.
+    # Hash of each leading part of the prompt, in whole blocks.
     prefix_hashes: tuple[int, ...]
-    # JSON members for the engine, without braces.
+    # JSON members of the engine's request, without the enclosing braces.
     shared_members: bytes
 
 
 def parse_call(content: bytes, *, chat: bool) -> ParseResult:
-    """Return the call that a body describes, or what is wrong with it."""
+    """Parse a request body into a call, or return the error response."""
     try:
         members = json.loads(content)
     except (ValueError, RecursionError):
-        return _wrong('not_json', 'The body is not JSON; send a JSON object.')
+        return _bad_request(
+            'not_json', 'The body is not JSON; send a JSON object.'
+        )
     if not isinstance(members, dict):
-        return _wrong('not_json', 'The body is no JSON object; send one.')
-    fault = _fault(members, chat=chat)
-    if fault:
-        return _wrong('invalid_value', fault)
+        return _bad_request('not_json', 'The body must be a JSON object.')
+    error = _validation_error(members, chat=chat)
+    if error:
+        return _bad_request('invalid_value', error)
     return Ok(_call(members, chat=chat))
 
 
@@ -82,7 +84,7 @@
         chat,
         bool(members.get('stream')),
         bool(options.get('include_usage')),
-        _most_tokens(members),
+        _max_tokens(members),
         len(text),
         _prefix_hashes(text),
         shared,
@@ -97,7 +99,7 @@
     return found
 
 
-def _most_tokens(members: Mapping[str, Any]) -> int | None:
+def _max_tokens(members: Mapping[str, Any]) -> int | None:
     newer: int | None = members.get('max_completion_tokens')
     older: int | None = members.get('max_tokens')
     return older if newer is None else newer
@@ -106,42 +108,42 @@
 def _prefix_hashes(text: bytes) -> tuple[int, ...]:
     running = hashlib.blake2b(digest_size=_HASH_BYTES)
     found = []
-    last = min(len(text), _PREFIX_BLOCK * _MOST_PREFIXES)
-    for start in range(0, last - _PREFIX_BLOCK + 1, _PREFIX_BLOCK):
-        running.update(text[start : start + _PREFIX_BLOCK])
+    last = min(len(text), _PREFIX_BLOCK_BYTES * _MAX_PREFIXES)
+    for start in range(0, last - _PREFIX_BLOCK_BYTES + 1, _PREFIX_BLOCK_BYTES):
+        running.update(text[start : start + _PREFIX_BLOCK_BYTES])
         found.append(int.from_bytes(running.digest(), 'big'))
     return tuple(found)
 
 
-def _fault(members: Mapping[str, Any], *, chat: bool) -> str:
-    """Return what is wrong and what to send instead, empty if nothing is."""
+def _validation_error(members: Mapping[str, Any], *, chat: bool) -> str:
+    """Return what is wrong with a request, or an empty string."""
     model = members.get('model')
     if not isinstance(model, str) or not model:
         return '"model" is missing; send the name of a model.'
-    prompt_fault = (
-        _messages_fault(members.get('messages'))
+    prompt_error = (
+        _messages_error(members.get('messages'))
         if chat
-        else _prompt_fault(members.get('prompt'))
+        else _prompt_error(members.get('prompt'))
     )
     return (
-        prompt_fault
-        or _option_fault(members)
-        or _tokens_fault(members, 'max_tokens')
-        or _tokens_fault(members, 'max_completion_tokens')
+        prompt_error
+        or _options_error(members)
+        or _tokens_error(members, 'max_tokens')
+        or _tokens_error(members, 'max_completion_tokens')
     )
 
 
-def _messages_fault(messages: Any) -> str:
+def _messages_error(messages: Any) -> str:
     if not isinstance(messages, list) or not messages:
         return '"messages" must be a list with at least one message.'
     for message in messages:
-        fault = _message_fault(message)
-        if fault:
-            return fault
+        error = _message_error(message)
+        if error:
+            return error
     return ''
 
 
-def _message_fault(message: Any) -> str:
+def _message_error(message: Any) -> str:
     if not isinstance(message, dict):
         return 'Each message must be an object.'
     role = message.get('role')
@@ -152,13 +154,13 @@
     return ''
 
 
-def _prompt_fault(prompt: Any) -> str:
+def _prompt_error(prompt: Any) -> str:
     if not isinstance(prompt, str) or not prompt:
         return '"prompt" must be a string that is not empty.'
     return ''
 
 
-def _option_fault(members: Mapping[str, Any]) -> str:
+def _options_error(members: Mapping[str, Any]) -> str:
     if not isinstance(members.get('stream', False), (bool, type(None))):
         return '"stream" must be true or false.'
     options = members.get('stream_options')
@@ -176,14 +178,14 @@
     return ''
 
 
-def _tokens_fault(members: Mapping[str, Any], name: str) -> str:
+def _tokens_error(members: Mapping[str, Any], name: str) -> str:
     found = members.get(name)
     if found is None:
         return ''
     if isinstance(found, bool) or not isinstance(found, int) or found < 1:
-        return f'"{name}" must be a whole number above zero.'
+        return f'"{name}" must be a positive integer.'
     return ''
 
 
-def _wrong(code: str, message: str) -> ParseResult:
+def _bad_request(code: str, message: str) -> ParseResult:
     return Error(HttpError(http.HTTPStatus.BAD_REQUEST, code, message))
--- a/verbenathread/entry/retry_thread.py
+++ b/verbenathread/entry/retry_thread.py
@@ -1,4 +1,4 @@
-"""A thread that works off what is pending, and is waited for at a stop."""
+"""A background thread that retries pending work until it is confirmed."""
 
 import threading
 from collections.abc import Sized
@@ -8,16 +8,17 @@
 
 
 class RetryThread:
-    """Base of the entry's threads that try until something is confirmed.
+    """Base class of threads that retry work until it is confirmed.
 
-    A subclass keeps what is pending in ``_pending``, changes it only while it
-    holds ``_changed``, and ends :meth:`_run` once ``_stopping`` is set.
+    A subclass keeps the unconfirmed work in ``_pending``, changes it only
+    while it holds ``_changed``, and returns from :meth:`_run` once
+    ``_stopping`` is set.
     """
 
     _pending: Sized
 
     def __init__(self, name: str, clock: Clock) -> None:
-        """Start nothing before :meth:`start`; ``name`` is the thread's."""
+        """Create a thread ``name``, which does not run before :meth:`start`."""
         self._clock = clock
         self._changed = threading.Condition()
         self._stopping = False
@@ -27,7 +28,7 @@
 
     @property
     def pending(self) -> int:
-        """Return how much is not confirmed."""
+        """Return how many items are not confirmed."""
         with self._changed:
             return len(self._pending)
 
@@ -36,7 +37,7 @@
         self._thread.start()
 
     def stop(self, timeout: Millis) -> None:
-        """Wait up to ``limit`` ms for what is pending, then end."""
+        """Wait up to ``timeout`` ms for the pending work, then stop."""
         deadline = self._clock.now() + timeout
         with self._changed:
             while self._pending and self._clock.now() < deadline:
--- a/verbenathread/entry/socket_deadlines.py
+++ b/verbenathread/entry/socket_deadlines.py
@@ -1,7 +1,7 @@
-"""Reads and writes of a caller's socket that end at a deadline.
+"""Reads and writes of a caller's socket with an absolute deadline.
 
-The server library bounds each single wait only, so a caller that sends one
-byte now and then could hold a worker for ever.
+Cheroot has a timeout for each single read and write only, so a caller that
+sends a byte now and then could occupy a worker forever.
 """
 
 import io
@@ -12,86 +12,87 @@
 from verbenathread.clock import Clock, seconds
 from verbenathread.types import Millis
 
-_LEAST_WAIT = 1
+# A timeout of 0 would make the socket non-blocking.
+_MIN_TIMEOUT_MS = 1
 
 
 class SocketDeadlines:
-    """The moments by which reads and writes of one socket must end."""
+    """Deadlines of the reads and writes of one socket, in monotonic ms."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start without a bound; the server sets one for each request."""
+        """Start unset; the server sets the deadlines for each request."""
         self._clock = clock
         self.read_by: Millis = 0
         self.write_by: Millis = 0
-        # Longest time in ms that one write may wait for a slow reader.
+        # Time in ms that one write may block on a slow reader.
         self.write_timeout: Millis = 0
 
     def read_timeout_seconds(self) -> float:
-        """Return how long a read may wait, in seconds."""
+        """Return the timeout of the next read in seconds."""
         left = self.read_by - self._clock.now()
-        return seconds(max(_LEAST_WAIT, left))
+        return seconds(max(_MIN_TIMEOUT_MS, left))
 
     def write_timeout_seconds(self) -> float:
-        """Return how long one write may wait, in seconds."""
+        """Return the timeout of the next write in seconds."""
         left = min(self.write_by - self._clock.now(), self.write_timeout)
-        return seconds(max(_LEAST_WAIT, left))
+        return seconds(max(_MIN_TIMEOUT_MS, left))
 
 
-class _TimedRaw(socket.SocketIO):
-    """Sets the socket's timeout to what is left before each read."""
+class _DeadlineSocketIO(socket.SocketIO):
+    """Sets the socket's timeout to the time that is left before each read."""
 
-    def __init__(self, sock: socket.socket, times: SocketDeadlines) -> None:
+    def __init__(self, sock: socket.socket, deadlines: SocketDeadlines) -> None:
         super().__init__(sock, 'rb')
-        self._timed_socket = sock
-        self._times = times
+        self._deadline_socket = sock
+        self._deadlines = deadlines
 
     def readinto(self, buffer: memoryview) -> int | None:  # type: ignore[override]
-        """Read once, no later than the deadline."""
-        self._timed_socket.settimeout(self._times.read_timeout_seconds())
+        """Read once, until the deadline at the latest."""
+        self._deadline_socket.settimeout(self._deadlines.read_timeout_seconds())
         return super().readinto(buffer)
 
 
 class DeadlineReader(StreamReader):
-    """What the server library reads requests from."""
+    """The stream that cheroot reads requests from."""
 
-    def __init__(self, sock: socket.socket, times: SocketDeadlines) -> None:
-        """Read from ``sock`` within ``times``."""
+    def __init__(self, sock: socket.socket, deadlines: SocketDeadlines) -> None:
+        """Read from ``sock`` until its read deadline."""
         super().__init__(sock, 'rb', io.DEFAULT_BUFFER_SIZE)
-        # The reader above made its own raw file; it is not used.
+        # StreamReader has created a raw file without deadlines.
         self.raw.close()
-        self._raw = _TimedRaw(sock, times)
+        self._raw = _DeadlineSocketIO(sock, deadlines)
 
 
 class DeadlineWriter:
-    """Writes at once, without a buffer, no later than the deadline."""
+    """Writes to a socket until a deadline, unbuffered unless corked."""
 
-    def __init__(self, sock: socket.socket, times: SocketDeadlines) -> None:
-        """Write to ``sock`` within ``times``."""
+    def __init__(self, sock: socket.socket, deadlines: SocketDeadlines) -> None:
+        """Write to ``sock`` until its write deadline."""
         self._socket = sock
-        self._times = times
+        self._deadlines = deadlines
         self.bytes_written = 0
-        self._held: list[bytes] | None = None
+        self._corked: list[bytes] | None = None
 
     def cork(self) -> None:
-        """Keep what is written, to send it as one."""
-        self._held = []
+        """Buffer writes, to send them as one."""
+        self._corked = []
 
     def uncork(self) -> None:
-        """Send what was kept."""
-        held = self._held
-        self._held = None
-        if held:
-            self.write(b''.join(held))
+        """Send the buffered writes."""
+        corked = self._corked
+        self._corked = None
+        if corked:
+            self.write(b''.join(corked))
 
     def write(self, block: bytes) -> int:
-        """Send the whole block or raise ``OSError``."""
-        if self._held is not None:
-            self._held.append(block)
+        """Send (or buffer) the whole block or raise ``OSError``."""
+        if self._corked is not None:
+            self._corked.append(block)
             return len(block)
-        self._socket.settimeout(self._times.write_timeout_seconds())
+        self._socket.settimeout(self._deadlines.write_timeout_seconds())
         self._socket.sendall(block)
         self.bytes_written += len(block)
         return len(block)
 
     def flush(self) -> None:
-        """Do nothing: nothing is held back."""
+        """Do nothing: writes are not buffered."""
