--- a/tests/entry_fakes.py
+++ b/tests/entry_fakes.py
@@ -1,4 +1,4 @@
-"""In-memory neighbours of the callers' side, and an entry that uses them."""
+"""In-memory ports of the HTTP frontend, and an entry that uses them."""
 
 import hashlib
 import itertools
@@ -29,7 +29,7 @@
 
 
 class FakeAdmissions:
-    """Admits all but what ``refusal`` says; counts what is in progress."""
+    """Admits requests unless ``refusal`` is set; counts those in progress."""
 
     def __init__(self):
         self.refusal = None
@@ -83,14 +83,14 @@
         return tuple(sorted(self.service_by_name))
 
     def policy(self, service):
-        # Every request of these tests meets a fault, so each earns a retry.
+        # These tests inject faults into all requests, so each may be retried.
         return settings_pb2.PolicySettings(
             retry_base=5, attempts=4, retry_share=1
         )
 
 
 class FakeUpstreams:
-    """Keeps the greatest (incarnation, state, version) of each upstream."""
+    """Keeps the record with the greatest (incarnation, state) per upstream."""
 
     def __init__(self):
         self.record_by_id = {}
@@ -126,7 +126,7 @@
 
 
 class FakeReservations:
-    """Counts what is opened and released; picks engines in turn."""
+    """Reserves on engines in turn; counts reservations and releases."""
 
     def __init__(self, upstreams):
         self.upstreams = upstreams
@@ -135,10 +135,10 @@
         self.opened = 0
         self.released = 0
         self.failed_engines_by_request = {}
-        # While set, reserve() waits: the queue of an engine.
+        # While set, reserve() blocks, as in the queue of an engine.
         self.full = threading.Event()
         self.abandoned = set()
-        # While set, every ready engine together, for this much memory.
+        # If not 0, reserve this much memory on all ready engines as a group.
         self.group_tokens = 0
         self.changed = threading.Condition()
 
@@ -197,7 +197,7 @@
 
 
 class SkippingUsedEngines(FakeReservations):
-    """Passes over engines that the request already used."""
+    """Never reserves twice on the same engine for one request."""
 
     def reserve(self, work, attempt_id):
         granted = super().reserve(work, attempt_id)
@@ -209,13 +209,13 @@
 
 
 class FakeClaims:
-    """The claim table of one quorum, shared by the entries of a test."""
+    """A claims table in memory, shared by the entries of a test."""
 
     def __init__(self):
         self.lock = threading.Lock()
         self.claim_by_key = {}
         self.settled_by_key = {}
-        self.lost_settles = 0
+        self.settles_to_fail = 0
         self.has_quorum = True
 
     def claim(self, request, limit):
@@ -251,8 +251,8 @@
     def settle(self, request, limit):
         key = (request.account, request.service, request.idempotency_key)
         with self.lock:
-            if self.lost_settles:
-                self.lost_settles -= 1
+            if self.settles_to_fail:
+                self.settles_to_fail -= 1
                 answer = control_pb2.Answer(code=control_pb2.NO_QUORUM)
                 return control_pb2.SettleReply(answer=answer)
             held = self.claim_by_key.get(key)
@@ -265,7 +265,7 @@
 
 
 class FakeEntry:
-    """A callers' side with in-memory neighbours, on an own port."""
+    """An HTTP frontend with in-memory ports that listens on a free port."""
 
     def __init__(
         self,
--- a/tests/standins/service.py
+++ b/tests/standins/service.py
@@ -1,4 +1,4 @@
-"""A booking service that counts every run by its key, and has faults."""
+"""A booking service for tests: counts runs by key and injects faults."""
 
 import threading
 import time
@@ -7,18 +7,18 @@
 
 
 class Bookings:
-    """How often each key ran, and the faults still to come."""
+    """The number of runs of each key, and the faults left to inject."""
 
     def __init__(self, options):
         self.options = options
         self.runs_by_key = {}
-        # Keys of the calls that have come, in their order.
-        self.came = []
+        # Keys of all calls received, in order.
+        self.received = []
         self.lock = threading.Lock()
         self.faults_left = options.faults
 
-    def fault(self, name):
-        """Return whether the fault ``name`` is due now."""
+    def take_fault(self, name):
+        """Return whether to inject the fault ``name`` now; use it up."""
         with self.lock:
             if self.options.fault != name or not self.faults_left:
                 return False
@@ -32,39 +32,39 @@
 
 
 class BookingHandler(JsonHandler):
-    """POST /holds books; GET /holds tells the runs by key."""
+    """POST /holds books; GET /holds returns the runs by key."""
 
     bookings: Bookings
 
     def do_GET(self):
-        if self.bookings.fault('drop-get'):
+        if self.bookings.take_fault('drop-get'):
             self.cut()
             return
         self.answer(
             {
                 'runs_by_key': self.bookings.runs_by_key,
-                'came': self.bookings.came,
+                'came': self.bookings.received,
             }
         )
 
     def do_POST(self):
         self.read_body()
-        if self.bookings.fault('die-before'):
+        if self.bookings.take_fault('die-before'):
             self.cut()
             return
         key = self.headers.get('Idempotency-Key', 'no-key')
-        self.bookings.came.append(key)
+        self.bookings.received.append(key)
         if self.bookings.options.slow:
             time.sleep(self.bookings.options.slow)
         runs = self.bookings.run(key)
-        if self.bookings.fault('die-after'):
+        if self.bookings.take_fault('die-after'):
             self.cut()
             return
         self.answer({'booked': key, 'runs': runs}, 201)
 
     def answer(self, members, status=200):
         attempt_id = self.headers.get('X-Attempt-Id', '')
-        if self.bookings.fault('cross'):
+        if self.bookings.take_fault('cross'):
             attempt_id = 'another-attempt'
         self.reply(members, status, (('X-Attempt-Id', attempt_id),))
 
--- a/tests/test_entry_bad_input.py
+++ b/tests/test_entry_bad_input.py
@@ -1,4 +1,4 @@
-"""One table of bad inputs: each gets one clear answer, nothing is held."""
+"""Tests of bad requests: each gets one error response and leaks nothing."""
 
 import json
 import socket
@@ -33,7 +33,7 @@
 
 
 CHUNKED = ('Transfer-Encoding', 'chunked')
-# What is sent, and the status and code of the answer.
+# Name, request, and the status and error code expected.
 BAD_INPUTS = (
     ('no key', raw(COMPLETIONS, b'{}'), 401, 'invalid_api_key'),
     (
@@ -183,7 +183,7 @@
 
 
 def exchange(address, content):
-    """Send bytes and return status and members of the one answer."""
+    """Send a request; return status, JSON members and headers of the answer."""
     with socket.create_connection(address, timeout=20) as sock:
         sock.sendall(content)
         answer = HTTPResponse(sock)
@@ -200,16 +200,18 @@
         self.addCleanup(engine.stop)
         self.assertEqual(engine.announce(self.entry.address), 200)
 
-    def test_each_gets_one_clear_answer(self):
+    def test_each_gets_an_error_response(self):
         for name, content, status, code in BAD_INPUTS:
             with self.subTest(name):
-                found, members, _ = exchange(self.entry.address, content)
+                actual_status, members, _ = exchange(
+                    self.entry.address, content
+                )
                 error = members['error']
-                self.assertEqual((found, error['code']), (status, code))
+                self.assertEqual((actual_status, error['code']), (status, code))
                 self.assertEqual(error['run_state'], 'not_run')
                 self.assertTrue(error['message'])
-        found, members, _ = exchange(self.entry.address, call(CALL))
-        self.assertEqual(found, 200)
+        actual_status, members, _ = exchange(self.entry.address, call(CALL))
+        self.assertEqual(actual_status, 200)
         side = self.entry.frontend
         self.assertTrue(wait_until(lambda: not side.server.busy))
         self.assertEqual(side.body_budget.used_bytes, 0)
--- a/tests/test_entry_daemon.py
+++ b/tests/test_entry_daemon.py
@@ -1,4 +1,4 @@
-"""Tests of the planned stop of an entry under load."""
+"""Tests of the start and the graceful shutdown of an entry."""
 
 import tempfile
 import threading
@@ -30,8 +30,8 @@
 LISTEN = '127.0.0.1:0'
 
 
-class FakeFabric:
-    """Neighbours in memory; counts its stops."""
+class FakeClusterNode:
+    """A cluster node with in-memory ports; counts calls of :meth:`stop`."""
 
     incarnation = 1
 
@@ -77,12 +77,12 @@
 
 class DaemonTest(unittest.TestCase):
     def setUp(self):
-        self.fabric = FakeFabric()
+        self.cluster_node = FakeClusterNode()
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.trace = Path(folder.name) / 'trace.jsonl'
         settings = node_settings(trace_file=str(self.trace))
-        self.daemon = EntryDaemon(settings, self.fabric)
+        self.daemon = EntryDaemon(settings, self.cluster_node)
         self.daemon.start()
         self.engine = LocalStandIn('engine', '--decode-rate', '30')
         self.addCleanup(self.engine.stop)
@@ -108,54 +108,55 @@
             error.close()
             return error.code
 
-    def test_planned_stop_cuts_nothing_off(self):
+    def test_shutdown_completes_requests_in_progress(self):
         self.assertEqual(self.status('/readyz'), 503)
-        self.fabric.is_ready = True
+        self.cluster_node.is_ready = True
         for path in ('/readyz', '/healthz', '/metrics'):
             self.assertEqual(self.status(path), 200)
         streams = [self.complete(stream=True) for _ in range(STREAMS - 2)]
         stopping = threading.Thread(target=self.daemon.stop)
         stopping.start()
         self.assertTrue(wait_until(lambda: self.status('/readyz') == 503))
-        # The balancer has not noticed yet: new work is still served.
+        # Load balancers may not have seen the failed readiness check yet, so
+        # new requests are still served.
         streams.append(self.complete(stream=True))
         self.assertEqual(streams[-1].status, 200)
-        refused = self.until_refused()
+        refused = self.wait_until_refused()
         self.assertEqual(refused.headers['Connection'], 'close')
         self.assertTrue(refused.headers['Retry-After'])
         self.assertEqual(refused.headers['X-Run-State'], 'not_run')
         for answer in streams:
             self.assertEqual(streamed_text(answer.read()), WHOLE)
         stopping.join()
-        self.assertEqual(self.fabric.stops, 1)
-        held = self.fabric.ports.reservations
-        self.assertEqual(held.opened, held.released)
-        # The stand-in forgets a hold just after its last byte went out.
-        self.assertTrue(wait_until(self.nothing_held))
+        self.assertEqual(self.cluster_node.stops, 1)
+        reservations = self.cluster_node.ports.reservations
+        self.assertEqual(reservations.opened, reservations.released)
+        # The stand-in drops a hold shortly after it sent the last byte.
+        self.assertTrue(wait_until(self.engine_is_idle))
         requests = read_trace(self.trace)
         self.assertEqual({request.entry for request in requests}, {1})
         outputs = [request.output_tokens for request in requests]
         self.assertGreaterEqual(outputs.count(20), len(streams))
         self.assertNotIn('any cot', self.trace.read_text())
 
-    def nothing_held(self):
+    def engine_is_idle(self):
         return not self.engine.state.hold_by_attempt
 
-    def until_refused(self):
-        found = []
+    def wait_until_refused(self):
+        answers = []
 
         def refused():
             answer = self.complete(stream=False)
             answer.read()
-            found.append(answer)
+            answers.append(answer)
             return answer.status == 503
 
         self.assertTrue(wait_until(refused))
-        return found[-1]
+        return answers[-1]
 
-    def test_taken_address_is_said_with_its_remedy(self):
+    def test_address_in_use_raises_settings_error(self):
         listen = str(self.daemon.frontend.server.address)
-        second = EntryDaemon(node_settings(listen), FakeFabric())
-        with self.assertRaisesRegex(SettingsError, 'write another port'):
+        second = EntryDaemon(node_settings(listen), FakeClusterNode())
+        with self.assertRaisesRegex(SettingsError, 'set another port'):
             second.start()
         self.daemon.stop()
--- a/tests/test_entry_http_server.py
+++ b/tests/test_entry_http_server.py
@@ -1,4 +1,4 @@
-"""Tests of overload: full workers, full buffers, slow and idle callers."""
+"""Tests of overload: no free worker or buffer, slow and idle callers."""
 
 import socket
 
@@ -22,27 +22,27 @@
         self.assertEqual({answer.status for answer in answers}, {200})
         return answers
 
-    def test_twice_the_streams_all_get_a_final_answer(self):
+    def test_requests_beyond_the_streams_are_refused(self):
         engine = self.engine('--decode-rate', '40')
         streams = self.open_streams(STREAMS)
         refused = []
         for _ in range(2 * STREAMS):
             content = call({'model': MODEL, 'prompt': 'any cot?'})
             refused.append(exchange(self.entry.address, content))
-            # Answered while every stream is still in work.
+            # The refusal came while every stream was still in progress.
             self.assertGreaterEqual(self.entry.frontend.server.busy, STREAMS)
         for status, members, headers in refused:
             self.assertEqual(status, 503)
             self.assertEqual(members['error']['code'], 'overloaded')
             self.assertEqual(members['error']['run_state'], 'not_run')
             self.assertTrue(int(headers['Retry-After']))
-        # Upstreams still renew, and nobody's stream was cut.
+        # Upstreams can still renew, and no stream was aborted.
         self.assertEqual(engine.announce(self.entry.address, verb='renew'), 200)
         for answer in streams:
             self.assertEqual(streamed_text(answer.read()), WHOLE)
         self.assert_nothing_held(engine)
 
-    def test_idle_connections_hold_no_worker(self):
+    def test_idle_connections_occupy_no_worker(self):
         engine = self.engine()
         idle = [
             socket.create_connection(self.entry.address)
@@ -74,7 +74,7 @@
         self.assertEqual(self.complete().status, 200)
         self.assert_nothing_held(engine)
 
-    def test_slow_reader_is_cut_off(self):
+    def test_slow_reader_is_disconnected(self):
         engine = self.engine('--answer-tokens', '1000000')
         with socket.create_connection(self.entry.address) as sock:
             sock.sendall(call({'model': MODEL, 'prompt': 'a', 'stream': True}))
@@ -86,7 +86,7 @@
         self.assertLess(engine.state.generated, 1_000_000)
         self.assert_nothing_held(engine)
 
-    def test_connection_serves_one_request_after_another(self):
+    def test_connection_is_reused(self):
         engine = self.engine()
         pool = urllib3.HTTPConnectionPool(*self.entry.address, maxsize=1)
         self.addCleanup(pool.close)
--- a/tests/test_entry_plain_service.py
+++ b/tests/test_entry_plain_service.py
@@ -1,4 +1,4 @@
-"""Tests of calls on plain services: repeated, claimed, or sent once."""
+"""Tests of calls to plain services: retried, claimed or sent once."""
 
 import threading
 import unittest
@@ -13,8 +13,9 @@
 )
 from tests.standins.processes import LocalStandIn
 
-# Method, key, fault of the service; then status, code, run state and the
-# runs of the key after the call was sent twice, the second at another entry.
+# Method, key and fault of the service; then the expected status, error code
+# and run state, and the expected number of runs after the call was sent a
+# second time, to another entry.
 CALLS = (
     ('POST', 'k', 'none', 201, None, 'run', 1),
     ('POST', 'k', 'die-before', 502, 'outcome_unknown', 'may_have_run', 0),
@@ -54,13 +55,13 @@
             headers=headers,
         )
 
-    def gather(self, entry, answers):
+    def collect_answer(self, entry, answers):
         answers.append(self.send(entry))
 
     def settled(self, count=1):
         return wait_until(lambda: len(self.claims.settled_by_key) >= count)
 
-    def test_outcomes_are_kept_apart(self):
+    def test_outcomes_are_reported(self):
         for case in CALLS:
             with self.subTest(case[:3]):
                 self.check(*case)
@@ -86,7 +87,7 @@
         counted = service.state.runs_by_key.get(key or 'no-key', 0)
         self.assertEqual(counted, runs)
 
-    def test_unknown_is_not_tried_at_another_upstream(self):
+    def test_unknown_outcome_is_not_retried_elsewhere(self):
         first = self.service('--fault', 'die-after')
         second = LocalStandIn('service', '--fault', 'die-after')
         self.addCleanup(second.stop)
@@ -101,12 +102,12 @@
                 counted += sum(second.state.runs_by_key.values())
                 self.assertEqual(counted, runs)
 
-    def test_same_key_at_two_entries_at_once_runs_once(self):
+    def test_concurrent_calls_with_one_key_run_once(self):
         service = self.service('--slow', '0.2')
-        self.claims.lost_settles = 2
+        self.claims.settles_to_fail = 2
         answers = []
         threads = [
-            threading.Thread(target=self.gather, args=(entry, answers))
+            threading.Thread(target=self.collect_answer, args=(entry, answers))
             for entry in self.entries * 4
         ]
         for thread in threads:
@@ -121,14 +122,14 @@
         for answer in by_status[409]:
             self.assertEqual(answer.json()['error']['code'], 'in_progress')
             self.assertTrue(answer.headers['Retry-After'])
-        # The outcome is recorded although two tries to do so were lost.
+        # The outcome is recorded although the first two attempts failed.
         self.assertTrue(self.settled())
         self.assertEqual(self.send(self.entries[1]).status, 201)
         other = self.send(self.entries[1], body=b'cot 8')
         self.assertEqual(other.status, 422)
         self.assertEqual(service.state.runs_by_key, {'k': 1})
 
-    def test_not_run_is_said_on_evidence_only(self):
+    def test_not_run_is_reported_only_if_certain(self):
         service = self.service()
         self.claims.has_quorum = False
         answer = self.send(self.entries[0])
@@ -140,12 +141,12 @@
         self.assertEqual(answer.status, 503)
         self.assertEqual(answer.json()['error']['run_state'], 'not_run')
         self.assertTrue(self.settled())
-        # Nothing was sent, so the same key may run now.
+        # Nothing was sent, so a call with the same key may run.
         later = self.service()
         self.assertEqual(self.send(self.entries[1]).status, 201)
         self.assertEqual(later.state.runs_by_key, {'k': 1})
 
-    def test_claimed_call_ends_without_its_caller(self):
+    def test_claimed_call_outlives_its_caller(self):
         service = self.service('--slow', '0.3')
         with self.assertRaises(urllib3.exceptions.TimeoutError):
             self.pool.request(
--- a/verbenathread/entry/claims_client.py
+++ b/verbenathread/entry/claims_client.py
@@ -1,4 +1,4 @@
-"""Claims on a quorum of control, found by asking for the leader."""
+"""Client of the claims table of control; finds and calls its leader."""
 
 import asyncio
 import random
@@ -18,19 +18,19 @@
 from verbenathread.settings.node import parse_address
 from verbenathread.types import Address, Millis
 
-_Reply = TypeVar('_Reply', control_pb2.ClaimReply, control_pb2.SettleReply)
-_Method = Callable[[control_grpc.ControlStub, float], Awaitable[_Reply]]
+_ReplyT = TypeVar('_ReplyT', control_pb2.ClaimReply, control_pb2.SettleReply)
+_Method = Callable[[control_grpc.ControlStub, float], Awaitable[_ReplyT]]
 
-# One control process has this long to answer before the next is asked.
-_CALL_MS = 1500
+# Timeout of a call to one control process before the next is tried.
+_CALL_TIMEOUT_MS = 1500
 _BACKOFF_MS = 50
 
 
 class ClaimsClient:
-    """Records claims and outcomes with whoever leads.
+    """Records claims and outcomes with the leader of control.
 
-    Both calls are idempotent by their attempt identifier, so a lost answer
-    is asked for again until the limit.
+    Both calls are idempotent by their attempt identifier, so a call without
+    a reply is retried until the time limit.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         clock: Clock,
         rng: random.Random,
     ) -> None:
-        """Take the control processes; one channel is kept for each."""
+        """Call the control processes at ``addresses``, one channel each."""
         self._addresses = tuple(addresses)
         self._node = node
         self._clock = clock
@@ -74,49 +74,51 @@
             channel.close()
         self._channel_by_address.clear()
 
-    async def _call(self, method: _Method[_Reply], limit: Millis) -> _Reply:
-        """Ask until a leader answers.
+    async def _call(self, method: _Method[_ReplyT], limit: Millis) -> _ReplyT:
+        """Retry until a leader replies.
 
-        Raises :class:`UnavailableError` when nothing was recorded, and
-        :class:`UnknownOutcomeError` when an answer was lost and no later one
-        told what became of it.
+        Raises :class:`UnavailableError` if nothing was recorded, and
+        :class:`UnknownOutcomeError` if a reply was lost and no later reply
+        gave the outcome.
         """
-        end = self._clock.now() + limit
-        lost: UnknownOutcomeError | None = None
-        refused = _refused('no control process could be asked in time')
-        while self._clock.now() < end:
-            left = min(_CALL_MS, end - self._clock.now())
+        deadline = self._clock.now() + limit
+        unknown_outcome: UnknownOutcomeError | None = None
+        unavailable = _unavailable('no control process was called in time')
+        while self._clock.now() < deadline:
+            timeout = min(_CALL_TIMEOUT_MS, deadline - self._clock.now())
             try:
-                return await self._ask_once(method, left)
-            except UnknownOutcomeError as unknown:
-                lost = unknown
-            except UnavailableError as unavailable:
-                refused = unavailable
+                return await self._call_once(method, timeout)
+            except UnknownOutcomeError as exc:
+                unknown_outcome = exc
+            except UnavailableError as exc:
+                unavailable = exc
             await asyncio.sleep(seconds(_BACKOFF_MS))
-        raise lost or refused
+        raise unknown_outcome or unavailable
 
-    async def _ask_once(self, method: _Method[_Reply], limit: Millis) -> _Reply:
+    async def _call_once(
+        self, method: _Method[_ReplyT], limit: Millis
+    ) -> _ReplyT:
         address = self._leader or self._rng.choice(self._addresses)
         try:
             reply = await method(self._stub(address), seconds(limit))
         except ConnectionRefusedError:
-            # Nothing was sent.
+            # The request was not sent.
             self._leader = None
-            raise _refused(f'{address} takes no connection') from None
+            raise _unavailable(f'{address} refuses connections') from None
         except RPC_ERRORS:
             self._drop(address)
-            raise _lost() from None
+            raise _unknown_outcome() from None
         if reply.answer.code == control_pb2.NOT_LEADER:
-            self._leader = self._address(reply.answer.leader)
-            raise _refused(f'{address} does not lead')
+            self._leader = self._parse_leader(reply.answer.leader)
+            raise _unavailable(f'{address} is not the leader')
         if reply.answer.code == control_pb2.NO_QUORUM:
-            raise _refused('control has no quorum')
+            raise _unavailable('control has no quorum')
         if reply.answer.code == control_pb2.UNKNOWN_OUTCOME:
-            raise _lost()
+            raise _unknown_outcome()
         self._leader = address
         return reply
 
-    def _address(self, leader: str) -> Address | None:
+    def _parse_leader(self, leader: str) -> Address | None:
         try:
             return parse_address(leader)
         except SettingsError:
@@ -134,15 +136,15 @@
         self._leader = None
 
 
-def _refused(why: str) -> UnavailableError:
+def _unavailable(reason: str) -> UnavailableError:
     return UnavailableError(
-        f'Nothing was recorded, since {why}: see whether a majority of the '
-        + 'control processes runs, then send the call again.'
+        f'Nothing was recorded: {reason}. Check that a majority of the '
+        + 'control processes is running, then send the call again.'
     )
 
 
-def _lost() -> UnknownOutcomeError:
+def _unknown_outcome() -> UnknownOutcomeError:
     return UnknownOutcomeError(
-        'Control did not answer in time: the record may stand; look it up '
+        'Control did not reply in time: the record may exist; look it up '
         + 'with the same idempotency key.'
     )
--- a/verbenathread/entry/daemon.py
+++ b/verbenathread/entry/daemon.py
@@ -1,4 +1,4 @@
-"""The entry daemon: its parts wired, started, and stopped as planned."""
+"""The entry daemon: starts the components and shuts them down gracefully."""
 
 import importlib
 import time
@@ -18,35 +18,35 @@
 from verbenathread.settings.node import parse_address, parse_peers
 from verbenathread.types import Address, Millis
 
-# Longest time in ms to record outcomes and confirm cancels at a stop.
+# Time in ms to record outcomes and confirm cancels during shutdown.
 _FLUSH_TIME = 5000
 
 _log = get_logger('entry')
 
 
-class Fabric(Protocol):
-    """The entry's connections with other nodes."""
+class ClusterNode(Protocol):
+    """The node's membership in the cluster: connections to other nodes."""
 
     ports: FrontendPorts
-    # Grows with each start of this node; control and engines see this one.
+    # Increases at each start of this node; sent to control and engines.
     incarnation: int
 
     def start(self) -> None:
-        """Begin to talk with the other nodes."""
+        """Connect to the other nodes."""
 
     def stop(self) -> None:
-        """Hand over or release leases and end."""
+        """Hand over or release leases, then disconnect."""
 
     def ready(self) -> bool:
         """Return whether shared settings are in force."""
 
 
 class StopTimes(NamedTuple):
-    """How long the steps of a planned stop take, in ms."""
+    """Durations of the steps of a graceful shutdown, in ms."""
 
-    # How long readiness fails before new work is refused.
+    # Time between failing readiness and refusing new requests.
     notice: Millis
-    # How long requests in progress are waited for.
+    # Time for requests in progress to end.
     limit: Millis
 
 
@@ -56,23 +56,23 @@
     def __init__(
         self,
         settings: settings_pb2.NodeSettings,
-        fabric: Fabric | None = None,
+        cluster_node: ClusterNode | None = None,
         *,
         clock: Clock | None = None,
     ) -> None:
-        """Wire the parts; nothing runs before :meth:`start`."""
+        """Create the components; nothing runs before :meth:`start`."""
         entry = settings.entry
         clock = clock or SystemClock()
-        if fabric is None:
-            fabric = _entry_fabric(settings)
-        self._fabric = fabric
+        if cluster_node is None:
+            cluster_node = _create_cluster_node(settings)
+        self._cluster_node = cluster_node
         self._stop_times = StopTimes(entry.stop_notice, entry.stop_limit)
-        self._fault = 'starting'
+        self._unready_reason = 'starting'
         self.metrics = EntryMetrics()
         self.frontend = HttpFrontend(
             parse_address(entry.listen),
-            fabric.ports,
-            Owner(settings.node.id, fabric.incarnation),
+            cluster_node.ports,
+            Owner(settings.node.id, cluster_node.incarnation),
             Limits(
                 entry.streams,
                 entry.buffered_bytes,
@@ -81,7 +81,7 @@
             ),
             self.metrics,
             clock=clock,
-            recorder=_recorder(settings, clock),
+            recorder=_create_recorder(settings, clock),
         )
         self.status = StatusServer(
             parse_address(entry.metrics_listen),
@@ -90,58 +90,61 @@
         )
 
     def start(self) -> None:
-        """Begin to serve; readiness tells when callers may be sent here."""
-        self._fabric.start()
-        self._listen(
+        """Start serving; readiness succeeds once callers can be served."""
+        self._cluster_node.start()
+        self._start_listening(
             'listen', self.frontend.server.address, self.frontend.start
         )
-        self._listen('metrics_listen', self.status.address, self.status.start)
-        self._fault = ''
+        self._start_listening(
+            'metrics_listen', self.status.address, self.status.start
+        )
+        self._unready_reason = ''
         _log.info('Serving callers.', address=str(self.frontend.server.address))
 
     def stop(self) -> None:
-        """Stop as planned: no request in progress is cut off in its limit."""
+        """Shut down gracefully: requests in progress may end in time."""
         _log.info('Stopping.')
-        self._fault = 'stopping'
+        self._unready_reason = 'stopping'
         time.sleep(seconds(self._stop_times.notice))
         self.frontend.refuse_new_work()
         if not self.frontend.drain(self._stop_times.limit):
             _log.warning(
-                'Requests are cut off at the stop limit.',
+                'Stop limit reached; aborting requests in progress.',
                 requests=self.frontend.server.busy,
             )
         self.frontend.stop(_FLUSH_TIME)
-        self._fabric.stop()
+        self._cluster_node.stop()
         self.status.stop()
         _log.info('Stopped.')
 
     def _readiness(self) -> str:
-        if self._fault:
-            return self._fault
-        if not self._fabric.ready():
+        if self._unready_reason:
+            return self._unready_reason
+        if not self._cluster_node.ready():
             return 'no shared settings are in force yet'
         return ''
 
-    def _listen(
+    def _start_listening(
         self, option: str, address: Address, start: Callable[[], None]
     ) -> None:
         try:
             start()
         except OSError as exc:
             raise SettingsError(
-                f'[entry] {option} = {address} can not be listened on '
-                f'({exc.strerror}); end what uses it or write another port.'
+                f'[entry] {option}: cannot listen on {address} '
+                f'({exc.strerror}); stop the process that uses it or set '
+                'another port.'
             ) from exc
 
 
-def _entry_fabric(settings: settings_pb2.NodeSettings) -> Fabric:
-    # Loaded late: callers that bring a fabric of their own need no grpclib.
+def _create_cluster_node(settings: settings_pb2.NodeSettings) -> ClusterNode:
+    # Imported late: with another cluster node, grpclib is not needed.
     module = importlib.import_module('verbenathread.entry.node_thread')
-    fabric: Fabric = module.NodeThread(settings)
-    return fabric
+    cluster_node: ClusterNode = module.NodeThread(settings)
+    return cluster_node
 
 
-def _recorder(
+def _create_recorder(
     settings: settings_pb2.NodeSettings, clock: Clock
 ) -> TraceRecorder:
     node_ids = [peer.node_id for peer in parse_peers(settings.entry.cell)]
--- a/verbenathread/entry/http_frontend.py
+++ b/verbenathread/entry/http_frontend.py
@@ -1,6 +1,7 @@
-"""Everything of an entry that speaks HTTP with callers and upstreams.
+"""The HTTP frontend of an entry, towards callers and upstreams.
 
-It is wired from ports only, so it can be embedded with other neighbours.
+It depends on its ports only, so it can be embedded with other
+implementations of them.
 """
 
 from functools import partial
@@ -43,7 +44,7 @@
 
 
 class FrontendPorts(NamedTuple):
-    """The neighbours of the callers' side."""
+    """The ports that the frontend depends on."""
 
     settings: SharedSettings
     upstreams: Upstreams
@@ -67,7 +68,7 @@
         engine_client: EngineClient | None = None,
         recorder: TraceRecorder | None = None,
     ) -> None:
-        """Wire the parts; nothing runs before :meth:`start`."""
+        """Create the components; nothing runs before :meth:`start`."""
         clock = clock or SystemClock()
         self._clock = clock
         self._pool = ConnectionPool(clock)
@@ -88,16 +89,16 @@
         self.settler = Settler(ports.claims, clock)
         self.body_budget = BodyBudget(limits.buffered_bytes)
         self._application = Application(
-            self._services(ports, owner, metrics), metrics
+            self._create_services(ports, owner, metrics), metrics
         )
         self.server = CallerServer(
             listen,
             ServerContext(limits, self.body_budget, self._application, clock),
         )
-        self._watch_metrics(ports, metrics)
+        self._register_metrics(ports, metrics)
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
         self.disconnect_watcher.start()
         self._pump.start()
         self.reaper.start()
@@ -105,15 +106,18 @@
         self.server.start()
 
     def refuse_new_work(self) -> None:
-        """Refuse new requests as not run; those in progress go on."""
+        """Refuse new requests as not run; those in progress continue."""
         self._application.stopping = True
 
     def drain(self, timeout: Millis) -> bool:
-        """Wait for requests in progress; False if some are left."""
+        """Wait up to ``timeout`` ms for requests in progress.
+
+        Return whether all of them have ended.
+        """
         return self.server.wait_idle(timeout)
 
     def stop(self, timeout: Millis) -> None:
-        """Stop serving; flush cancels and outcomes for up to ``limit`` ms."""
+        """Stop serving; flush cancels and outcomes for ``timeout`` ms."""
         deadline = self._clock.now() + timeout
         self.server.stop()
         self.settler.stop(max(0, deadline - self._clock.now()))
@@ -123,7 +127,7 @@
         self._pool.close()
         self._recorder.close()
 
-    def _services(
+    def _create_services(
         self, ports: FrontendPorts, owner: Owner, metrics: EntryMetrics
     ) -> Services:
         retries = RetryBudgets(self._clock)
@@ -168,7 +172,7 @@
             AnnounceService(ports.settings, ports.upstreams),
         )
 
-    def _watch_metrics(
+    def _register_metrics(
         self, ports: FrontendPorts, metrics: EntryMetrics
     ) -> None:
         metrics.buffered.set_function(lambda: self.body_budget.used_bytes)
@@ -177,9 +181,9 @@
 
 
 def _known_engines(ports: FrontendPorts) -> tuple[UpstreamRecord, ...]:
-    found: list[UpstreamRecord] = []
+    engines: list[UpstreamRecord] = []
     for name in ports.settings.service_names():
         for record in ports.upstreams.by_service(name):
             if record.kind == UpstreamKind.ENGINE:
-                found.append(record)
-    return tuple(found)
+                engines.append(record)
+    return tuple(engines)
--- a/verbenathread/entry/plain_client.py
+++ b/verbenathread/entry/plain_client.py
@@ -1,4 +1,4 @@
-"""One attempt of a call on a plain service."""
+"""Sends single attempts of calls to the upstreams of plain services."""
 
 import http
 from collections.abc import Mapping
@@ -18,29 +18,29 @@
 IDEMPOTENCY_HEADER = 'Idempotency-Key'
 RUN_STATE_HEADER = 'X-Run-State'
 REQUEST_HEADER = 'X-Request-Id'
-_MOST_ANSWER_BYTES = 16_777_216
-# Headers of the caller that an upstream sees; its bearer key is none.
-_PASSED_HEADERS = (
+_MAX_RESPONSE_BYTES = 16_777_216
+# Request headers that are forwarded; the caller's bearer key is not.
+_FORWARDED_HEADERS = (
     'accept',
     'accept-language',
     'content-type',
     'idempotency-key',
 )
-_ANSWER_HEADERS = ('ETag', 'Last-Modified', 'Location', 'Retry-After')
+_RESPONSE_HEADERS = ('ETag', 'Last-Modified', 'Location', 'Retry-After')
 
 
 class PlainCall(NamedTuple):
-    """A call on a plain service."""
+    """A call of a plain service."""
 
     method: str
-    # Path and query as the upstream sees them.
+    # Path and query sent to the upstream.
     target: str
     headers: Mapping[str, str]
     body: bytes
 
 
 class PlainResponse(NamedTuple):
-    """A whole answer of an upstream."""
+    """A complete response of an upstream."""
 
     status: int
     content_type: str
@@ -49,7 +49,7 @@
 
 
 class PlainAttempt(NamedTuple):
-    """How one attempt ended; ``answer`` is set unless it is unknown."""
+    """The result of one attempt; without a response, ``error`` says why."""
 
     outcome: Outcome
     response: PlainResponse | None
@@ -59,9 +59,9 @@
 def build_plain_call(
     exchange: Exchange, target: str, request_id: str, body: bytes
 ) -> PlainCall:
-    """Return the call that the upstream gets."""
+    """Return the call to send to the upstream."""
     headers = {REQUEST_HEADER: request_id}
-    for name in _PASSED_HEADERS:
+    for name in _FORWARDED_HEADERS:
         text = exchange.headers.get(name)
         if text is not None:
             headers[name.title()] = text
@@ -69,10 +69,10 @@
 
 
 class PlainClient:
-    """Sends calls to the upstreams of plain services."""
+    """An HTTP client for the upstreams of plain services."""
 
     def __init__(self, pool: ConnectionPool) -> None:
-        """Open connections from ``pool``."""
+        """Send over connections of ``pool``."""
         self._pool = pool
 
     def attempt(
@@ -87,8 +87,9 @@
     ) -> PlainAttempt:
         """Send a call once.
 
-        A ``fresh`` connection is used for what may not be repeated: an idle
-        one may have been closed by the upstream, and nobody could tell.
+        Calls that may not be repeated need a ``fresh`` connection: the
+        upstream may have closed an idle one, and then it is not known
+        whether the call was received.
         """
         headers = {
             **call.headers,
@@ -109,11 +110,12 @@
             return PlainAttempt(Outcome.NOT_RUN, None, str(exc))
         except BrokenExchangeError as exc:
             return PlainAttempt(Outcome.UNKNOWN, None, str(exc))
-        # What may not be repeated runs to its end without its caller.
+        # A call that may not be repeated completes even if its caller
+        # disconnects.
         disconnect.set_callback(None if fresh else sent.interrupt)
         try:
             sent.read_head(deadline.expires_at)
-            body = sent.read_all(_MOST_ANSWER_BYTES, deadline.expires_at)
+            body = sent.read_all(_MAX_RESPONSE_BYTES, deadline.expires_at)
         except BrokenExchangeError as exc:
             disconnect.set_callback(None)
             sent.close(clean=False)
@@ -122,31 +124,31 @@
         if sent.headers.get(ATTEMPT_HEADER, attempt_id) != attempt_id:
             sent.close(clean=False)
             return PlainAttempt(
-                Outcome.UNKNOWN, None, 'The answer was for another attempt.'
+                Outcome.UNKNOWN, None, 'The response has another attempt id.'
             )
         sent.close(clean=True)
         return PlainAttempt(
             _outcome(sent.status, sent.headers),
-            _answer(sent.status, sent.headers, body),
+            _response(sent.status, sent.headers, body),
             '',
         )
 
 
 def _outcome(status: int, headers: Mapping[str, str]) -> Outcome:
-    """Return what an answer is evidence of."""
+    """Return the outcome that a response proves."""
     refused = status == http.HTTPStatus.SERVICE_UNAVAILABLE
     if refused and headers.get(RUN_STATE_HEADER) == 'not_run':
         return Outcome.NOT_RUN
     return Outcome.COMPLETED
 
 
-def _answer(
+def _response(
     status: int, headers: Mapping[str, str], body: bytes
 ) -> PlainResponse:
-    passed = []
-    for name in _ANSWER_HEADERS:
+    forwarded = []
+    for name in _RESPONSE_HEADERS:
         text = headers.get(name)
         if text is not None:
-            passed.append((name, text))
+            forwarded.append((name, text))
     content_type = headers.get('Content-Type', 'application/octet-stream')
-    return PlainResponse(status, content_type, body, tuple(passed))
+    return PlainResponse(status, content_type, body, tuple(forwarded))
--- a/verbenathread/entry/plain_service.py
+++ b/verbenathread/entry/plain_service.py
@@ -1,8 +1,8 @@
-"""Calls on plain services: /services/NAME/...
+"""Forwards calls to plain services: /services/NAME/...
 
-A method that the service lists as idempotent is repeated within the time
-limit. Any other call is sent once: with an ``Idempotency-Key`` under a claim
-that a quorum recorded before, without one on its own.
+A call whose method the service lists as idempotent is retried within the time
+limit. Any other call is sent once. If it has an ``Idempotency-Key``, a claim
+of the key is recorded by a quorum before the call is sent.
 """
 
 import hashlib
@@ -59,21 +59,22 @@
     UpstreamRecord,
 )
 
-# Time in ms beyond the deadline to write the answer that says so.
-_FINAL_ANSWER_TIME = 2000
-# How long in ms an outcome is tried to be recorded beyond the time limit.
+# Time in ms after the deadline to write the timeout response.
+_FINAL_RESPONSE_TIME = 2000
+# Time in ms after the deadline to keep trying to record an outcome.
 _SETTLE_TIME = 60_000
 _CLAIM_TIMEOUT = 5000
 _RETRY_AFTER_MS = 1000
-_MOST_KEY_CHARACTERS = 255
-_PATH_PARTS_BEFORE_REST = 3
-# Characters that a path may hold as they are, by RFC 3986.
+_MAX_KEY_LENGTH = 255
+# Index of the upstream's path in /services/NAME/PATH, split at slashes.
+_REST_INDEX = 3
+# Characters that need no quoting in a path (RFC 3986).
 _PATH_CHARACTERS = "/%:@!$&'()*+,;=~-._"
-_NO_ATTEMPT = PlainAttempt(Outcome.NOT_RUN, None, 'No upstream is ready.')
+_NO_UPSTREAM = PlainAttempt(Outcome.NOT_RUN, None, 'No upstream is ready.')
 
 
 class PlainDependencies(NamedTuple):
-    """What forwarding a call needs."""
+    """The components that forwarding a call depends on."""
 
     settings: SharedSettings
     upstreams: Upstreams
@@ -95,20 +96,20 @@
     service: settings_pb2.ServiceSettings
     call: PlainCall
     deadline: Deadline
-    gone: CallerDisconnect
+    disconnect: CallerDisconnect
 
 
 class PlainService:
     """Forwards calls to plain services."""
 
-    def __init__(self, parts: PlainDependencies) -> None:
-        """Forward with ``parts``."""
-        self._parts = parts
+    def __init__(self, dependencies: PlainDependencies) -> None:
+        """Forward with ``dependencies``."""
+        self._dependencies = dependencies
 
     def forward(self, exchange: Exchange) -> None:
-        """Serve one call under /services/NAME/."""
-        request = self._request(exchange)
-        refusal = self._parts.admissions.admit_call(
+        """Forward one call under /services/NAME/."""
+        request = self._parse_request(exchange)
+        refusal = self._dependencies.admissions.admit_call(
             request.account.name, request.account.settings
         )
         if refusal is not None:
@@ -121,24 +122,26 @@
             outcome = error.code
             raise
         finally:
-            self._parts.metrics.requests.labels(
+            self._dependencies.metrics.requests.labels(
                 request.service_name, outcome
             ).inc()
 
     def _serve_watched(self, request: _Request) -> None:
         sock = request.exchange.sock
-        with self._parts.disconnect_watcher.watching(sock, request.gone.set):
+        with self._dependencies.disconnect_watcher.watching(
+            sock, request.disconnect.set
+        ):
             self._serve(request)
 
-    def _request(self, exchange: Exchange) -> _Request:
-        account = authenticate(self._parts.settings, exchange)
-        name, target = _split(exchange)
+    def _parse_request(self, exchange: Exchange) -> _Request:
+        account = authenticate(self._dependencies.settings, exchange)
+        name, target = _split_path(exchange)
         service = authorize_service(
-            self._parts.settings, account, name, UpstreamKind.PLAIN.value
+            self._dependencies.settings, account, name, UpstreamKind.PLAIN.value
         )
-        deadline = request_deadline(exchange, service, self._parts.clock)
+        deadline = request_deadline(exchange, service, self._dependencies.clock)
         body = exchange.read_body()
-        exchange.set_write_deadline(deadline.expires_at + _FINAL_ANSWER_TIME)
+        exchange.set_write_deadline(deadline.expires_at + _FINAL_RESPONSE_TIME)
         call = build_plain_call(exchange, target, exchange.request_id, body)
         return _Request(
             exchange, account, name, service, call, deadline, CallerDisconnect()
@@ -147,97 +150,97 @@
     def _serve(self, request: _Request) -> None:
         idempotent = request.service.idempotent.upper().split(',')
         if request.call.method in {part.strip() for part in idempotent}:
-            self._repeat(request)
+            self._send_with_retries(request)
             return
         key = request.exchange.headers.get(IDEMPOTENCY_HEADER.lower(), '')
         if not key:
             attempt = self._send_once(request, uuid.uuid4().hex)
-            self._answer_once(request, attempt)
+            self._reply_or_raise(request, attempt)
             return
-        if len(key) > _MOST_KEY_CHARACTERS:
+        if len(key) > _MAX_KEY_LENGTH:
             raise HttpError(
                 http.HTTPStatus.BAD_REQUEST,
                 'invalid_idempotency_key',
                 f'{IDEMPOTENCY_HEADER} must have at most '
-                f'{_MOST_KEY_CHARACTERS} characters.',
+                f'{_MAX_KEY_LENGTH} characters.',
             )
-        self._claimed(request, key)
+        self._send_with_claim(request, key)
 
-    def _repeat(self, request: _Request) -> None:
-        """Send a call that may be repeated until one attempt completes."""
+    def _send_with_retries(self, request: _Request) -> None:
+        """Send an idempotent call until one attempt completes."""
         name = request.service_name
-        self._parts.retries.record_first_attempt(
-            name, self._parts.settings.policy(name)
+        self._dependencies.retries.record_first_attempt(
+            name, self._dependencies.settings.policy(name)
         )
         for attempts in itertools.count(1):
-            last = self._try_one(request, attempts)
+            last = self._attempt(request, attempts)
             if last.outcome == Outcome.COMPLETED:
                 _reply(request, last)
                 return
-            retry = self._parts.retries.next_retry(
+            retry = self._dependencies.retries.next_retry(
                 name, attempts, last.outcome, request.deadline.expires_at
             )
             if isinstance(retry, Refusal):
-                raise self._failed(request, last)
-            request.gone.wait(retry.delay)
-            if request.gone.happened:
-                raise ConnectionAbortedError('The caller hung up.')
-            self._parts.metrics.retries.labels(name).inc()
+                raise self._attempt_error(request, last)
+            request.disconnect.wait(retry.delay)
+            if request.disconnect.happened:
+                raise ConnectionAbortedError('The caller disconnected.')
+            self._dependencies.metrics.retries.labels(name).inc()
 
-    def _try_one(self, request: _Request, number: int) -> PlainAttempt:
-        upstreams = self._shuffled(request)
+    def _attempt(self, request: _Request, number: int) -> PlainAttempt:
+        upstreams = self._shuffled_upstreams(request)
         if not upstreams:
-            return _NO_ATTEMPT
-        return self._parts.client.attempt(
+            return _NO_UPSTREAM
+        return self._dependencies.client.attempt(
             upstreams[number % len(upstreams)],
             request.call,
             uuid.uuid4().hex,
             request.deadline,
-            request.gone,
+            request.disconnect,
             fresh=False,
         )
 
     def _send_once(self, request: _Request, attempt_id: str) -> PlainAttempt:
-        """Send a call that may not be repeated to the first that connects."""
-        last = _NO_ATTEMPT
-        for upstream in self._shuffled(request):
+        """Send a non-idempotent call to the first upstream that connects."""
+        last = _NO_UPSTREAM
+        for upstream in self._shuffled_upstreams(request):
             if request.deadline.expired():
                 break
-            last = self._parts.client.attempt(
+            last = self._dependencies.client.attempt(
                 upstream,
                 request.call,
                 attempt_id,
                 request.deadline,
-                request.gone,
+                request.disconnect,
                 fresh=True,
             )
             if last.outcome != Outcome.NOT_RUN:
                 break
         return last
 
-    def _claimed(self, request: _Request, key: str) -> None:
+    def _send_with_claim(self, request: _Request, key: str) -> None:
         attempt_id = uuid.uuid4().hex
         claim = self._claim_request(request, key, attempt_id)
         limit = min(_CLAIM_TIMEOUT, request.deadline.remaining())
         try:
-            reply = self._parts.claims.claim(claim, limit)
+            reply = self._dependencies.claims.claim(claim, limit)
         except (VerbenathreadError, OSError) as exc:
             self._settle(request, claim, control_pb2.CLAIM_NOT_RUN)
             raise no_quorum_error() from exc
         if reply.answer.code != control_pb2.OK:
-            # The claim may stand all the same: nothing was sent under it.
+            # The claim may have been recorded, but the call was not sent.
             self._settle(request, claim, control_pb2.CLAIM_NOT_RUN)
             raise no_quorum_error()
         if reply.state != control_pb2.CLAIM_HELD:
             answer_repeated_call(request.exchange, reply)
             return
         attempt = self._send_claimed(request, claim)
-        self._answer_once(request, attempt)
+        self._reply_or_raise(request, attempt)
 
     def _send_claimed(
         self, request: _Request, claim: control_pb2.ClaimRequest
     ) -> PlainAttempt:
-        """Send the one attempt of a claim and have its outcome recorded."""
+        """Send the only attempt of a claim and record its outcome."""
         try:
             attempt = self._send_once(request, claim.attempt_id)
         except BaseException:
@@ -272,7 +275,7 @@
             stored=stored,
         )
         keep_for = request.deadline.remaining() + _SETTLE_TIME
-        self._parts.settler.settle(settle, keep_for)
+        self._dependencies.settler.settle(settle, keep_for)
 
     def _claim_request(
         self, request: _Request, key: str, attempt_id: str
@@ -285,18 +288,20 @@
             idempotency_key=key,
             body_sha256=hashlib.sha256(content).hexdigest(),
             attempt_id=attempt_id,
-            node_id=self._parts.owner.node_id,
-            node_incarnation=self._parts.owner.incarnation,
+            node_id=self._dependencies.owner.node_id,
+            node_incarnation=self._dependencies.owner.incarnation,
             retention_s=request.service.claim_retention,
             time_limit_ms=request.deadline.remaining(),
         )
 
-    def _answer_once(self, request: _Request, attempt: PlainAttempt) -> None:
+    def _reply_or_raise(self, request: _Request, attempt: PlainAttempt) -> None:
         if attempt.outcome == Outcome.UNKNOWN or attempt.response is None:
-            raise self._failed(request, attempt)
+            raise self._attempt_error(request, attempt)
         _reply(request, attempt)
 
-    def _failed(self, request: _Request, attempt: PlainAttempt) -> HttpError:
+    def _attempt_error(
+        self, request: _Request, attempt: PlainAttempt
+    ) -> HttpError:
         if attempt.outcome == Outcome.NOT_RUN:
             return HttpError(
                 http.HTTPStatus.SERVICE_UNAVAILABLE,
@@ -310,22 +315,24 @@
         return HttpError(
             status,
             'outcome_unknown',
-            f'{attempt.error} The call may have run; look its effect up '
+            f'{attempt.error} The call may have run; check its effect '
             'before sending it again.',
             run_state=RunState.MAY_HAVE_RUN,
         )
 
-    def _shuffled(self, request: _Request) -> list[UpstreamRecord]:
-        found = list(self._parts.upstreams.by_service(request.service_name))
-        random.shuffle(found)
-        return found
+    def _shuffled_upstreams(self, request: _Request) -> list[UpstreamRecord]:
+        upstreams = list(
+            self._dependencies.upstreams.by_service(request.service_name)
+        )
+        random.shuffle(upstreams)
+        return upstreams
 
 
-def _split(exchange: Exchange) -> tuple[str, str]:
-    """Return the service and the path that its upstream sees."""
-    raw = exchange.path.split('/', _PATH_PARTS_BEFORE_REST)
-    name = raw[2] if len(raw) > 2 else ''
-    rest = raw[_PATH_PARTS_BEFORE_REST] if len(raw) > 3 else ''
+def _split_path(exchange: Exchange) -> tuple[str, str]:
+    """Return the service's name and the path to send to its upstream."""
+    segments = exchange.path.split('/', _REST_INDEX)
+    name = segments[2] if len(segments) > 2 else ''
+    rest = segments[_REST_INDEX] if len(segments) > 3 else ''
     quoted = quote(rest, safe=_PATH_CHARACTERS)
     target = f'/{quoted}'
     if exchange.query:
--- a/verbenathread/entry/retry_budgets.py
+++ b/verbenathread/entry/retry_budgets.py
@@ -1,6 +1,6 @@
-"""Retries of this entry, within a budget for each service.
+"""Retry budgets of this entry, one for each service.
 
-Worker threads share the budgets, so one lock guards them.
+Worker threads share the budgets, so a lock guards them.
 """
 
 import random
@@ -13,21 +13,21 @@
 
 
 class RetryBudgets:
-    """Says whether and when the next attempt of a request may go out."""
+    """Decides whether and when a request may be retried."""
 
     def __init__(self, clock: Clock, rng: random.Random | None = None) -> None:
-        """Start every service with a small budget; ``rng`` is the jitter."""
+        """Start each service with a small budget; ``rng`` draws jitter."""
         self._clock = clock
         self._rng = rng or random.Random()
         self._lock = threading.Lock()
-        self._retries_by_service: dict[str, RetryPolicy] = {}
+        self._policy_by_service: dict[str, RetryPolicy] = {}
 
     def record_first_attempt(
         self, service: str, policy: settings_pb2.PolicySettings
     ) -> None:
-        """Count a first attempt, which earns a share of a retry."""
+        """Count a first attempt, which adds to the budget of retries."""
         with self._lock:
-            self._retries(service, policy).note_first()
+            self._retry_policy(service, policy).note_first()
 
     def next_retry(
         self,
@@ -36,12 +36,12 @@
         outcome: Outcome,
         deadline: Millis,
     ) -> Retry | Refusal:
-        """Return when to try a repeatable request again, or why not.
+        """Return when to retry an idempotent request, or why not.
 
-        ``attempts`` is how many were made.
+        ``attempts`` is the number of attempts made so far.
         """
         with self._lock:
-            return self._retries_by_service[service].next(
+            return self._policy_by_service[service].next(
                 deadline,
                 attempts,
                 outcome,
@@ -49,12 +49,12 @@
                 repeatable=True,
             )
 
-    def _retries(
+    def _retry_policy(
         self, service: str, policy: settings_pb2.PolicySettings
     ) -> RetryPolicy:
-        known = self._retries_by_service.get(service)
-        if known is None:
-            known = RetryPolicy(policy, self._rng)
-            self._retries_by_service[service] = known
-        known.policy = policy
-        return known
+        retry_policy = self._policy_by_service.get(service)
+        if retry_policy is None:
+            retry_policy = RetryPolicy(policy, self._rng)
+            self._policy_by_service[service] = retry_policy
+        retry_policy.policy = policy
+        return retry_policy
--- a/verbenathread/entry/settler.py
+++ b/verbenathread/entry/settler.py
@@ -1,4 +1,4 @@
-"""Records the outcomes of claimed calls, again and again until answered."""
+"""Records the outcomes of claimed calls, with retries until confirmed."""
 
 from collections import deque
 from typing import NamedTuple
@@ -13,11 +13,12 @@
 
 # Times in ms.
 _CALL_TIMEOUT = 2000
-_FIRST_TIMEOUT = 250
-_FIRST_WAIT = 50
-_LONGEST_WAIT = 5000
-# Most outcomes kept while control is away; their claims turn to unknown.
-_MOST_PENDING = 10_000
+_FIRST_CALL_TIMEOUT = 250
+_MIN_BACKOFF = 50
+_MAX_BACKOFF = 5000
+# Maximum outcomes queued while control is unreachable. The claims of those
+# that are dropped become unknown.
+_MAX_PENDING = 10_000
 _FINAL_CODES = frozenset(
     (
         control_pb2.OK,
@@ -33,15 +34,15 @@
 
 class _Pending(NamedTuple):
     request: control_pb2.SettleRequest
-    # After this the claim has turned to unknown by itself.
-    until: Millis
+    # By then control has marked the claim as unknown.
+    expires_at: Millis
 
 
 class Settler(RetryThread):
-    """One thread that settles claims while callers have their answers."""
+    """Settles claims; a thread retries those that control has not confirmed."""
 
     def __init__(self, claims: Claims, clock: Clock) -> None:
-        """Start nothing before :meth:`start`."""
+        """Create the thread, which does not run before :meth:`start`."""
         super().__init__('settler', clock)
         self._claims = claims
         self._pending: deque[_Pending] = deque()
@@ -49,23 +50,24 @@
     def settle(
         self, request: control_pb2.SettleRequest, keep_for: Millis
     ) -> None:
-        """Record an outcome, trying for ``keep_for`` ms.
+        """Record an outcome, with retries for ``keep_for`` ms.
 
-        The first try is made here and bounded, so that a caller who sends the
-        call again finds the outcome; later ones are made by the thread.
+        The first attempt is synchronous, with a short timeout, so that a
+        caller who sends the call again finds the outcome. The thread makes
+        the retries.
         """
-        until = self._clock.now() + keep_for
-        if self._try(_Pending(request, until), _FIRST_TIMEOUT):
+        expires_at = self._clock.now() + keep_for
+        if self._try_settle(_Pending(request, expires_at), _FIRST_CALL_TIMEOUT):
             return
         with self._changed:
-            if len(self._pending) >= _MOST_PENDING:
-                _log.error('Too many outcomes are not recorded; one is lost.')
+            if len(self._pending) >= _MAX_PENDING:
+                _log.error('Queue of unrecorded outcomes full; dropping one.')
                 return
-            self._pending.append(_Pending(request, until))
+            self._pending.append(_Pending(request, expires_at))
             self._changed.notify_all()
 
     def _run(self) -> None:
-        wait = _FIRST_WAIT
+        backoff = _MIN_BACKOFF
         while True:
             with self._changed:
                 while not self._pending and not self._stopping:
@@ -73,17 +75,17 @@
                 if self._stopping:
                     return
                 pending = self._pending[0]
-            if self._try(pending, _CALL_TIMEOUT):
-                wait = _FIRST_WAIT
-                self._done()
+            if self._try_settle(pending, _CALL_TIMEOUT):
+                backoff = _MIN_BACKOFF
+                self._remove_first()
                 continue
             with self._changed:
-                self._changed.wait(seconds(wait))
-            wait = min(wait * 2, _LONGEST_WAIT)
+                self._changed.wait(seconds(backoff))
+            backoff = min(backoff * 2, _MAX_BACKOFF)
 
-    def _try(self, pending: _Pending, limit: Millis) -> bool:
-        if self._clock.now() > pending.until:
-            _log.warning('An outcome could not be recorded in time.')
+    def _try_settle(self, pending: _Pending, limit: Millis) -> bool:
+        if self._clock.now() > pending.expires_at:
+            _log.warning('Recording an outcome timed out.')
             return True
         try:
             reply = self._claims.settle(pending.request, limit)
@@ -94,7 +96,7 @@
             return False
         return reply.answer.code in _FINAL_CODES
 
-    def _done(self) -> None:
+    def _remove_first(self) -> None:
         with self._changed:
             self._pending.popleft()
             self._changed.notify_all()
--- a/verbenathread/entry/trace_recorder.py
+++ b/verbenathread/entry/trace_recorder.py
@@ -1,4 +1,4 @@
-"""Records requests as a trace that replay reads, without their text."""
+"""Records requests, without their text, in a trace file for replay."""
 
 import json
 import threading
@@ -15,27 +15,27 @@
 
 
 class TraceRecorder:
-    """Writes one line for each model request, when it has ended."""
+    """Writes one JSON line for each model request when it ends."""
 
     def __init__(self, path: str, entry: int, clock: Clock) -> None:
         """Append to the file at ``path``; an empty path records nothing.
 
-        ``entry`` is the position of this entry in its cell. Arrivals count
-        from this moment.
+        ``entry`` is the position of this entry in its cell. Arrival times
+        are relative to the creation of the recorder.
         """
         self._entry = entry
-        self._began = clock.now()
+        self._started = clock.now()
         self._lock = threading.Lock()
-        self._page: IO[str] | None = None
+        self._file: IO[str] | None = None
         if path:
-            self._page = _opened(path)
+            self._file = _open_file(path)
 
     def record(self, work: Work, output_tokens: int) -> None:
-        """Write one request; what it put out is 0 when it was refused."""
-        if self._page is None:
+        """Write one request; ``output_tokens`` is 0 if it was refused."""
+        if self._file is None:
             return
         request = TraceRequest(
-            max(0, work.arrival - self._began),
+            max(0, work.arrival - self._started),
             work.account,
             work.service,
             work.prompt_tokens,
@@ -48,30 +48,33 @@
         self._write(json.dumps(request._asdict()))
 
     def close(self) -> None:
-        """Record nothing after this."""
+        """Close the file; later requests are not recorded."""
         with self._lock:
-            page = self._page
-            self._page = None
-            if page is not None:
-                page.close()
+            file = self._file
+            self._file = None
+            if file is not None:
+                file.close()
 
     def _write(self, line: str) -> None:
         with self._lock:
-            if self._page is None:
+            if self._file is None:
                 return
             try:
-                self._page.write(f'{line}\n')
+                self._file.write(f'{line}\n')
             except OSError as exc:
-                self._page = None
-                _log.error('The trace ends here.', fault=exc.strerror)
+                self._file = None
+                _log.error(
+                    'Writing the trace failed; recording stops.',
+                    fault=exc.strerror,
+                )
 
 
-def _opened(path: str) -> IO[str]:
+def _open_file(path: str) -> IO[str]:
     try:
-        # Whole lines only, so that a reader never sees half of one.
+        # Line buffered, so that a reader sees complete lines only.
         return Path(path).open('a', buffering=1, encoding='utf-8')
     except OSError as exc:
         raise SettingsError(
-            f'[entry] trace_file = {path} can not be written '
-            f'({exc.strerror}); name a file that can be, or none.'
+            f'[entry] trace_file: cannot write {path} '
+            f'({exc.strerror}); set a writable path or leave it empty.'
         ) from exc
