--- a/tests/standins/service.py
+++ b/tests/standins/service.py
@@ -38,7 +38,7 @@
 
     def do_GET(self):
         if self.bookings.take_fault('drop-get'):
-            self.cut()
+            self.abort()
             return
         self.answer(
             {
@@ -50,7 +50,7 @@
     def do_POST(self):
         self.read_body()
         if self.bookings.take_fault('die-before'):
-            self.cut()
+            self.abort()
             return
         key = self.headers.get('Idempotency-Key', 'no-key')
         self.bookings.received.append(key)
@@ -58,7 +58,7 @@
             time.sleep(self.bookings.options.slow)
         runs = self.bookings.run(key)
         if self.bookings.take_fault('die-after'):
-            self.cut()
+            self.abort()
             return
         self.answer({'booked': key, 'runs': runs}, 201)
 
--- a/verbenathread/entry/completion_format.py
+++ b/verbenathread/entry/completion_format.py
@@ -4,7 +4,7 @@
 from collections.abc import Sequence
 from typing import Any, NamedTuple
 
-from verbenathread.entry.engine_client import Finish, Piece
+from verbenathread.entry.engine_client import Finish, TokenChunk
 from verbenathread.entry.model_call import ModelCall
 
 EVENT_STREAM_TYPE = 'text/event-stream'
@@ -58,12 +58,12 @@
             return b''
         return self._event({'role': 'assistant', 'content': ''}, None)
 
-    def stream_chunks(self, pieces: Sequence[Piece]) -> bytes:
-        """Return one server-sent event for each piece."""
+    def stream_chunks(self, chunks: Sequence[TokenChunk]) -> bytes:
+        """Return one server-sent event for each chunk."""
         parts = []
-        for piece in pieces:
+        for chunk in chunks:
             parts.append(self.before_text)
-            parts.append(json.dumps(piece.text).encode())
+            parts.append(json.dumps(chunk.text).encode())
             parts.append(self.after_text)
         return b''.join(parts)
 
--- a/verbenathread/entry/daemon.py
+++ b/verbenathread/entry/daemon.py
@@ -102,7 +102,7 @@
         _log.info('Serving callers.', address=str(self.frontend.server.address))
 
     def stop(self) -> None:
-        """Shut down gracefully: requests in progress may end in time."""
+        """Shut down gracefully; requests in progress get time to end."""
         _log.info('Stopping.')
         self._unready_reason = 'stopping'
         time.sleep(seconds(self._stop_times.notice))
--- a/verbenathread/entry/engine_owners.py
+++ b/verbenathread/entry/engine_owners.py
@@ -5,12 +5,12 @@
 
 from verbenathread.clock import Clock, seconds
 from verbenathread.entry import reservation_messages
-from verbenathread.entry.background import Background
+from verbenathread.entry.background_task import BackgroundTask
 from verbenathread.entry.ledger_host import LedgerHost
 from verbenathread.entry.peer_channels import PeerCalls
 from verbenathread.exceptions import UnavailableError
 from verbenathread.membership.cell import Cell, PeerUnreachableError
-from verbenathread.scheduling.messages import Ask
+from verbenathread.scheduling.messages import ReservationRequest
 from verbenathread.schema import peer_pb2
 from verbenathread.types import Millis, NodeId, Reservation, UpstreamId
 
@@ -40,7 +40,11 @@
         self._clock = clock
 
     async def reserve(
-        self, upstream_id: UpstreamId, ask: Ask, *, may_queue: bool
+        self,
+        upstream_id: UpstreamId,
+        ask: ReservationRequest,
+        *,
+        may_queue: bool,
     ) -> Reservation | peer_pb2.ReserveReply:
         """Ask the owner; a reply that is returned is a refusal."""
         identity = self._cell.identity
@@ -90,7 +94,7 @@
         call = asyncio.create_task(
             self._channels.reserve(owner_id, request, limit)
         )
-        async with Background(self._cancel_when_silent(owner_id, call)):
+        async with BackgroundTask(self._cancel_when_silent(owner_id, call)):
             try:
                 await asyncio.wait([call])
             except asyncio.CancelledError:
@@ -115,7 +119,7 @@
         self,
         owner_id: NodeId,
         upstream_id: UpstreamId,
-        ask: Ask,
+        ask: ReservationRequest,
         reply: peer_pb2.ReserveReply,
     ) -> Reservation | peer_pb2.ReserveReply:
         start_by: Millis | None = reply.start_by_ms
--- a/verbenathread/entry/exchange.py
+++ b/verbenathread/entry/exchange.py
@@ -124,7 +124,7 @@
         content_type: str,
         headers: tuple[tuple[str, str], ...] = (),
     ) -> None:
-        """Prepare a streamed response; its head goes out with the first block."""
+        """Prepare a streamed response; the first block sends its head."""
         self._request.conn.wfile.cork()
         lines = ((_CONTENT_TYPE, content_type), ('Cache-Control', 'no-cache'))
         self._send_headers(status, (*lines, *headers))
--- a/verbenathread/entry/http_server.py
+++ b/verbenathread/entry/http_server.py
@@ -57,7 +57,7 @@
 
 
 class _StrictHeaders(dict[bytes, bytes]):
-    """Request headers that reject duplicates of headers such as the length.
+    """Request headers; rejects duplicates of single-valued headers.
 
     A proxy and a server that pick different ones of two lengths would see
     different requests on one connection (request smuggling).
@@ -146,7 +146,7 @@
             return bool(super().communicate())  # type: ignore[no-untyped-call]
 
     def close(self) -> None:
-        """Close at once, or with a lingering close after an error."""
+        """Close at once, or linger so that the caller gets the response."""
         if not self.drain_on_close:
             super().close()
             return
--- a/verbenathread/entry/plain_service.py
+++ b/verbenathread/entry/plain_service.py
@@ -33,6 +33,12 @@
     refusal_error,
 )
 from verbenathread.entry.exchange import Exchange
+from verbenathread.entry.interfaces import (
+    Admissions,
+    Claims,
+    SharedSettings,
+    Upstreams,
+)
 from verbenathread.entry.plain_client import (
     IDEMPOTENCY_HEADER,
     PlainAttempt,
@@ -40,12 +46,6 @@
     PlainClient,
     build_plain_call,
 )
-from verbenathread.entry.ports import (
-    Admissions,
-    Claims,
-    SharedSettings,
-    Upstreams,
-)
 from verbenathread.entry.request_state import CallerDisconnect, Deadline
 from verbenathread.entry.retry_budgets import RetryBudgets
 from verbenathread.entry.settler import Settler
@@ -341,12 +341,12 @@
 
 
 def _reply(request: _Request, attempt: PlainAttempt) -> None:
-    answer = attempt.response
-    assert answer is not None
+    response = attempt.response
+    assert response is not None
     state = RunState.RUN
     if attempt.outcome == Outcome.NOT_RUN:
         state = RunState.NOT_RUN
-    headers = (*answer.headers, ('X-Run-State', state.value))
+    headers = (*response.headers, ('X-Run-State', state.value))
     request.exchange.reply(
-        answer.status, answer.body, answer.content_type, headers
+        response.status, response.body, response.content_type, headers
     )
--- a/verbenathread/entry/retry_budgets.py
+++ b/verbenathread/entry/retry_budgets.py
@@ -27,7 +27,7 @@
     ) -> None:
         """Count a first attempt, which adds to the budget of retries."""
         with self._lock:
-            self._retry_policy(service, policy).note_first()
+            self._retry_policy(service, policy).record_first_attempt()
 
     def next_retry(
         self,
@@ -41,7 +41,7 @@
         ``attempts`` is the number of attempts made so far.
         """
         with self._lock:
-            return self._policy_by_service[service].next(
+            return self._policy_by_service[service].decide(
                 deadline,
                 attempts,
                 outcome,
