--- a/tests/entry_fakes.py
+++ b/tests/entry_fakes.py
@@ -1,4 +1,4 @@
-"""In-memory ports of the HTTP frontend, and an entry that uses them."""
+"""In-memory interfaces of the HTTP frontend, and an entry that uses them."""
 
 import hashlib
 import itertools
@@ -8,7 +8,7 @@
 from verbenathread.clock import SystemClock
 from verbenathread.entry.engine_client import Owner
 from verbenathread.entry.exchange import Limits
-from verbenathread.entry.http_frontend import FrontendPorts, HttpFrontend
+from verbenathread.entry.http_frontend import FrontendInterfaces, HttpFrontend
 from verbenathread.observability.metrics import EntryMetrics
 from verbenathread.schema import control_pb2, settings_pb2
 from verbenathread.types import (
@@ -265,7 +265,7 @@
 
 
 class FakeEntry:
-    """An HTTP frontend with in-memory ports that listens on a free port."""
+    """An HTTP frontend with in-memory interfaces, on a free port."""
 
     def __init__(
         self,
@@ -284,7 +284,7 @@
         self.metrics = EntryMetrics()
         self.frontend = HttpFrontend(
             Address('127.0.0.1', 0),
-            FrontendPorts(
+            FrontendInterfaces(
                 self.settings,
                 self.upstreams,
                 self.reservations,
--- a/tests/test_entry_cell_node.py
+++ b/tests/test_entry_cell_node.py
@@ -314,7 +314,7 @@
         fabric = NodeThread(settings)
         fabric.start()
         self.assertFalse(fabric.ready())
-        ports = fabric.ports
+        ports = fabric.interfaces
         ports.upstreams.announce(engine('e1'))
         self.assertEqual(
             ports.upstreams.by_service('draft-desk'), (engine('e1'),)
--- a/tests/test_entry_daemon.py
+++ b/tests/test_entry_daemon.py
@@ -21,7 +21,7 @@
 from tests.standins.processes import LocalStandIn
 from tests.test_entry_relay import MODEL, WHOLE, streamed_text
 from verbenathread.entry.daemon import EntryDaemon
-from verbenathread.entry.http_frontend import FrontendPorts
+from verbenathread.entry.http_frontend import FrontendInterfaces
 from verbenathread.exceptions import SettingsError
 from verbenathread.replay.trace import read_trace
 from verbenathread.schema import settings_pb2
@@ -31,13 +31,13 @@
 
 
 class FakeClusterNode:
-    """A cluster node with in-memory ports; counts calls of :meth:`stop`."""
+    """A cluster node in memory; counts calls of :meth:`stop`."""
 
     incarnation = 1
 
     def __init__(self):
         upstreams = FakeUpstreams()
-        self.ports = FrontendPorts(
+        self.interfaces = FrontendInterfaces(
             FakeSettings(),
             upstreams,
             SkippingUsedEngines(upstreams),
@@ -129,7 +129,7 @@
             self.assertEqual(streamed_text(answer.read()), WHOLE)
         stopping.join()
         self.assertEqual(self.cluster_node.stops, 1)
-        reservations = self.cluster_node.ports.reservations
+        reservations = self.cluster_node.interfaces.reservations
         self.assertEqual(reservations.opened, reservations.released)
         # The stand-in drops a hold shortly after it sent the last byte.
         self.assertTrue(wait_until(self.engine_is_idle))
--- a/verbenathread/entry/daemon.py
+++ b/verbenathread/entry/daemon.py
@@ -8,7 +8,7 @@
 from verbenathread.clock import Clock, SystemClock, seconds
 from verbenathread.entry.engine_client import Owner
 from verbenathread.entry.exchange import Limits
-from verbenathread.entry.http_frontend import FrontendPorts, HttpFrontend
+from verbenathread.entry.http_frontend import FrontendInterfaces, HttpFrontend
 from verbenathread.entry.trace_recorder import TraceRecorder
 from verbenathread.exceptions import SettingsError
 from verbenathread.observability.logs import get_logger
@@ -27,7 +27,7 @@
 class ClusterNode(Protocol):
     """The node's membership in the cluster: connections to other nodes."""
 
-    ports: FrontendPorts
+    interfaces: FrontendInterfaces
     # Increases at each start of this node; sent to control and engines.
     incarnation: int
 
@@ -71,7 +71,7 @@
         self.metrics = EntryMetrics()
         self.frontend = HttpFrontend(
             parse_address(entry.listen),
-            cluster_node.ports,
+            cluster_node.interfaces,
             Owner(settings.node.id, cluster_node.incarnation),
             Limits(
                 entry.streams,
--- a/verbenathread/entry/http_frontend.py
+++ b/verbenathread/entry/http_frontend.py
@@ -1,6 +1,6 @@
 """The HTTP frontend of an entry, towards callers and upstreams.
 
-It depends on its ports only, so it can be embedded with other
+It depends on its interfaces only, so it can be embedded with other
 implementations of them.
 """
 
@@ -43,8 +43,8 @@
 )
 
 
-class FrontendPorts(NamedTuple):
-    """The ports that the frontend depends on."""
+class FrontendInterfaces(NamedTuple):
+    """The interfaces that the frontend depends on."""
 
     settings: SharedSettings
     upstreams: Upstreams
@@ -59,7 +59,7 @@
     def __init__(
         self,
         listen: Address,
-        ports: FrontendPorts,
+        interfaces: FrontendInterfaces,
         owner: Owner,
         limits: Limits,
         metrics: EntryMetrics,
@@ -80,22 +80,22 @@
         self._pump = StreamPoller(clock)
         self.reaper = Reaper(
             self.engine_client,
-            ports.reservations,
-            ports.upstreams,
+            interfaces.reservations,
+            interfaces.upstreams,
             owner,
             clock,
-            partial(_known_engines, ports),
+            partial(_known_engines, interfaces),
         )
-        self.settler = Settler(ports.claims, clock)
+        self.settler = Settler(interfaces.claims, clock)
         self.body_budget = BodyBudget(limits.buffered_bytes)
         self._application = Application(
-            self._create_services(ports, owner, metrics), metrics
+            self._create_services(interfaces, owner, metrics), metrics
         )
         self.server = CallerServer(
             listen,
             ServerContext(limits, self.body_budget, self._application, clock),
         )
-        self._register_metrics(ports, metrics)
+        self._register_metrics(interfaces, metrics)
 
     def start(self) -> None:
         """Start serving."""
@@ -128,13 +128,16 @@
         self._recorder.close()
 
     def _create_services(
-        self, ports: FrontendPorts, owner: Owner, metrics: EntryMetrics
+        self,
+        interfaces: FrontendInterfaces,
+        owner: Owner,
+        metrics: EntryMetrics,
     ) -> Services:
         retries = RetryBudgets(self._clock)
         relay = RelayDependencies(
             self.engine_client,
-            ports.reservations,
-            ports.upstreams,
+            interfaces.reservations,
+            interfaces.upstreams,
             self.reaper,
             self._pump,
             retries,
@@ -143,8 +146,8 @@
             self._clock,
         )
         models = ModelDependencies(
-            ports.settings,
-            ports.admissions,
+            interfaces.settings,
+            interfaces.admissions,
             relay,
             self.disconnect_watcher,
             metrics,
@@ -154,10 +157,10 @@
             self._clock,
         )
         plain = PlainDependencies(
-            ports.settings,
-            ports.upstreams,
-            ports.claims,
-            ports.admissions,
+            interfaces.settings,
+            interfaces.upstreams,
+            interfaces.claims,
+            interfaces.admissions,
             retries,
             self.settler,
             PlainClient(self._pool),
@@ -169,21 +172,23 @@
         return Services(
             ModelService(models),
             PlainService(plain),
-            AnnounceService(ports.settings, ports.upstreams),
+            AnnounceService(interfaces.settings, interfaces.upstreams),
         )
 
     def _register_metrics(
-        self, ports: FrontendPorts, metrics: EntryMetrics
+        self, interfaces: FrontendInterfaces, metrics: EntryMetrics
     ) -> None:
         metrics.buffered.set_function(lambda: self.body_budget.used_bytes)
-        metrics.revision.set_function(ports.settings.revision)
+        metrics.revision.set_function(interfaces.settings.revision)
         metrics.unconfirmed_cancels.set_function(lambda: self.reaper.pending)
 
 
-def _known_engines(ports: FrontendPorts) -> tuple[UpstreamRecord, ...]:
+def _known_engines(
+    interfaces: FrontendInterfaces,
+) -> tuple[UpstreamRecord, ...]:
     engines: list[UpstreamRecord] = []
-    for name in ports.settings.service_names():
-        for record in ports.upstreams.by_service(name):
+    for name in interfaces.settings.service_names():
+        for record in interfaces.upstreams.by_service(name):
             if record.kind == UpstreamKind.ENGINE:
                 engines.append(record)
     return tuple(engines)
--- a/verbenathread/entry/node_thread.py
+++ b/verbenathread/entry/node_thread.py
@@ -17,7 +17,7 @@
 )
 from verbenathread.entry.cell_node import CellNode, NodeContext
 from verbenathread.entry.hold_reader import HttpHoldReader
-from verbenathread.entry.http_frontend import FrontendPorts
+from verbenathread.entry.http_frontend import FrontendInterfaces
 from verbenathread.entry.loop_thread import LoopThread
 from verbenathread.entry.peer_server import bound_socket
 from verbenathread.entry.settings_store import SettingsStore
@@ -65,7 +65,7 @@
             self._settings_store,
             _ThreadedReader(reader or HttpHoldReader(clock)),
         )
-        self.ports = FrontendPorts(
+        self.interfaces = FrontendInterfaces(
             self._settings_store,
             BlockingUpstreams(self._node.cell, self._loop),
             BlockingReservations(self._node.reservations, self._loop, clock),
