--- a/verbenathread/entry/group_reservations.py
+++ b/verbenathread/entry/group_reservations.py
@@ -1,4 +1,4 @@
-"""Reservations over several engines, for prompts larger than one."""
+"""Reservations that span several engines, for prompts too large for one."""
 
 import asyncio
 
@@ -11,59 +11,62 @@
 from verbenathread.schema import peer_pb2
 from verbenathread.types import Reservation, UpstreamId
 
-# Holds are renewed this often until the whole group is held.
+# How often partial grants are renewed until the whole group is reserved.
 _RENEW_MS = START_TIMEOUT // 3
 
 
 class GroupReservation:
-    """Asks the owners of all engines at once, and keeps what they grant."""
+    """Requests memory from all owners at once and keeps the grants alive."""
 
-    def __init__(self, claim: GroupRequest, owners: EngineOwners) -> None:
-        """Take the claim that names the engines."""
-        self._claim = claim
+    def __init__(self, group: GroupRequest, owners: EngineOwners) -> None:
+        """Prepare to reserve the engines that ``group`` names."""
+        self._group = group
         self._owners = owners
         self._refusal: peer_pb2.ReserveReply | None = None
         self._changed = asyncio.Event()
 
     async def reserve(self) -> Reservation | peer_pb2.ReserveReply:
         """Return the whole group's reservation, or the first refusal."""
-        async with BackgroundTask(self._hold_all()):
+        async with BackgroundTask(self._reserve_all()):
             while True:
                 await self._changed.wait()
                 self._changed.clear()
-                whole = self._claim.complete_reservation()
-                if whole is not None:
-                    return whole
+                reservation = self._group.complete_reservation()
+                if reservation is not None:
+                    return reservation
                 if self._refusal is not None:
                     return self._refusal
 
-    async def _hold_all(self) -> None:
-        await asyncio.gather(*map(self._hold, self._claim.members))
+    async def _reserve_all(self) -> None:
+        await asyncio.gather(*map(self._reserve_one, self._group.members))
 
-    async def _hold(self, upstream_id: UpstreamId) -> None:
-        """Hold one engine until cancelled; ask again when it yielded."""
-        ask = self._claim.member_request
+    async def _reserve_one(self, upstream_id: UpstreamId) -> None:
+        """Hold memory of one engine until cancelled.
+
+        If the owner yields it to another group, request it again.
+        """
+        request = self._group.member_request
         while True:
             outcome = await self._owners.reserve(
-                upstream_id, ask, may_queue=True
+                upstream_id, request, may_queue=True
             )
             if isinstance(outcome, peer_pb2.ReserveReply):
                 self._refusal = outcome
                 self._changed.set()
                 return
-            self._claim.record_grant(outcome)
+            self._group.record_grant(outcome)
             self._changed.set()
-            ask = await self._renew_until_lost(upstream_id)
+            request = await self._renew_until_lost(upstream_id)
 
     async def _renew_until_lost(
         self, upstream_id: UpstreamId
     ) -> ReservationRequest:
         while True:
             await asyncio.sleep(seconds(_RENEW_MS))
-            # An ask that is sent again renews the time to start.
+            # A repeated request extends the time by which it must start.
             outcome = await self._owners.reserve(
-                upstream_id, self._claim.member_request, may_queue=False
+                upstream_id, self._group.member_request, may_queue=False
             )
             if isinstance(outcome, peer_pb2.ReserveReply):
-                return self._claim.record_loss(upstream_id)
-            self._claim.record_grant(outcome)
+                return self._group.record_loss(upstream_id)
+            self._group.record_grant(outcome)
