--- a/verbenathread/entry/owned_engine.py
+++ b/verbenathread/entry/owned_engine.py
@@ -13,7 +13,7 @@
 
 from verbenathread.clock import Clock, seconds
 from verbenathread.entry import reservation_messages
-from verbenathread.scheduling.holds import reservation_id
+from verbenathread.scheduling.holds import make_reservation_id
 from verbenathread.scheduling.ledger import START_TIMEOUT, EngineLedger
 from verbenathread.scheduling.messages import EngineHold, ReservationRequest
 from verbenathread.schema import peer_pb2
@@ -86,7 +86,7 @@
         self.ledger.restore(listed)
         for hold in listed:
             grant = Grant(
-                reservation_id(self.ledger.upstream_id, hold.attempt_id),
+                make_reservation_id(self.ledger.upstream_id, hold.attempt_id),
                 hold.attempt_id,
                 hold.entry_id,
                 0,
@@ -122,7 +122,7 @@
     def update(self, update: peer_pb2.HoldUpdate) -> None:
         """Apply progress or a release from the entry that holds a grant."""
         grant = self._grant_by_id.get(
-            reservation_id(self.ledger.upstream_id, update.attempt_id)
+            make_reservation_id(self.ledger.upstream_id, update.attempt_id)
         )
         if grant is None:
             return
@@ -217,7 +217,7 @@
         # The wait was cancelled; release a grant made in the meantime.
         self.ledger.cancel(attempt_id)
         grant = self._grant_by_id.get(
-            reservation_id(self.ledger.upstream_id, attempt_id)
+            make_reservation_id(self.ledger.upstream_id, attempt_id)
         )
         if grant is not None:
             self._drop(grant, 0)
@@ -257,7 +257,7 @@
     def _renew(self, attempt_id: str) -> None:
         """Renew a grant of a group, or yield it to another group."""
         grant = self._grant_by_id.get(
-            reservation_id(self.ledger.upstream_id, attempt_id)
+            make_reservation_id(self.ledger.upstream_id, attempt_id)
         )
         if grant is None or grant.started:
             return
