--- a/tests/test_entry_cell_node.py
+++ b/tests/test_entry_cell_node.py
@@ -315,7 +315,7 @@
         thread = NodeThread(settings)
         thread.start()
         self.assertFalse(thread.ready())
-        ports = thread.ports
+        ports = thread.interfaces
         ports.upstreams.announce(engine('e1'))
         self.assertEqual(
             ports.upstreams.by_service('draft-desk'), (engine('e1'),)
