--- a/verbenathread/scheduling/holds.py
+++ b/verbenathread/scheduling/holds.py
@@ -1,113 +1,114 @@
-"""Memory that an owner has given out, and when it should come back."""
+"""Memory that an owner has granted, and when it is expected to be free."""
 
 import heapq
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple
 
 from verbenathread.scheduling.messages import ReservationRequest
-from verbenathread.scheduling.queueing import Waiting
+from verbenathread.scheduling.queueing import QueuedRequest
 from verbenathread.types import LengthClass, Millis, Reservation, UpstreamId
 
-# An expected time that has passed still counts as this share of itself.
-_LEAST_SHARE = 0.1
+# Work that takes longer than expected still counts as this share of the
+# expected time.
+_MIN_REMAINING_SHARE = 0.1
 
 
 class Hold(NamedTuple):
-    """One grant from the ask to the release."""
+    """One granted reservation, from the grant to the release."""
 
-    ask: ReservationRequest
+    request: ReservationRequest
     reservation: Reservation
     length: LengthClass
     level: int
     # Expected ms of prefill, and of generation after it.
-    prefill: float
-    output: float
+    prefill_ms: float
+    output_ms: float
     granted_at: Millis
     started_at: Millis | None = None
     first_token_at: Millis | None = None
     output_tokens: int = 0
 
-    def prefill_left(self, now: Millis) -> float:
-        """Return expected ms of prefill still to do."""
+    def remaining_prefill(self, now: Millis) -> float:
+        """Return the expected remaining ms of prefill."""
         if self.first_token_at is not None:
             return 0
         if self.started_at is None:
-            return self.prefill
-        least = self.prefill * _LEAST_SHARE
-        return max(least, self.prefill - (now - self.started_at))
+            return self.prefill_ms
+        minimum = self.prefill_ms * _MIN_REMAINING_SHARE
+        return max(minimum, self.prefill_ms - (now - self.started_at))
 
-    def time_left(self, now: Millis) -> float:
-        """Return expected ms until the memory comes back."""
+    def remaining_time(self, now: Millis) -> float:
+        """Return the expected ms until the memory is released."""
         if self.first_token_at is None:
-            return self.prefill_left(now) + self.output
-        least = self.output * _LEAST_SHARE
-        return max(least, self.output - (now - self.first_token_at))
+            return self.remaining_prefill(now) + self.output_ms
+        minimum = self.output_ms * _MIN_REMAINING_SHARE
+        return max(minimum, self.output_ms - (now - self.first_token_at))
 
 
-def reservation_id(upstream_id: UpstreamId, attempt_id: str) -> str:
+def make_reservation_id(upstream_id: UpstreamId, attempt_id: str) -> str:
     """Return the identifier of an attempt's hold on one engine.
 
-    It is the same after a takeover, so an entry can release what an earlier
+    It survives a takeover, so that an entry can release what a previous
     owner granted.
     """
     return f'{upstream_id}/{attempt_id}'
 
 
 def make_hold(
-    waiting: Waiting,
+    queued: QueuedRequest,
     upstream_id: UpstreamId,
     priority: int,
     now: Millis,
     start_by: Millis,
 ) -> Hold:
-    """Return the hold of an ask that is granted now."""
-    ask = waiting.ask
+    """Return the hold for a request that is granted now."""
+    request = queued.request
     reservation = Reservation(
-        reservation_id=reservation_id(upstream_id, ask.attempt_id),
-        attempt_id=ask.attempt_id,
+        reservation_id=make_reservation_id(upstream_id, request.attempt_id),
+        attempt_id=request.attempt_id,
         upstream_ids=(upstream_id,),
-        memory_tokens=ask.memory_tokens,
+        memory_tokens=request.memory_tokens,
         start_by=start_by,
         priority=priority,
     )
     return Hold(
-        ask=ask,
+        request=request,
         reservation=reservation,
-        length=waiting.length,
-        level=waiting.level,
-        prefill=waiting.prefill,
-        output=waiting.output,
+        length=queued.length,
+        level=queued.level,
+        prefill_ms=queued.prefill_ms,
+        output_ms=queued.output_ms,
         granted_at=now,
     )
 
 
-class HoldBook:
-    """Every hold on one engine, and the memory that is left."""
+class HoldTable:
+    """All holds on one engine, and its free memory."""
 
     def __init__(self, memory_tokens: int) -> None:
         """Start with all memory free."""
         self.memory_tokens = memory_tokens
-        self.free = memory_tokens
+        self.free_tokens = memory_tokens
         self.short_tokens = 0
         self._by_id: dict[str, Hold] = {}
 
     def __iter__(self) -> Iterator[Hold]:
-        """Go over a copy, so that the loop may drop holds."""
+        """Iterate over a copy, so that the loop may remove holds."""
         return iter(tuple(self._by_id.values()))
 
     def __len__(self) -> int:
-        """Return how many there are."""
+        """Return the number of holds."""
         return len(self._by_id)
 
-    def get(self, reservation: str) -> Hold | None:
+    def get(self, reservation_id: str) -> Hold | None:
         """Return one hold, or None."""
-        return self._by_id.get(reservation)
+        return self._by_id.get(reservation_id)
 
-    def keep(self, hold: Hold) -> None:
-        """Add a hold, or put its new state in place of the old one."""
+    def put(self, hold: Hold) -> None:
+        """Add a hold, or replace its previous state."""
         key = hold.reservation.reservation_id
         if key not in self._by_id:
-            self._count(hold, hold.reservation.memory_tokens)
+            self._take(hold, hold.reservation.memory_tokens)
         self._by_id[key] = hold
 
     def expired(self, now: Millis) -> list[Hold]:
@@ -118,37 +119,38 @@
             if hold.started_at is None and hold.reservation.start_by < now
         ]
 
-    def drop(self, hold: Hold) -> None:
-        """Take the memory of a hold back."""
+    def remove(self, hold: Hold) -> None:
+        """Remove a hold and free its memory."""
         self._by_id.pop(hold.reservation.reservation_id)
-        self._count(hold, -hold.reservation.memory_tokens)
+        self._take(hold, -hold.reservation.memory_tokens)
 
-    def _count(self, hold: Hold, tokens: int) -> None:
-        self.free -= tokens
+    def _take(self, hold: Hold, tokens: int) -> None:
+        self.free_tokens -= tokens
         if hold.length == LengthClass.SHORT:
             self.short_tokens += tokens
 
 
-class MemoryOutlook(NamedTuple):
-    """When some memory comes back, and what comes back beyond it."""
+class MemoryForecast(NamedTuple):
+    """Expected ms until memory is free, and what is then free beyond it."""
 
     wait: float
-    # Below zero when the holds do not give back enough.
+    # Negative if all holds together don't free enough.
     surplus: int
 
 
-def memory_outlook(
+def memory_forecast(
     holds: Iterable[Hold], missing: int, now: Millis
-) -> MemoryOutlook:
-    """Return when ``missing`` tokens of memory are expected back."""
+) -> MemoryForecast:
+    """Return when ``missing`` more tokens are expected to be free."""
     if missing <= 0:
-        return MemoryOutlook(0, -missing)
-    ends = [
-        (hold.time_left(now), hold.reservation.memory_tokens) for hold in holds
+        return MemoryForecast(0, -missing)
+    releases = [
+        (hold.remaining_time(now), hold.reservation.memory_tokens)
+        for hold in holds
     ]
-    heapq.heapify(ends)
+    heapq.heapify(releases)
     wait: float = 0
-    while ends and missing > 0:
-        wait, tokens = heapq.heappop(ends)
+    while releases and missing > 0:
+        wait, tokens = heapq.heappop(releases)
         missing -= tokens
-    return MemoryOutlook(wait, -missing)
+    return MemoryForecast(wait, -missing)
