--- a/verbenathread/directory/daemon.py
+++ b/verbenathread/directory/daemon.py
@@ -34,8 +34,8 @@
 _JOIN_INTERVAL: Millis = 700
 _JOIN_TIMEOUT: Millis = 600
 _REFRESH_INTERVAL: Millis = 2000
-# Most records hold a whole configuration and a snapshot holds only one, so a
-# short log matters more than few snapshots on a disk of 128 MB.
+# Log records hold whole configurations and a snapshot holds only one, so a short
+# log matters more than few snapshots on a disk of 128 MB.
 _SNAPSHOT_RECORDS = 100
 # Fits configurations of thousands of routes. Gateways have a lower limit.
 _MAX_BODY_BYTES = 0x1000000
--- a/verbenathread/http1/server.py
+++ b/verbenathread/http1/server.py
@@ -14,7 +14,7 @@
 
 _log = get_logger('http')
 
-# Pipelined requests to queue per connection; reading is paused above it.
+# Pipelined requests queued per connection before reading is paused.
 _MAX_PIPELINED = 8
 # How often idle and slow connections are checked for timeouts.
 _SWEEP_INTERVAL: Millis = 500
@@ -91,7 +91,7 @@
         return Address(host, port)
 
     def busy_count(self) -> int:
-        """Return the number of connections with an unanswered request."""
+        """Return the number of connections with a partial or pending request."""
         return sum(1 for connection in self.connections if connection.is_busy())
 
     async def drain(self, deadline: Millis) -> None:
@@ -261,7 +261,7 @@
     # ---- lifecycle ----
 
     def is_busy(self) -> bool:
-        """Return whether a request was started and is not answered."""
+        """Return whether a request is partially read, queued or in progress."""
         return (
             self._response is not None
             or bool(self._queue)
