--- a/tests/gateway_harness.py
+++ b/tests/gateway_harness.py
@@ -5,8 +5,8 @@
 
 from tests.standins.platform_worker import PlatformWorker, Script
 from verbenathread.clock import SystemClock
+from verbenathread.gateway.context import build_context
 from verbenathread.gateway.handler import GatewayHandler
-from verbenathread.gateway.parts import make_parts
 from verbenathread.http1.server import HttpServer
 from verbenathread.platform.headers import PlatformDialect
 from verbenathread.schema import settings_pb2
@@ -30,10 +30,10 @@
     memory_tokens=232_000,
     stride=43,
     step_ms=1.02,
-    writer_ms=0.00452,
+    sequence_ms=0.00452,
     context_ms=0.00431,
-    read_tokens_per_ms=206,
-    pairs_ms=0.138,
+    prefill_tokens_per_ms=206,
+    attention_ms=0.138,
 )
 
 
@@ -48,7 +48,7 @@
         target_latency=300,
         priority=1,
         targets=(Target(service, 1),),
-        attempts=2,
+        max_attempts=2,
         public=False,
         resumable=kind is RequestKind.STREAM,
         target_pause=250,
@@ -60,8 +60,8 @@
     """Return a configuration with a desk of engines and a ledger of beds."""
     usual = (
         route('note', RequestKind.STREAM, 'desk'),
-        route('hold', RequestKind.ONCE, 'ledger', attempts=1),
-        route('check', RequestKind.REPEATABLE, 'ledger'),
+        route('hold', RequestKind.AT_MOST_ONCE, 'ledger', max_attempts=1),
+        route('check', RequestKind.IDEMPOTENT, 'ledger'),
     )
     return ServingConfig(
         version=version,
@@ -81,7 +81,7 @@
     """Return a worker that is ready."""
     return Worker(
         worker_id=worker_id,
-        born=1,
+        started_at=1,
         sequence=1,
         state=WorkerState.READY,
         service=service,
@@ -91,13 +91,13 @@
     )
 
 
-class Answer(NamedTuple):
+class Response(NamedTuple):
     """What a caller got; not whole if the connection ended too soon."""
 
     status: int
     header_by_name: dict[str, str]
     body: bytes
-    whole: bool
+    complete: bool
 
 
 class GatewayHarness:
@@ -113,11 +113,11 @@
             reserve_stale=4000,
         )
         me = Peer('g1', Address('127.0.0.1', 0))
-        self.parts = make_parts(own, 'a', me, PlatformDialect(), clock)
-        self.view = self.parts.view
+        self.context = build_context(own, 'a', me, PlatformDialect(), clock)
+        self.view = self.context.view
         # Long enough ago that the common order of workers holds.
-        self.view.note_fed(clock.now() - 60_000)
-        self.server = HttpServer(GatewayHandler(self.parts), clock)
+        self.view.record_update(clock.now() - 60_000)
+        self.server = HttpServer(GatewayHandler(self.context), clock)
         self.workers: list[PlatformWorker] = []
 
     async def start(
@@ -133,19 +133,19 @@
             self.workers.append(standin)
             address = await standin.start()
             known.append(worker(worker_id, service, address))
-        self.view.take_workers(known)
+        self.view.apply_workers(known)
         wanted = configuration or config()
         if delay:
             loop = asyncio.get_running_loop()
-            loop.call_later(delay, self.view.take_config, wanted)
+            loop.call_later(delay, self.view.apply_config, wanted)
         else:
-            self.view.take_config(wanted)
+            self.view.apply_config(wanted)
         await self.server.start(Address('127.0.0.1', 0))
 
     async def stop(self) -> None:
         """End everything."""
         self.server.close()
-        self.parts.pool.close()
+        self.context.pool.close()
         for standin in self.workers:
             await standin.stop()
 
@@ -156,7 +156,7 @@
         host, port = self.server.address
         return await asyncio.open_connection(host, port)
 
-    async def ask(
+    async def send(
         self,
         path: str,
         *,
@@ -165,11 +165,11 @@
         body: bytes = b'',
         method: str = 'POST',
         key: str = KEY,
-    ) -> Answer:
+    ) -> Response:
         """Send one request and return its answer."""
         reader, writer = await self.connect()
         writer.write(request(path, attempt_id, headers, body, method, key))
-        answered = await read_answer(reader)
+        answered = await read_response(reader)
         writer.close()
         return answered
 
@@ -193,7 +193,7 @@
     return head.encode() + body
 
 
-async def read_answer(reader: asyncio.StreamReader) -> Answer:
+async def read_response(reader: asyncio.StreamReader) -> Response:
     """Read one answer, whole or not."""
     head = await asyncio.wait_for(reader.readuntil(b'\r\n\r\n'), 5)
     first, *lines = head.decode().split('\r\n')
@@ -206,7 +206,7 @@
     length = int(header_by_name.get('content-length', '-1'))
     if length >= 0:
         body = await asyncio.wait_for(reader.readexactly(length), 5)
-        return Answer(status, header_by_name, body, True)
+        return Response(status, header_by_name, body, True)
     parts = []
     try:
         while True:
@@ -216,6 +216,6 @@
             )
             parts.append((await reader.readexactly(size + 2))[:-2])
             if not size:
-                return Answer(status, header_by_name, b''.join(parts), True)
+                return Response(status, header_by_name, b''.join(parts), True)
     except (asyncio.IncompleteReadError, ConnectionError, ValueError):
-        return Answer(status, header_by_name, b''.join(parts), False)
+        return Response(status, header_by_name, b''.join(parts), False)
--- a/tests/test_directory_cluster.py
+++ b/tests/test_directory_cluster.py
@@ -8,13 +8,13 @@
 import unittest
 from pathlib import Path
 
-from tests.gateway_harness import Answer, read_answer
+from tests.gateway_harness import Response, read_response
 from verbenathread.clock import SystemClock
 from verbenathread.directory.daemon import DirectoryDaemon
 from verbenathread.directory.damage import set_aside
 from verbenathread.directory.seeds import SeedFile
 from verbenathread.exceptions import StorageError
-from verbenathread.gateway.view import View
+from verbenathread.gateway.view import ClusterView
 from verbenathread.gateway.watch import DirectoryWatch
 from verbenathread.platform.bodies import decode_config
 from verbenathread.platform.calls import DirectoryHttp
@@ -167,13 +167,13 @@
                 )
             except ConnectionRefusedError:
                 # A follower may still name a leader that is gone.
-                return Answer(503, {}, b'', whole=False)
+                return Response(503, {}, b'', complete=False)
             head = (
                 f'{method} {path} HTTP/1.1\r\nHost: {host}\r\n'
                 f'Content-Length: {len(content)}\r\n\r\n'
             )
             writer.write(head.encode() + content)
-            answered = await read_answer(reader)
+            answered = await read_response(reader)
             writer.close()
             if answered.status != 307:
                 return answered
@@ -247,7 +247,7 @@
 
     async def test_a_gateway_follows_the_leader(self):
         await self.start_all()
-        view = View()
+        view = ClusterView()
         self.watch(view, (2,))
         await self.until(lambda: view.config_version == 1)
         await self.call('POST', '/Instances.Heartbeat/i-1', heartbeat())
@@ -266,7 +266,7 @@
         silent = await asyncio.start_server(
             lambda reader, writer: None, self.host(9), PEER_PORT
         )
-        view = View()
+        view = ClusterView()
         self.watch(view, (9, 1, 2, 3))
         started = asyncio.get_running_loop().time()
         await self.until(lambda: view.config_version == 1)
@@ -280,10 +280,10 @@
         leader = self.leader()
         others = [number for number in (1, 2, 3) if number != leader]
         host = self.host(leader)
-        view = View()
+        view = ClusterView()
         self.watch(view, (*others, leader))
         # What a busy leader leaves behind in a gateway that gave it up.
-        self.watcher.note_silent(Address(host, PEER_PORT))
+        self.watcher.mark_unresponsive(Address(host, PEER_PORT))
         await self.until(lambda: view.config_version == 1, limit=3)
 
     async def test_a_gateway_is_held_until_one_leads(self):
--- a/tests/test_gateway_relay.py
+++ b/tests/test_gateway_relay.py
@@ -3,7 +3,7 @@
 import asyncio
 from unittest import IsolatedAsyncioTestCase, mock
 
-from tests.gateway_harness import GatewayHarness, read_answer, request
+from tests.gateway_harness import GatewayHarness, read_response, request
 from tests.standins.platform_worker import (
     LAST_CHUNK,
     answer,
@@ -177,7 +177,7 @@
             with self.subTest(script=script.__name__):
                 self.harness = GatewayHarness()
                 await self.serve('ledger', script, script)
-                answered = await self.harness.ask('/hold/1', body=b'bed')
+                answered = await self.harness.send('/hold/1', body=b'bed')
                 self.assertEqual(answered.status, status)
                 self.assertEqual(answered.body, body)
                 self.assertEqual(self.runs(), sends)
@@ -191,7 +191,7 @@
                 self.harness = GatewayHarness()
                 await self.serve('ledger', script, whole)
                 for _ in range(2):
-                    answered = await self.harness.ask('/check/1', method='GET')
+                    answered = await self.harness.send('/check/1', method='GET')
                     self.assertEqual(answered.status, 200)
                     self.assertEqual(answered.body, b'booked')
                 await self.harness.stop()
@@ -199,7 +199,7 @@
     async def test_a_second_answer_reaches_nobody(self):
         await self.serve('ledger', twice)
         for number in range(4):
-            answered = await self.harness.ask(
+            answered = await self.harness.send(
                 '/hold/1', attempt_id=f'attempt{number}'
             )
             self.assertEqual(answered.body, b'booked')
@@ -209,7 +209,7 @@
 
     async def test_the_request_reaches_the_worker_unchanged(self):
         await self.serve('ledger', whole)
-        await self.harness.ask(
+        await self.harness.send(
             '/hold/a%20b?x=1&y=%2F',
             headers='X-Mine: 1\r\nTenant: forged\r\nExpect-Instance: z\r\n'
             'Connection: x-hop\r\nX-Hop: 2\r\nHelpers: 10.0.0.1:1\r\n',
@@ -236,7 +236,7 @@
         await self.serve('ledger', whole)
         for path, key, status in cases:
             with self.subTest(path=path):
-                answered = await self.harness.ask(path, key=key)
+                answered = await self.harness.send(path, key=key)
                 self.assertEqual(answered.status, status)
         self.assertEqual(self.runs(), 0)
 
@@ -266,7 +266,7 @@
             with self.subTest(delay=delay):
                 self.harness = GatewayHarness()
                 await self.harness.start({'w0': ('ledger', whole)}, delay=delay)
-                answered = await self.harness.ask('/check/1', method='GET')
+                answered = await self.harness.send('/check/1', method='GET')
                 self.assertEqual(answered.status, status)
                 if status == 503:
                     again = float(answered.header_by_name['retry-after'])
@@ -289,24 +289,24 @@
                 self.harness = GatewayHarness()
                 await self.serve('desk', script, stream)
                 self.harness.workers[0].is_dark = script is fall_silent
-                answered = await self.harness.ask('/note/1')
+                answered = await self.harness.send('/note/1')
                 self.assertEqual(answered.status, 200)
-                self.assertTrue(answered.whole)
+                self.assertTrue(answered.complete)
                 self.assertEqual(answered.body, EVENTS)
                 await self.harness.stop()
 
     async def test_others_hear_of_a_send_before_it_connects(self):
         await self.serve('desk', stream, stream)
-        parts = self.harness.parts
+        parts = self.harness.context
         known = []
 
-        async def take(worker, left):
+        async def acquire(worker, left):
             load = parts.fleet.load(worker.worker_id)
             known.append(len(load.send_by_id))
             raise ConnectionRefusedError
 
-        with mock.patch.object(parts.pool, 'take', take):
-            answered = await self.harness.ask('/note/1')
+        with mock.patch.object(parts.pool, 'acquire', acquire):
+            answered = await self.harness.send('/note/1')
         self.assertEqual(answered.status, 503)
         self.assertEqual(set(known), {1})
         for load in parts.fleet.load_by_id.values():
@@ -322,7 +322,7 @@
             writer.write(LAST_CHUNK)
 
         await self.serve('desk', pause, stream)
-        answered = await self.harness.ask('/note/1')
+        answered = await self.harness.send('/note/1')
         self.assertEqual(answered.body, EVENTS)
         self.assertEqual(self.runs(), 1)
         self.assertEqual(self.harness.workers[0].probes, 1)
@@ -335,13 +335,13 @@
             reset(writer)
 
         await self.serve('desk', crash)
-        answered = await self.harness.ask('/note/1')
+        answered = await self.harness.send('/note/1')
         self.assertEqual(answered.status, 200)
-        self.assertFalse(answered.whole)
+        self.assertFalse(answered.complete)
 
     async def test_the_caller_resumes_after_an_event(self):
         await self.serve('desk', stream)
-        answered = await self.harness.ask(
+        answered = await self.harness.send(
             '/note/1', headers='Last-Event-Id: 4\r\n'
         )
         self.assertEqual(answered.body, event(5) + event(6))
@@ -354,7 +354,7 @@
                 request('/note/1', f'id{number}', '', b'', 'POST', 'k-night')
             )
         for number in range(3):
-            answered = await read_answer(reader)
+            answered = await read_response(reader)
             self.assertEqual(
                 answered.header_by_name['attempt-id'], f'id{number}'
             )
--- a/tests/test_gateway_reservations.py
+++ b/tests/test_gateway_reservations.py
@@ -7,8 +7,12 @@
 from tests.gateway_harness import worker
 from tests.virtual_loop import run_virtual
 from verbenathread.clock import LoopClock
-from verbenathread.gateway.reservations import Reservations, Reserved, Share
-from verbenathread.gateway.worker_call import CallAnswer
+from verbenathread.gateway.reservations import (
+    MemoryShare,
+    Reservation,
+    ReservationManager,
+)
+from verbenathread.gateway.worker_client import CallResponse
 from verbenathread.platform.headers import PlatformDialect
 from verbenathread.types import Address
 
@@ -44,7 +48,7 @@
             await asyncio.sleep(limit / 1000)
             return None
         await asyncio.sleep(0.002)
-        return CallAnswer(self.carry_out(one, said), b'{}')
+        return CallResponse(self.carry_out(one, said), b'{}')
 
     async def carry_out_late(self, one, said):
         await asyncio.sleep(self.late / 1000)
@@ -72,7 +76,7 @@
     def play(self, scene):
         async def whole():
             memory = StandinMemory()
-            reservations = Reservations(
+            reservations = ReservationManager(
                 memory, PlatformDialect(), LoopClock(), LEASE
             )
             await scene(memory, reservations)
@@ -80,7 +84,7 @@
         run_virtual(whole())
 
     def shares(self, count):
-        return [Share(one, 100_000) for one in FLEET[:count]]
+        return [MemoryShare(one, 100_000) for one in FLEET[:count]]
 
     def test_held_while_used_and_free_after(self):
         async def scene(memory, reservations):
@@ -91,7 +95,7 @@
             reservations.release(reserved)
             await asyncio.sleep(0.1)
             self.assertEqual(memory.holding(), set())
-            self.assertEqual(reservations.count(), 0)
+            self.assertEqual(reservations.task_count(), 0)
 
         self.play(scene)
 
@@ -128,14 +132,14 @@
                 await asyncio.sleep(0.1)
                 held_for += 100 * ('w1' in memory.holding())
             self.assertLess(held_for, 1500)
-            self.assertEqual(reservations.count(), 0)
+            self.assertEqual(reservations.task_count(), 0)
 
         self.play(scene)
 
     def test_a_lost_renewal_does_not_lose_the_memory(self):
         async def scene(memory, reservations):
             reserved = await reservations.reserve('r1', self.shares(2))
-            self.assertIsInstance(reserved, Reserved)
+            self.assertIsInstance(reserved, Reservation)
             memory.late = 20_000
             memory.mute.add('w1')
             await asyncio.sleep(1.5)
--- a/tests/test_gateway_view.py
+++ b/tests/test_gateway_view.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from verbenathread.gateway.view import View
+from verbenathread.gateway.view import ClusterView
 from verbenathread.types import Address, Peer
 
 GATEWAYS = tuple(
@@ -13,14 +13,14 @@
 
 class ToldTest(unittest.TestCase):
     def setUp(self):
-        self.view = View('g0')
+        self.view = ClusterView('g0')
 
     def list_at(self, now, *numbers):
         listed = tuple(GATEWAYS[number] for number in numbers)
-        self.view.take_nodes((), listed, now)
+        self.view.apply_nodes((), listed, now)
 
     def told(self):
-        return {peer.node_id for peer in self.view.told}
+        return {peer.node_id for peer in self.view.notice_targets}
 
     def test_a_new_leader_knows_few_gateways_at_first(self):
         self.list_at(0, 0, 1, 2, 3)
@@ -28,11 +28,11 @@
         self.list_at(60_000, 0, 1)
         self.assertEqual(self.told(), {'g0', 'g1', 'g2', 'g3'})
         self.list_at(61_000, 0, 1, 2)
-        self.view.forget_unlisted(65_500)
+        self.view.expire_unlisted(65_500)
         self.assertEqual(self.told(), {'g0', 'g1', 'g2'})
         self.assertEqual(len(self.view.gateways), 3)
 
     def test_a_gateway_that_stays_is_never_forgotten(self):
         self.list_at(0, 0, 1)
-        self.view.forget_unlisted(900_000)
+        self.view.expire_unlisted(900_000)
         self.assertEqual(self.told(), {'g0', 'g1'})
--- a/tests/test_http1_server.py
+++ b/tests/test_http1_server.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from tests.gateway_harness import read_answer
+from tests.gateway_harness import read_response
 from verbenathread.clock import SystemClock
 from verbenathread.http1.messages import Request
 from verbenathread.http1.server import HttpServer, Limits
@@ -70,7 +70,7 @@
         found = []
         try:
             while True:
-                answered = await asyncio.wait_for(read_answer(reader), 0.7)
+                answered = await asyncio.wait_for(read_response(reader), 0.7)
                 found.append(answered.status)
         except (asyncio.IncompleteReadError, TimeoutError, ConnectionError):
             writer.close()
@@ -151,7 +151,7 @@
         self.assertEqual(line, b'HTTP/1.1 100 Continue\r\n')
         await reader.readline()
         writer.write(b'abc')
-        answered = await read_answer(reader)
+        answered = await read_response(reader)
         self.assertEqual(answered.body, b'POST abc')
         writer.close()
 
@@ -167,7 +167,7 @@
     async def test_an_idle_connection_ends_after_its_time(self):
         reader, writer = await self.connect()
         writer.write(GOOD)
-        await read_answer(reader)
+        await read_response(reader)
         self.assertEqual(await asyncio.wait_for(reader.read(), 2), b'')
         writer.close()
 
@@ -180,7 +180,7 @@
         until = self.server.clock.now() + 2000
         drained = asyncio.create_task(self.server.drain(until))
         self.assertEqual(await asyncio.wait_for(idle_reader.read(), 1), b'')
-        answered = await read_answer(reader)
+        answered = await read_response(reader)
         self.assertEqual(answered.status, 200)
         self.assertEqual(answered.header_by_name['connection'], 'close')
         await asyncio.wait_for(drained, 1)
--- a/tests/test_platform_processes.py
+++ b/tests/test_platform_processes.py
@@ -8,7 +8,7 @@
 import unittest
 from pathlib import Path
 
-from tests.gateway_harness import Answer, read_answer
+from tests.gateway_harness import Response, read_response
 from tests.standins.platform_worker import (
     LAST_CHUNK,
     PlatformWorker,
@@ -72,14 +72,14 @@
     try:
         reader, writer = await asyncio.open_connection(host, port)
     except OSError:
-        return Answer(0, {}, b'', whole=False)
+        return Response(0, {}, b'', complete=False)
     head = (
         f'{method} {path} HTTP/1.1\r\nHost: desk.example\r\n{headers}'
         f'Content-Length: {len(content)}\r\n\r\n'
     )
     writer.write(head.encode() + content)
     try:
-        return await read_answer(reader)
+        return await read_response(reader)
     finally:
         writer.close()
 
--- a/tests/test_serving_budget.py
+++ b/tests/test_serving_budget.py
@@ -13,16 +13,16 @@
         chance = random.Random(5)
         gateways = [RetryBudget(0.2, 106, WINDOW) for _ in range(9)]
         for one in gateways:
-            one.gateways = 9
+            one.gateway_count = 9
         firsts = []
         repeats = []
         for now in range(0, 60_000, 20):
             one = chance.choice(gateways)
-            one.note_request('desk', now)
+            one.record_request('desk', now)
             firsts.append(now)
             # Every request fails and asks for two repeats.
             for _ in range(2):
-                if one.take('desk', now):
+                if one.try_acquire('desk', now):
                     repeats.append(now)
         for start in range(0, 50_000, 500):
             end = start + WINDOW
@@ -32,17 +32,17 @@
 
     def test_a_quiet_gateway_still_repeats_some(self):
         budget = RetryBudget(0.2, 106, WINDOW)
-        budget.gateways = 9
-        taken = sum(budget.take('desk', 5) for _ in range(50))
+        budget.gateway_count = 9
+        taken = sum(budget.try_acquire('desk', 5) for _ in range(50))
         self.assertEqual(taken, 11)
 
     def test_the_window_slides(self):
         budget = RetryBudget(0, 1, WINDOW)
-        self.assertTrue(budget.take('desk', 0))
-        self.assertFalse(budget.take('desk', WINDOW))
-        self.assertTrue(budget.take('desk', WINDOW + 1))
+        self.assertTrue(budget.try_acquire('desk', 0))
+        self.assertFalse(budget.try_acquire('desk', WINDOW))
+        self.assertTrue(budget.try_acquire('desk', WINDOW + 1))
 
     def test_services_have_budgets_of_their_own(self):
         budget = RetryBudget(0, 1, WINDOW)
-        self.assertTrue(budget.take('desk', 0))
-        self.assertTrue(budget.take('ledger', 0))
+        self.assertTrue(budget.try_acquire('desk', 0))
+        self.assertTrue(budget.try_acquire('ledger', 0))
--- a/tests/test_serving_registry.py
+++ b/tests/test_serving_registry.py
@@ -5,7 +5,7 @@
 
 from verbenathread.directory.machine import DirectoryMachine, entry_of
 from verbenathread.schema import directory_pb2 as messages
-from verbenathread.serving.registry import Registry
+from verbenathread.serving.registry import WorkerRegistry
 from verbenathread.serving.types import Worker, WorkerState
 from verbenathread.types import Address
 
@@ -48,7 +48,7 @@
         )
         for told, wanted in cases:
             with self.subTest(told=told):
-                registry = Registry()
+                registry = WorkerRegistry()
                 for one in told:
                     registry.merge(one)
                 self.assertEqual(self.states(registry), wanted)
@@ -61,13 +61,13 @@
             worker(state=GONE, sequence=4),
         )
         for told in itertools.permutations(life):
-            registry = Registry()
+            registry = WorkerRegistry()
             for one in told:
                 registry.merge(one)
             self.assertEqual(self.states(registry), {'w1': GONE})
 
     def test_a_silent_worker_is_dropped_and_may_come_back(self):
-        registry = Registry()
+        registry = WorkerRegistry()
         registry.merge(worker())
         self.assertFalse(registry.drop('w1', 9))
         self.assertTrue(registry.drop('w1', 10))
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from types import MappingProxyType
 
-from tests.gateway_harness import Answer
+from tests.gateway_harness import Response
 from tools.local_cluster import LOOPBACK_NET
 from tools.soak.callers import ASKS, Caller
 from tools.soak.findings import Findings
@@ -56,17 +56,17 @@
         whole = events(*range(1, 13))
         stranger = {'attempt-id': 'c-2', 'response-stamp': 'stamp-c-2'}
         cases = (
-            ('', SHORT, Answer(200, STAMP, whole, True)),
-            ('', SHORT, Answer(200, STAMP, events(1, 2), False)),
-            ('ORDER', SHORT, Answer(200, STAMP, events(1, 2), True)),
-            ('ORDER', SHORT, Answer(200, STAMP, events(1, 3), False)),
-            ('ORDER', SHORT, Answer(200, STAMP, events(1, 1), False)),
-            ('MIXED', SHORT, Answer(200, stranger, whole, True)),
-            ('', HOLD, Answer(200, STAMP, b'done c-1', True)),
-            ('MIXED', HOLD, Answer(200, STAMP, b'done c-2', True)),
-            ('MIXED', HOLD, Answer(200, {}, b'done c-1', True)),
-            ('DENIED', HOLD, Answer(404, STAMP, b'', True)),
-            ('', HOLD, Answer(502, {}, b'', True)),
+            ('', SHORT, Response(200, STAMP, whole, True)),
+            ('', SHORT, Response(200, STAMP, events(1, 2), False)),
+            ('ORDER', SHORT, Response(200, STAMP, events(1, 2), True)),
+            ('ORDER', SHORT, Response(200, STAMP, events(1, 3), False)),
+            ('ORDER', SHORT, Response(200, STAMP, events(1, 1), False)),
+            ('MIXED', SHORT, Response(200, stranger, whole, True)),
+            ('', HOLD, Response(200, STAMP, b'done c-1', True)),
+            ('MIXED', HOLD, Response(200, STAMP, b'done c-2', True)),
+            ('MIXED', HOLD, Response(200, {}, b'done c-1', True)),
+            ('DENIED', HOLD, Response(404, STAMP, b'', True)),
+            ('', HOLD, Response(502, {}, b'', True)),
         )
         for rule, ask, answered in cases:
             with self.subTest(rule=rule, answered=answered):
--- a/tools/soak/callers.py
+++ b/tools/soak/callers.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from tests.gateway_harness import Answer, read_answer
+from tests.gateway_harness import Response, read_response
 from tools.soak.findings import NOT_RUN, Findings
 from verbenathread.clock import Clock, seconds
 from verbenathread.types import Address, Millis
@@ -96,7 +96,7 @@
         """Send one request; tell whether it was served."""
         attempt_id = f'{self._name}-{next(self._numbers)}'
         sent_at = self._clock.now()
-        answered: Answer | None = None
+        answered: Response | None = None
         try:
             answered = await self._exchange(ask, attempt_id, leaves=leaves)
         except (OSError, asyncio.IncompleteReadError, TimeoutError):
@@ -107,10 +107,10 @@
                 self._check_lost(attempt_id, sent_at)
             return False
         self._check_time(attempt_id, sent_at, took)
-        if not answered.whole:
+        if not answered.complete:
             self._check_lost(attempt_id, sent_at)
         says = answered.header_by_name.get('connection')
-        if says == 'close' or not answered.whole:
+        if says == 'close' or not answered.complete:
             self.close()
         return self._check(ask, attempt_id, answered)
 
@@ -122,7 +122,7 @@
 
     async def _exchange(
         self, ask: Ask, attempt_id: str, *, leaves: bool
-    ) -> Answer | None:
+    ) -> Response | None:
         if self._connection is None:
             gateway = self._random.choice(self._gateways)
             opened = await asyncio.open_connection(*gateway)
@@ -134,7 +134,7 @@
             self.close()
             return None
         async with asyncio.timeout(seconds(_PATIENCE)):
-            return await read_answer(reader)
+            return await read_response(reader)
 
     def _check_lost(self, attempt_id: str, sent_at: Millis) -> None:
         """Planned work alone must not cost a caller its answer."""
@@ -157,7 +157,7 @@
             late = took > TIME_LIMIT + _LATEST_ANSWER
             self._findings.timed(late=late)
 
-    def _check(self, ask: Ask, attempt_id: str, answered: Answer) -> bool:
+    def _check(self, ask: Ask, attempt_id: str, answered: Response) -> bool:
         family = answered.status // _FAMILY
         self._findings.outcomes[f'{ask.name} {answered.status}'] += 1
         if ask.name == 'hold':
@@ -174,7 +174,7 @@
             self._findings.breach('MIXED', f'{attempt_id} {answered.body!r}')
         return True
 
-    def _is_own(self, attempt_id: str, answered: Answer) -> bool:
+    def _is_own(self, attempt_id: str, answered: Response) -> bool:
         headers = answered.header_by_name
         stamp = headers.get('response-stamp')
         return (
@@ -183,7 +183,7 @@
         )
 
     def _check_events(
-        self, ask: Ask, attempt_id: str, answered: Answer
+        self, ask: Ask, attempt_id: str, answered: Response
     ) -> bool:
         got = answered.body.decode().split('\n\n')[:-1]
         expected = [
@@ -192,9 +192,9 @@
         ]
         if got != expected[: len(got)]:
             self._findings.breach('ORDER', f'{attempt_id} {got}')
-        if answered.whole and len(got) != ask.events:
+        if answered.complete and len(got) != ask.events:
             self._findings.breach('ORDER', f'{attempt_id} ends at {len(got)}')
-        return answered.whole
+        return answered.complete
 
 
 def request_bytes(ask: Ask, attempt_id: str) -> bytes:
@@ -214,7 +214,7 @@
     path: str,
     content: bytes = b'',
     limit: float = 1.0,
-) -> Answer | None:
+) -> Response | None:
     """Send one call on a connection of its own; None without an answer."""
     writer: asyncio.StreamWriter | None = None
     with contextlib.ExitStack() as stack:
@@ -223,7 +223,7 @@
                 reader, writer = await asyncio.open_connection(*address)
                 stack.callback(writer.close)
                 writer.write(_plain_request(method, path, content))
-                return await read_answer(reader)
+                return await read_response(reader)
         except (OSError, asyncio.IncompleteReadError, TimeoutError):
             return None
 
@@ -237,7 +237,7 @@
     return head.encode() + content
 
 
-def follow(answered: Answer) -> Address | None:
+def follow(answered: Response) -> Address | None:
     """Return where a redirect leads."""
     location = answered.header_by_name.get('location', '')
     parts = location.split('/')
@@ -249,7 +249,7 @@
 
 async def ask_any(
     addresses: Iterable[Address], method: str, path: str, content: bytes
-) -> Answer | None:
+) -> Response | None:
     """Ask one after the other; None when none can tell."""
     for address in addresses:
         answered = await _ask_led(address, method, path, content)
@@ -260,7 +260,7 @@
 
 async def _ask_led(
     address: Address, method: str, path: str, content: bytes
-) -> Answer | None:
+) -> Response | None:
     """Follow redirects from ``address``, twice at most."""
     there: Address | None = address
     for _ in range(_MOST_CALLS):
--- a/verbenathread/directory/calls.py
+++ b/verbenathread/directory/calls.py
@@ -85,11 +85,12 @@
         held = registry.worker_by_id.get(worker.worker_id)
         if worker.state is WorkerState.GONE and held is not None:
             worker = held._replace(
-                state=WorkerState.GONE, born=worker.born or held.born
+                state=WorkerState.GONE,
+                started_at=worker.started_at or held.started_at,
             )
-        if held is None or held.born <= worker.born:
+        if held is None or held.started_at <= worker.started_at:
             self._heard_by_id[worker.worker_id] = self._clock.now()
-        if not registry.is_news(worker):
+        if not registry.would_change(worker):
             return
         await self._propose(
             messages.DirectoryCommand(put_worker=entry_of(worker))
@@ -100,7 +101,7 @@
             state=worker.state.name,
             service=worker.service,
             address=str(worker.address),
-            born=worker.born,
+            born=worker.started_at,
             sequence=worker.sequence,
         )
 
@@ -131,12 +132,12 @@
 
     async def _drop_silent(self) -> None:
         now = self._clock.now()
-        for worker in tuple(self._machine.registry.living()):
+        for worker in tuple(self._machine.registry.live_workers()):
             heard = self._heard_by_id.setdefault(worker.worker_id, now)
             if now - heard < self._silence:
                 continue
             drop = messages.DropWorker(
-                worker_id=worker.worker_id, born=worker.born
+                worker_id=worker.worker_id, born=worker.started_at
             )
             _log.warning(
                 'A silent worker is dropped.',
--- a/verbenathread/directory/daemon.py
+++ b/verbenathread/directory/daemon.py
@@ -180,7 +180,7 @@
             voters = sum(1 for one in status.members if one.voter)
             measures.voters.set(voters)
             measures.config_version.set(self._machine.config_version)
-            living = sum(1 for _ in self._machine.registry.living())
+            living = sum(1 for _ in self._machine.registry.live_workers())
             measures.workers.set(living)
             measures.gateways.set(self._service.gateway_count())
 
--- a/verbenathread/directory/machine.py
+++ b/verbenathread/directory/machine.py
@@ -1,7 +1,7 @@
 """The state that the log builds: one configuration and the workers."""
 
 from verbenathread.schema import directory_pb2 as messages
-from verbenathread.serving.registry import Registry
+from verbenathread.serving.registry import WorkerRegistry
 from verbenathread.serving.types import Worker, WorkerState
 from verbenathread.types import Address
 
@@ -13,7 +13,7 @@
         """Start without a configuration and without workers."""
         self.config_version = 0
         self.config_body = b''
-        self.registry = Registry()
+        self.registry = WorkerRegistry()
         # Counts the changes of the registry in this process.
         self.registry_changes = 0
 
@@ -48,7 +48,7 @@
         read = messages.DirectoryImage.FromString(image)
         self.config_version = read.config.version
         self.config_body = read.config.body
-        self.registry = Registry()
+        self.registry = WorkerRegistry()
         for entry in read.workers:
             self.registry.merge(worker_of(entry))
         self.registry_changes += 1
@@ -64,7 +64,7 @@
     """Return the worker that a message holds."""
     return Worker(
         worker_id=entry.worker_id,
-        born=entry.born,
+        started_at=entry.born,
         sequence=entry.sequence,
         state=WorkerState(entry.state),
         service=entry.service,
@@ -78,7 +78,7 @@
     """Return the message that holds a worker."""
     return messages.WorkerEntry(
         worker_id=worker.worker_id,
-        born=worker.born,
+        born=worker.started_at,
         sequence=worker.sequence,
         state=worker.state,
         service=worker.service,
--- a/verbenathread/directory/service.py
+++ b/verbenathread/directory/service.py
@@ -161,7 +161,7 @@
             update.config_version = machine.config_version
         if machine.registry_changes != sent.registry_changes:
             update.workers.SetInParent()
-            for worker in machine.registry.living():
+            for worker in machine.registry.live_workers():
                 update.workers.workers.append(entry_of(worker))
         if self._fleet_changes != sent.fleet_changes:
             update.fleet.SetInParent()
--- a/verbenathread/gateway/waiting_room.py
+++ b/verbenathread/gateway/admission_queue.py
@@ -5,25 +5,25 @@
 from collections.abc import Callable
 
 from verbenathread.clock import Clock, seconds
-from verbenathread.serving.placement import NoRoom, Placed
+from verbenathread.serving.placement import NoCapacity, Placement
 from verbenathread.types import Millis
 
 # A lost notice of an end would keep everybody waiting; then this helps.
 _LOOK_EVERY: Millis = 100
 
-Chooser = Callable[[], Placed | NoRoom]
+TryPlace = Callable[[], Placement | NoCapacity]
 
 
 class _Waiting:
-    def __init__(self, due: Millis, choose: Chooser) -> None:
+    def __init__(self, due: Millis, choose: TryPlace) -> None:
         self.due = due
         self.choose = choose
-        self.future: asyncio.Future[Placed] = (
+        self.future: asyncio.Future[Placement] = (
             asyncio.get_running_loop().create_future()
         )
 
 
-class WaitingRoom:
+class AdmissionQueue:
     """Lets those in first whose first event is due first."""
 
     def __init__(self, clock: Clock) -> None:
@@ -37,8 +37,8 @@
         return len(self._waiting)
 
     async def wait(
-        self, due: Millis, choose: Chooser, limit: Millis
-    ) -> Placed | None:
+        self, due: Millis, choose: TryPlace, limit: Millis
+    ) -> Placement | None:
         """Return the place that was found within ``limit`` ms, if any."""
         waiting = _Waiting(due, choose)
         self._waiting.append(waiting)
@@ -56,7 +56,7 @@
                 self._pump()
         return waiting.future.result()
 
-    def look_again(self) -> None:
+    def wake(self) -> None:
         """Look for places soon: something ended."""
         if self._waiting and not self._pump_planned:
             self._pump_planned = True
@@ -70,7 +70,7 @@
         self._pump_planned = False
         for waiting in tuple(self._waiting):
             placed = waiting.choose()
-            if isinstance(placed, Placed):
+            if isinstance(placed, Placement):
                 self._waiting.remove(waiting)
                 waiting.future.set_result(placed)
 
--- a/verbenathread/gateway/attempt.py
+++ b/verbenathread/gateway/attempt.py
@@ -51,7 +51,7 @@
         self._reply = reply
         self._dialect = dialect
         self.events = EventSplitter(last_event_id)
-        self.begun = False
+        self.started = False
         self.written_bytes = 0
 
     def write(self, head: ResponseHead, content: bytes) -> None:
@@ -68,16 +68,16 @@
         self._reply.finish()
 
     def _begin(self, head: ResponseHead) -> None:
-        if not self.begun:
-            self.begun = True
+        if not self.started:
+            self.started = True
             self._reply.begin(head.status, self._dialect.caller_headers(head))
 
 
-class StallLimits(NamedTuple):
+class StallTimeouts(NamedTuple):
     """Silence after which a worker is asked whether it lives."""
 
-    first: Millis
-    later: Millis
+    first_event: Millis
+    between_events: Millis
 
 
 # A worker that answers but stays silent on our request for so many limits
@@ -111,18 +111,18 @@
             asyncio.get_running_loop().create_future()
         )
         if relay is not None:
-            relay.events.restart()
-        self.last_heard = clock.now()
-        self._asked = self.last_heard
+            relay.events.discard_partial()
+        self.last_received_at = clock.now()
+        self._asked = self.last_received_at
         self.first_event_at: Millis | None = None
-        self.on_first: Callable[[], None] | None = None
+        self.on_first_event: Callable[[], None] | None = None
         self.longest_pause: Millis = 0
 
     async def run(
         self,
         request: bytes,
         deadline: Millis,
-        stall: StallLimits,
+        stall: StallTimeouts,
         probe: Probe,
     ) -> Result:
         """Send ``request`` and return once the answer ended.
@@ -132,12 +132,12 @@
         self._connection.ask(request, self)
         while not self._result.done():
             heard = self.first_event_at is not None
-            limit = stall.later if heard else stall.first
+            limit = stall.between_events if heard else stall.first_event
             now = self._clock.now()
-            asked = max(self.last_heard, self._asked)
+            asked = max(self.last_received_at, self._asked)
             if now >= deadline:
                 self._stop(Verdict.TIMED_OUT)
-            elif now >= self.last_heard + limit * _MOST_LIMITS:
+            elif now >= self.last_received_at + limit * _MOST_LIMITS:
                 self._stop(Verdict.STALLED)
             elif now >= asked + limit:
                 await self._ask_whether_alive(probe)
@@ -150,13 +150,13 @@
         """End the worker's work: the caller left."""
         self._stop(Verdict.ABANDONED)
 
-    def press(self, held: bool) -> None:  # noqa: FBT001
+    def set_backpressure(self, held: bool) -> None:  # noqa: FBT001
         """Read no faster than the caller does."""
         self._connection.hold_back(held)
 
     def accepts(self, head: ResponseHead) -> bool:
         """Tell whether this head answers our request."""
-        answer = self._dialect.read_answer(head)
+        answer = self._dialect.parse_response(head)
         if answer.attempt_id == self._attempt_id:
             return True
         if answer.attempt_id:
@@ -169,9 +169,9 @@
 
     def on_head(self, head: ResponseHead) -> None:
         """Take the head."""
-        self.last_heard = self._clock.now()
+        self.last_received_at = self._clock.now()
         self._head = head
-        answer = self._dialect.read_answer(head)
+        answer = self._dialect.parse_response(head)
         self._not_run = answer.not_run
         succeeded = head.status // _FAMILY_SIZE == _SUCCESS_FAMILY
         if succeeded and not answer.signed:
@@ -182,7 +182,7 @@
         """Take a part of the body; relay whole events."""
         now = self._clock.now()
         if self._relay is None or not self._streams or self._head is None:
-            self.last_heard = now
+            self.last_received_at = now
             self._body.append(content)
             return
         events = self._relay.events.feed(content)
@@ -190,12 +190,12 @@
             return
         if self.first_event_at is None:
             self.first_event_at = now
-            if self.on_first is not None:
-                self.on_first()
+            if self.on_first_event is not None:
+                self.on_first_event()
         else:
-            pause = now - self.last_heard
+            pause = now - self.last_received_at
             self.longest_pause = max(self.longest_pause, pause)
-        self.last_heard = now
+        self.last_received_at = now
         if not self._result.done():
             self._relay.write(self._head, events)
 
@@ -208,16 +208,16 @@
             return
         verdict = Verdict.NOT_RUN if self._not_run else Verdict.COMPLETE
         if self._streams and self._relay is not None:
-            if self._relay.events.has_rest:
+            if self._relay.events.has_partial_event:
                 verdict = Verdict.BROKEN
         body = b''.join(self._body)
         self._result.set_result(Result(verdict, self._head, body))
 
     async def _ask_whether_alive(self, probe: Probe) -> None:
-        heard_before = self.last_heard
+        heard_before = self.last_received_at
         alive = await probe()
         self._asked = self._clock.now()
-        if not alive and self.last_heard == heard_before:
+        if not alive and self.last_received_at == heard_before:
             self._stop(Verdict.STALLED)
 
     def _stop(self, verdict: Verdict) -> None:
--- /dev/null
+++ b/verbenathread/gateway/context.py
@@ -0,0 +1,84 @@
+"""What every request of a gateway shares."""
+
+from typing import NamedTuple
+
+from verbenathread.clock import Clock
+from verbenathread.gateway.admission_queue import AdmissionQueue
+from verbenathread.gateway.metrics import GatewayMetrics
+from verbenathread.gateway.notices import GatewayNotices
+from verbenathread.gateway.pool import ConnectionPool
+from verbenathread.gateway.probing import LoadProber
+from verbenathread.gateway.reservations import ReservationManager
+from verbenathread.gateway.view import ClusterView
+from verbenathread.gateway.worker_client import PooledWorkerClient, WorkerClient
+from verbenathread.scheduling.outliers import OutlierTracker
+from verbenathread.schema import settings_pb2
+from verbenathread.serving.dialect import Dialect
+from verbenathread.serving.fleet_load import FleetLoad
+from verbenathread.serving.plain_balancer import PlainBalancer
+from verbenathread.serving.retry_budget import RetryBudget
+from verbenathread.types import Peer
+
+# Part of the time that memory may stay set aside unused: a lease runs on
+# after the last renewal, whose way to the worker takes time.
+_LEASE_SHARE = 0.8
+
+
+class GatewayContext(NamedTuple):
+    """The parts of one gateway."""
+
+    clock: Clock
+    data_centre: str
+    dialect: Dialect
+    view: ClusterView
+    fleet: FleetLoad
+    plain_balancer: PlainBalancer
+    outliers: OutlierTracker
+    pool: ConnectionPool
+    retry_budget: RetryBudget
+    notices: GatewayNotices
+    worker_client: WorkerClient
+    prober: LoadProber
+    reservations: ReservationManager
+    queue: AdmissionQueue
+    metrics: GatewayMetrics
+
+
+def build_context(
+    section: settings_pb2.GatewaySection,
+    data_centre: str,
+    me: Peer,
+    dialect: Dialect,
+    clock: Clock,
+) -> GatewayContext:
+    """Return the parts of a gateway that knows nothing yet."""
+    view = ClusterView(me.node_id)
+    fleet = FleetLoad()
+    pool = ConnectionPool(clock)
+    caller = PooledWorkerClient(pool, clock)
+    outliers = OutlierTracker()
+    notices = GatewayNotices(me, view, fleet, outliers, clock)
+    return GatewayContext(
+        clock=clock,
+        data_centre=data_centre,
+        dialect=dialect,
+        view=view,
+        fleet=fleet,
+        plain_balancer=PlainBalancer(),
+        outliers=outliers,
+        pool=pool,
+        retry_budget=RetryBudget(
+            section.retry_share, section.retry_slack, section.retry_window
+        ),
+        notices=notices,
+        worker_client=caller,
+        prober=LoadProber(me.node_id, view, caller, dialect, (notices,)),
+        reservations=ReservationManager(
+            caller,
+            dialect,
+            clock,
+            int(section.reserve_stale * _LEASE_SHARE),
+        ),
+        queue=AdmissionQueue(clock),
+        metrics=GatewayMetrics(),
+    )
--- a/verbenathread/gateway/daemon.py
+++ b/verbenathread/gateway/daemon.py
@@ -6,8 +6,8 @@
 from verbenathread.clock import Clock, SystemClock, seconds
 from verbenathread.directory.seeds import SeedFile
 from verbenathread.duties import keep_running
+from verbenathread.gateway.context import build_context
 from verbenathread.gateway.handler import GatewayHandler
-from verbenathread.gateway.parts import make_parts
 from verbenathread.gateway.watch import DirectoryWatch
 from verbenathread.http1.server import HttpServer, Limits
 from verbenathread.observability.logs import get_logger
@@ -43,15 +43,17 @@
         self._clock: Clock = SystemClock()
         self._seeds = SeedFile(path, 'gateway')
         me = Peer(settings.node.id, parse_address(own.peer_listen))
-        self.parts = make_parts(
+        self.context = build_context(
             own, settings.node.data_centre, me, dialect, self._clock
         )
-        self.view = self.parts.view
+        self.view = self.context.view
         self._watch = DirectoryWatch(
             self.view, self._seeds, me, read_config, self._clock
         )
-        self.server = HttpServer(GatewayHandler(self.parts), self._clock)
-        status = StatusHandler(self.parts.measures.registry, self.why_not_ready)
+        self.server = HttpServer(GatewayHandler(self.context), self._clock)
+        status = StatusHandler(
+            self.context.metrics.registry, self.why_not_ready
+        )
         self._status = HttpServer(status, self._clock)
         self._metrics = HttpServer(status, self._clock)
         self.view.on_config.append(self._take_limits)
@@ -60,12 +62,12 @@
 
     async def start(self) -> None:
         """Listen, and look for the directory."""
-        await self.parts.notices.start()
+        await self.context.notices.start()
         await self._status.start(parse_address(self._own.ready_listen))
         if self._own.metrics_listen:
             await self._metrics.start(parse_address(self._own.metrics_listen))
         await self.server.start(parse_address(self._own.listen))
-        for duty in (self._watch.run, self._tidy, self.parts.reports.run):
+        for duty in (self._watch.run, self._tidy, self.context.prober.run):
             self._tasks.append(asyncio.create_task(keep_running(duty)))
         _log.info(
             'The gateway runs.',
@@ -81,7 +83,7 @@
         notice = min(_NOTICE, self._own.stop_limit)
         await asyncio.sleep(seconds(notice))
         await self.server.drain(until)
-        await self.parts.reservations.close()
+        await self.context.reservations.close()
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -89,8 +91,8 @@
         self.server.close()
         self._status.close()
         self._metrics.close()
-        self.parts.notices.stop()
-        self.parts.pool.close()
+        self.context.notices.stop()
+        self.context.pool.close()
 
     def reload(self) -> None:
         """Read the seeds again."""
@@ -107,22 +109,24 @@
     def _take_limits(self, config: ServingConfig) -> None:
         limits = config.limits
         self.server.limits = Limits(*limits)
-        self.parts.measures.config_version.set(config.version)
+        self.context.metrics.config_version.set(config.version)
 
     def _keep_only(self, worker_ids: frozenset[str]) -> None:
-        parts = self.parts
-        parts.pool.keep_only(worker_ids)
-        parts.fleet.keep_only(worker_ids)
-        parts.budget.gateways = max(1, len(self.view.told))
-        parts.measures.workers.set(len(worker_ids))
-        parts.room.look_again()
+        parts = self.context
+        parts.pool.retain(worker_ids)
+        parts.fleet.retain(worker_ids)
+        parts.retry_budget.gateway_count = max(1, len(self.view.notice_targets))
+        parts.metrics.workers.set(len(worker_ids))
+        parts.queue.wake()
 
     async def _tidy(self) -> None:
         while True:
             await asyncio.sleep(seconds(_TIDY_EVERY))
             self._seeds.refresh()
-            self.parts.pool.sweep()
-            self.parts.fleet.forget_ended(self._clock.now())
-            self.parts.measures.waiting.set(len(self.parts.room))
-            self.view.forget_unlisted(self._clock.now())
-            self.parts.budget.gateways = max(1, len(self.view.told))
+            self.context.pool.close_expired()
+            self.context.fleet.drop_expired(self._clock.now())
+            self.context.metrics.waiting.set(len(self.context.queue))
+            self.view.expire_unlisted(self._clock.now())
+            self.context.retry_budget.gateway_count = max(
+                1, len(self.view.notice_targets)
+            )
--- a/verbenathread/gateway/events.py
+++ b/verbenathread/gateway/events.py
@@ -13,11 +13,11 @@
         self._rest = b''
 
     @property
-    def has_rest(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Tell whether a part of an event waits for the rest."""
         return bool(self._rest)
 
-    def restart(self) -> None:
+    def discard_partial(self) -> None:
         """Drop a part of an event: its worker never sent the rest."""
         self._rest = b''
 
--- a/verbenathread/gateway/exchange.py
+++ b/verbenathread/gateway/exchange.py
@@ -8,19 +8,19 @@
     Attempt,
     Relay,
     Result,
-    StallLimits,
+    StallTimeouts,
     Verdict,
 )
-from verbenathread.gateway.choosing import Choice, Chooser, Refused
-from verbenathread.gateway.parts import Parts
-from verbenathread.gateway.reports import PROBE_LIMIT
+from verbenathread.gateway.context import GatewayContext
+from verbenathread.gateway.probing import PROBE_TIMEOUT
+from verbenathread.gateway.selection import Refusal, Selection, WorkerSelector
 from verbenathread.http1.client import ClientConnection
 from verbenathread.http1.messages import Request, ResponseHead, write_request
 from verbenathread.http1.reply import Reply
 from verbenathread.observability.logs import get_logger
 from verbenathread.observability.metrics import length_label
-from verbenathread.serving.dialect import CallerRequest, Onward
-from verbenathread.serving.routes import Matched
+from verbenathread.serving.dialect import CallerRequest, ForwardContext
+from verbenathread.serving.routes import RouteMatch
 from verbenathread.serving.types import RequestKind, ServiceSpec, Worker
 from verbenathread.types import Millis
 
@@ -44,12 +44,12 @@
 _SOON: Millis = 150
 
 
-class Job(NamedTuple):
+class RoutedRequest(NamedTuple):
     """A request that the configuration allows."""
 
     request: Request
     caller: CallerRequest
-    matched: Matched
+    match: RouteMatch
     service: ServiceSpec
     # When the caller or the route waits no longer.
     deadline: Millis
@@ -58,16 +58,18 @@
 class Exchange:
     """Serves one request until the caller has its answer."""
 
-    def __init__(self, parts: Parts, job: Job, reply: Reply) -> None:
+    def __init__(
+        self, parts: GatewayContext, job: RoutedRequest, reply: Reply
+    ) -> None:
         """Answer ``job`` on ``reply``."""
         self._parts = parts
         self._job = job
         self._reply = reply
-        self._chooser = Chooser(
-            parts, job.service, job.caller, job.matched.route
+        self._chooser = WorkerSelector(
+            parts, job.service, job.caller, job.match.route
         )
         self._relay: Relay | None = None
-        if job.matched.route.kind is RequestKind.STREAM:
+        if job.match.route.kind is RequestKind.STREAM:
             self._relay = Relay(reply, parts.dialect, job.caller.last_event_id)
         self._attempt: Attempt | None = None
         self._sends = 0
@@ -76,7 +78,7 @@
         self._may_have_run = False
         # A failure that a worker signed, kept while another one is tried.
         self._failure: Result | None = None
-        self._refused: Refused | None = None
+        self._refused: Refusal | None = None
         reply.on_gone = self._on_gone
         reply.on_pressure = self._on_pressure
 
@@ -87,8 +89,8 @@
             if left <= 0:
                 self._give_up(_TIMED_OUT, 'out of time', None)
                 return
-            chosen = await self._chooser.choose(left)
-            if isinstance(chosen, Refused):
+            chosen = await self._chooser.select(left)
+            if isinstance(chosen, Refusal):
                 self._refused = chosen
                 self._give_up(_UNAVAILABLE, chosen.reason, chosen.retry_after)
                 return
@@ -96,9 +98,9 @@
         if self._reply.is_gone and not self._reply.done:
             self._note('abandoned', '')
 
-    async def _try(self, choice: Choice) -> None:
+    async def _try(self, choice: Selection) -> None:
         """Send to the chosen worker, with its memory set aside."""
-        if not any(part.held_tokens for part in choice.parts):
+        if not any(part.reserved_tokens for part in choice.parts):
             await self._try_once(choice)
             return
         reserved = await self._chooser.reserve(choice)
@@ -111,15 +113,15 @@
             stack.callback(self._parts.reservations.release, reserved)
             await self._try_once(choice)
 
-    async def _try_once(self, choice: Choice) -> None:
+    async def _try_once(self, choice: Selection) -> None:
         # Others hear of it before the connection stands: until they do, they
         # take the same slot.
-        noted = self._chooser.note_send(choice)
+        noted = self._chooser.record_send(choice)
         with contextlib.ExitStack() as stack:
-            stack.callback(self._chooser.note_end, choice, noted)
+            stack.callback(self._chooser.record_end, choice, noted)
             await self._connect_and_send(choice)
 
-    async def _connect_and_send(self, choice: Choice) -> None:
+    async def _connect_and_send(self, choice: Selection) -> None:
         connection = await self._connect(choice.worker)
         if connection is None:
             self._chooser.exclude(choice.worker)
@@ -129,10 +131,10 @@
                 )
             return
         if self._reply.is_gone:
-            self._parts.pool.give_back(choice.worker, connection)
+            self._parts.pool.release(choice.worker, connection)
             return
         if self._sends and not self._take_repeat():
-            self._parts.pool.give_back(choice.worker, connection)
+            self._parts.pool.release(choice.worker, connection)
             self._give_up(_UNAVAILABLE, 'no repeat is left', _MS_PER_SECOND)
             return
         result = await self._send(choice, connection)
@@ -142,7 +144,7 @@
         parts = self._parts
         left = self._job.deadline - parts.clock.now()
         try:
-            return await parts.pool.take(worker, left)
+            return await parts.pool.acquire(worker, left)
         except (OSError, TimeoutError) as error:
             self._connects += 1
             parts.outliers.note_failure(worker.worker_id, parts.clock.now())
@@ -155,7 +157,7 @@
             return None
 
     async def _send(
-        self, choice: Choice, connection: ClientConnection
+        self, choice: Selection, connection: ClientConnection
     ) -> Result:
         parts = self._parts
         caller = self._job.caller
@@ -170,7 +172,9 @@
         self._attempt = attempt
         self._sends += 1
         parts.outliers.note_sent(choice.worker.worker_id, started)
-        attempt.on_first = functools.partial(self._note_first, choice, started)
+        attempt.on_first_event = functools.partial(
+            self._note_first, choice, started
+        )
         result = await attempt.run(
             self._message(choice),
             self._job.deadline,
@@ -178,19 +182,21 @@
             functools.partial(self._is_alive, choice.worker),
         )
         self._attempt = None
-        parts.measures.sends.labels(result.verdict.value).inc()
+        parts.metrics.sends.labels(result.verdict.value).inc()
         if result.verdict in {Verdict.COMPLETE, Verdict.NOT_RUN}:
-            parts.pool.give_back(choice.worker, connection)
+            parts.pool.release(choice.worker, connection)
         self._note_send(choice, attempt, result, started)
         return result
 
-    def _note_first(self, choice: Choice, started: Millis) -> None:
+    def _note_first(self, choice: Selection, started: Millis) -> None:
         now = self._parts.clock.now()
-        self._chooser.note_first(choice, now - started)
+        self._chooser.record_first_event(choice, now - started)
 
     async def _is_alive(self, worker: Worker) -> bool:
         call = self._parts.dialect.probe_call(worker.worker_id)
-        answer = await self._parts.caller.call(worker, call, PROBE_LIMIT)
+        answer = await self._parts.worker_client.call(
+            worker, call, PROBE_TIMEOUT
+        )
         _log.info(
             'A silent worker was asked.',
             request_id=self._job.caller.attempt_id,
@@ -199,20 +205,20 @@
         )
         return answer is not None
 
-    def _message(self, choice: Choice) -> bytes:
+    def _message(self, choice: Selection) -> bytes:
         job = self._job
         now = self._parts.clock.now()
-        account = job.matched.account
+        account = job.match.account
         last_event_id = job.caller.last_event_id
         if self._relay is not None:
             last_event_id = self._relay.events.last_id
-        onward = Onward(
+        onward = ForwardContext(
             worker_id=choice.worker.worker_id,
             time_left=max(1, job.deadline - now),
             account=None if account is None else account.name,
-            urgency=choice.urgency,
+            priority=choice.priority,
             last_event_id=last_event_id,
-            holders=choice.holders,
+            helpers=choice.helpers,
         )
         headers = self._parts.dialect.worker_headers(job.request, onward)
         return write_request(
@@ -241,16 +247,16 @@
 
     def _settle_not_run(self, worker: Worker, result: Result) -> None:
         head = result.head
-        if head is not None and self._chooser.is_misplaced(head):
-            self._parts.view.misplaced(worker)
+        if head is not None and self._chooser.is_misdirected(head):
+            self._parts.view.mark_misdirected(worker)
         at_fault = ''
         if head is not None:
-            at_fault = self._parts.dialect.read_answer(head).at_fault
+            at_fault = self._parts.dialect.parse_response(head).faulty_worker
         if at_fault:
-            self._chooser.exclude_at(at_fault)
+            self._chooser.exclude_address(at_fault)
         else:
             self._chooser.exclude(worker)
-        if self._sends >= self._job.matched.route.attempts:
+        if self._sends >= self._job.match.route.max_attempts:
             self._give_up(_UNAVAILABLE, 'the worker refused', _SOON)
 
     def _settle_complete(
@@ -285,15 +291,15 @@
 
     def _may_go_on(self) -> bool:
         """Tell whether another worker may run what may have run."""
-        route = self._job.matched.route
-        return route.may_repeat() and self._sends < route.attempts
+        route = self._job.match.route
+        return route.may_retry() and self._sends < route.max_attempts
 
     def _take_repeat(self) -> bool:
         now = self._parts.clock.now()
-        return self._parts.budget.take(self._job.service.name, now)
+        return self._parts.retry_budget.try_acquire(self._job.service.name, now)
 
     def _is_begun(self) -> bool:
-        return self._relay is not None and self._relay.begun
+        return self._relay is not None and self._relay.started
 
     def _give_up(
         self, status: int, reason: str, retry_after: Millis | None
@@ -323,13 +329,13 @@
 
     def _on_pressure(self, held: bool) -> None:  # noqa: FBT001
         if self._attempt is not None:
-            self._attempt.press(held)
+            self._attempt.set_backpressure(held)
 
     def _note(
         self, outcome: str, reason: str, retry_after: Millis | None = None
     ) -> None:
         job = self._job
-        self._parts.measures.requests.labels(outcome).inc()
+        self._parts.metrics.requests.labels(outcome).inc()
         if outcome == 'served' and self._sends == 1:
             return
         refused = self._refused
@@ -339,21 +345,25 @@
             outcome=outcome,
             reason=reason,
             retry_after=retry_after,
-            route=job.matched.route.name,
+            route=job.match.route.name,
             sends=self._sends,
             took=self._parts.clock.now() - job.request.arrived,
             config=self._parts.view.config_version,
-            view_age=self._parts.clock.now() - self._parts.view.fed_at,
+            view_age=self._parts.clock.now() - self._parts.view.updated_at,
             candidates=None if refused is None else refused.candidates,
             free_in=None if refused is None else refused.free_in,
         )
 
     def _note_send(
-        self, choice: Choice, attempt: Attempt, result: Result, started: Millis
+        self,
+        choice: Selection,
+        attempt: Attempt,
+        result: Result,
+        started: Millis,
     ) -> None:
         now = self._parts.clock.now()
         prompt = self._job.caller.prompt
-        measures = self._parts.measures
+        measures = self._parts.metrics
         first = attempt.first_event_at
         if prompt is not None and first is not None:
             waited = (first - self._job.request.arrived) / _MS_PER_SECOND
@@ -369,8 +379,8 @@
             verdict=result.verdict.value,
             status=None if result.head is None else result.head.status,
             queued=started - self._job.request.arrived,
-            forecast=choice.first_in,
-            beside=choice.beside,
+            forecast=choice.first_event_in,
+            beside=choice.concurrent,
             parts=1 + len(choice.parts),
             pace=round(choice.pace, 2),
             first=None if first is None else first - started,
@@ -381,11 +391,11 @@
         )
 
 
-def _stall_limits(job: Job, choice: Choice) -> StallLimits:
+def _stall_limits(job: RoutedRequest, choice: Selection) -> StallTimeouts:
     """Return the silence after which a worker is asked whether it lives."""
-    route = job.matched.route
+    route = job.match.route
     if route.kind is not RequestKind.STREAM:
-        return StallLimits(job.deadline, job.deadline)
+        return StallTimeouts(job.deadline, job.deadline)
     later = max(_LEAST_STALL, _STALL_PAUSES * route.target_pause)
     first = _FIRST_STALL + int(_STALL_TARGETS * route.target_latency)
-    return StallLimits(first + 2 * choice.first_in, later)
+    return StallTimeouts(first + 2 * choice.first_event_in, later)
--- a/verbenathread/gateway/handler.py
+++ b/verbenathread/gateway/handler.py
@@ -5,14 +5,14 @@
 from typing import Final
 
 from verbenathread.clock import seconds
-from verbenathread.gateway.exchange import Exchange, Job
-from verbenathread.gateway.parts import Parts
+from verbenathread.gateway.context import GatewayContext
+from verbenathread.gateway.exchange import Exchange, RoutedRequest
 from verbenathread.http1.messages import Request
 from verbenathread.http1.reply import Reply
 from verbenathread.observability.logs import get_logger
 from verbenathread.serving.dialect import BadRequest, CallerRequest
 from verbenathread.serving.routes import (
-    Matched,
+    RouteMatch,
     UnknownKey,
     UnknownRoute,
     pick_service,
@@ -45,14 +45,14 @@
 class GatewayHandler:
     """Answers callers."""
 
-    def __init__(self, parts: Parts) -> None:
+    def __init__(self, parts: GatewayContext) -> None:
         """Serve with ``parts``."""
         self._parts = parts
 
     async def handle(self, request: Request, reply: Reply) -> None:
         """Answer one request."""
         parts = self._parts
-        caller = parts.dialect.read_request(request)
+        caller = parts.dialect.parse_request(request)
         if isinstance(caller, BadRequest):
             self._refuse('', _BAD_REQUEST, caller.message, reply)
             return
@@ -69,12 +69,12 @@
             )
             return
         matched = table.match(caller.host, caller.path, caller.key)
-        if not isinstance(matched, Matched):
+        if not isinstance(matched, RouteMatch):
             status, message = _REFUSAL_BY_TYPE[type(matched)]
             self._refuse(caller.attempt_id, status, message, reply)
             return
         job = self._job(request, caller, matched)
-        parts.budget.note_request(job.service.name, request.arrived)
+        parts.retry_budget.record_request(job.service.name, request.arrived)
         await Exchange(parts, job, reply).run()
 
     async def _wait_for_config(
@@ -90,8 +90,8 @@
             await asyncio.sleep(seconds(_LOOK_EVERY))
 
     def _job(
-        self, request: Request, caller: CallerRequest, matched: Matched
-    ) -> Job:
+        self, request: Request, caller: CallerRequest, matched: RouteMatch
+    ) -> RoutedRequest:
         table = self._parts.view.table
         assert table is not None
         route = matched.route
@@ -101,7 +101,9 @@
         limit = route.time_limit
         if caller.time_left is not None:
             limit = min(limit, caller.time_left)
-        return Job(request, caller, matched, service, request.arrived + limit)
+        return RoutedRequest(
+            request, caller, matched, service, request.arrived + limit
+        )
 
     def _refuse(
         self,
@@ -112,7 +114,7 @@
         retry_after: Millis | None = None,
     ) -> None:
         parts = self._parts
-        parts.measures.requests.labels('rejected').inc()
+        parts.metrics.requests.labels('rejected').inc()
         _log.info(
             'A request is rejected.',
             request_id=attempt_id,
--- a/verbenathread/gateway/measures.py
+++ b/verbenathread/gateway/metrics.py
@@ -5,7 +5,7 @@
 _SECONDS = (0.025, 0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 1, 1.5, 2.5, 5, 10)
 
 
-class GatewayMeasures:
+class GatewayMetrics:
     """What one gateway counts."""
 
     def __init__(self) -> None:
--- a/verbenathread/gateway/notices.py
+++ b/verbenathread/gateway/notices.py
@@ -9,7 +9,7 @@
 from google.protobuf.message import DecodeError
 
 from verbenathread.clock import Clock
-from verbenathread.gateway.view import View
+from verbenathread.gateway.view import ClusterView
 from verbenathread.observability.logs import get_logger
 from verbenathread.scheduling.outliers import OutlierTracker
 from verbenathread.schema import directory_pb2 as messages
@@ -20,13 +20,13 @@
 _PERCENT = 100
 
 
-class Notices(asyncio.DatagramProtocol):
+class GatewayNotices(asyncio.DatagramProtocol):
     """Sends and takes notices."""
 
     def __init__(
         self,
         me: Peer,
-        view: View,
+        view: ClusterView,
         fleet: FleetLoad,
         outliers: OutlierTracker,
         clock: Clock,
@@ -51,7 +51,9 @@
         if self._transport is not None:
             self._transport.close()
 
-    def sent(self, worker_id: str, send: Send, target_latency: Millis) -> None:
+    def announce_send(
+        self, worker_id: str, send: Send, target_latency: Millis
+    ) -> None:
         """Tell of a send."""
         self._tell(
             messages.SendNotice(
@@ -63,14 +65,15 @@
                 target_latency=target_latency,
                 parts=[
                     messages.PromptPart(
-                        worker_id=part.worker_id, held_tokens=part.held_tokens
+                        worker_id=part.worker_id,
+                        held_tokens=part.reserved_tokens,
                     )
                     for part in send.parts
                 ],
             )
         )
 
-    def ended(self, worker_id: str, send_id: str) -> None:
+    def announce_end(self, worker_id: str, send_id: str) -> None:
         """Tell of its end."""
         self._tell(
             messages.SendNotice(
@@ -78,16 +81,16 @@
             )
         )
 
-    def reported(self, worker_id: str, pace: float) -> None:
+    def on_pace(self, worker_id: str, pace: float) -> None:
         """Take an engine's pace, and tell of it."""
-        self._fleet.note_pace(worker_id, pace)
+        self._fleet.record_pace(worker_id, pace)
         self._tell_report(
             messages.ReportNotice(
                 worker_id=worker_id, pace=int(pace * _PERCENT)
             )
         )
 
-    def silent(self, worker_id: str) -> None:
+    def on_unresponsive(self, worker_id: str) -> None:
         """Put an engine aside that does not answer, and tell of it."""
         self._note_silent(worker_id)
         self._tell_report(
@@ -113,7 +116,7 @@
         if notice.HasField('report'):
             self._take_report(notice.report)
         elif notice.send.ended:
-            self._fleet.note_end(
+            self._fleet.record_end(
                 notice.send.worker_id, notice.send.send_id, self._clock.now()
             )
         else:
@@ -123,7 +126,7 @@
         if report.silent:
             self._note_silent(report.worker_id)
         else:
-            self._fleet.note_pace(report.worker_id, report.pace / _PERCENT)
+            self._fleet.record_pace(report.worker_id, report.pace / _PERCENT)
 
     def _note_silent(self, worker_id: str) -> None:
         self._outliers.put_aside_now(worker_id, self._clock.now())
@@ -148,7 +151,7 @@
                 for part in notice.parts
             ),
         )
-        self._fleet.note_send(notice.worker_id, spec.engine, send, now)
+        self._fleet.record_send(notice.worker_id, spec.engine, send, now)
 
     def _tell(self, send: messages.SendNotice) -> None:
         self._tell_all(messages.Notice(send=send))
@@ -160,6 +163,6 @@
         if self._transport is None:
             return
         content = notice.SerializeToString()
-        for peer in self._view.told:
+        for peer in self._view.notice_targets:
             if peer.node_id != self._me.node_id:
                 self._transport.sendto(content, tuple(peer.address))
--- a/verbenathread/gateway/pool.py
+++ b/verbenathread/gateway/pool.py
@@ -19,7 +19,7 @@
         self._clock = clock
         self._idle_by_id: dict[str, list[ClientConnection]] = {}
 
-    async def take(self, worker: Worker, left: Millis) -> ClientConnection:
+    async def acquire(self, worker: Worker, left: Millis) -> ClientConnection:
         """Return a connection that stands; raises OSError, TimeoutError."""
         idle = self._idle_by_id.get(worker.worker_id, [])
         now = self._clock.now()
@@ -32,7 +32,7 @@
             worker.address, self._clock, min(left, _CONNECT_LIMIT)
         )
 
-    def give_back(self, worker: Worker, connection: ClientConnection) -> None:
+    def release(self, worker: Worker, connection: ClientConnection) -> None:
         """Keep a connection whose exchange ended cleanly, else close it."""
         idle = self._idle_by_id.setdefault(worker.worker_id, [])
         usable = connection.is_reusable(self._clock.now())
@@ -41,7 +41,7 @@
         else:
             connection.close()
 
-    def sweep(self) -> None:
+    def close_expired(self) -> None:
         """Close connections that the worker will close soon."""
         now = self._clock.now()
         for worker_id, idle in tuple(self._idle_by_id.items()):
@@ -55,7 +55,7 @@
             if not kept:
                 self._idle_by_id.pop(worker_id)
 
-    def keep_only(self, worker_ids: frozenset[str]) -> None:
+    def retain(self, worker_ids: frozenset[str]) -> None:
         """Close the connections to workers that are gone."""
         for worker_id in tuple(self._idle_by_id):
             if worker_id not in worker_ids:
--- a/verbenathread/gateway/reports.py
+++ b/verbenathread/gateway/probing.py
@@ -9,8 +9,8 @@
 from typing import Protocol
 
 from verbenathread.clock import seconds
-from verbenathread.gateway.view import View
-from verbenathread.gateway.worker_call import Caller
+from verbenathread.gateway.view import ClusterView
+from verbenathread.gateway.worker_client import WorkerClient
 from verbenathread.membership.hashing import Preferences
 from verbenathread.observability.logs import get_logger
 from verbenathread.serving.dialect import Dialect
@@ -20,33 +20,33 @@
 _log = get_logger('gateway')
 
 # A worker tells of its load from memory, also while it reads.
-PROBE_LIMIT: Millis = 350
+PROBE_TIMEOUT: Millis = 350
 # A slow engine is found within about this time; each question is billed.
 _ASK_EVERY: Millis = 1000
 # Unanswered questions in a row that make an engine silent.
 _MISSES = 2
 
 
-class Listener(Protocol):
+class ProbeListener(Protocol):
     """Hears of engines."""
 
-    def reported(self, worker_id: str, pace: float) -> None:
+    def on_pace(self, worker_id: str, pace: float) -> None:
         """Take an engine's pace."""
 
-    def silent(self, worker_id: str) -> None:
+    def on_unresponsive(self, worker_id: str) -> None:
         """Note that an engine does not answer."""
 
 
-class Reports:
+class LoadProber:
     """Asks the engines that this gateway is preferred for."""
 
     def __init__(
         self,
         node_id: NodeId,
-        view: View,
-        caller: Caller,
+        view: ClusterView,
+        caller: WorkerClient,
         dialect: Dialect,
-        listeners: Iterable[Listener],
+        listeners: Iterable[ProbeListener],
     ) -> None:
         """Tell ``listeners`` what the engines of ``view`` say."""
         self._node_id = node_id
@@ -86,16 +86,16 @@
     async def _ask(self, worker: Worker) -> None:
         worker_id = worker.worker_id
         call = self._dialect.probe_call(worker_id)
-        answer = await self._caller.call(worker, call, PROBE_LIMIT)
+        answer = await self._caller.call(worker, call, PROBE_TIMEOUT)
         if answer is None:
             misses = self._misses_by_id.get(worker_id, 0) + 1
             self._misses_by_id[worker_id] = misses
             if misses >= _MISSES:
                 _log.warning('An engine is silent.', worker=worker_id)
-                self._tell(lambda one: one.silent(worker_id))
+                self._tell(lambda one: one.on_unresponsive(worker_id))
             return
         self._misses_by_id.pop(worker_id, None)
-        report = self._dialect.read_report(answer.body)
+        report = self._dialect.parse_load_report(answer.body)
         if report is None:
             _log.warning('A report can not be read.', worker=worker_id)
             return
@@ -103,8 +103,8 @@
         self._pace_by_id[worker_id] = report.pace
         if report.pace != before:
             _log.info('A pace changed.', worker=worker_id, pace=report.pace)
-            self._tell(lambda one: one.reported(worker_id, report.pace))
+            self._tell(lambda one: one.on_pace(worker_id, report.pace))
 
-    def _tell(self, say: Callable[[Listener], None]) -> None:
+    def _tell(self, say: Callable[[ProbeListener], None]) -> None:
         for listener in self._listeners:
             say(listener)
--- a/verbenathread/gateway/reservations.py
+++ b/verbenathread/gateway/reservations.py
@@ -11,9 +11,13 @@
 from typing import Any, NamedTuple
 
 from verbenathread.clock import Clock, seconds
-from verbenathread.gateway.worker_call import Caller
+from verbenathread.gateway.worker_client import WorkerClient
 from verbenathread.observability.logs import get_logger
-from verbenathread.serving.dialect import Call, Dialect, ReservationAnswer
+from verbenathread.serving.dialect import (
+    Dialect,
+    ReservationResponse,
+    WorkerCall,
+)
 from verbenathread.serving.types import Worker
 from verbenathread.types import Millis
 
@@ -28,30 +32,36 @@
 _RELEASE_STEP: Millis = 1000
 
 
-class Share(NamedTuple):
+class MemoryShare(NamedTuple):
     """Memory wanted at one worker."""
 
     worker: Worker
     tokens: int
 
 
-class Reserved:
+class Reservation:
     """Memory that is set aside under one id at several workers."""
 
-    def __init__(self, reservation_id: str, shares: Sequence[Share]) -> None:
+    def __init__(
+        self, reservation_id: str, shares: Sequence[MemoryShare]
+    ) -> None:
         """Hold ``shares``."""
         self.reservation_id = reservation_id
         self.shares = tuple(shares)
         # Workers that left a call unanswered.
-        self.unsure: set[str] = set()
+        self.unconfirmed: set[str] = set()
         self.renewal: asyncio.Task[None] | None = None
 
 
-class Reservations:
+class ReservationManager:
     """Sets memory aside and frees it."""
 
     def __init__(
-        self, caller: Caller, dialect: Dialect, clock: Clock, lease: Millis
+        self,
+        caller: WorkerClient,
+        dialect: Dialect,
+        clock: Clock,
+        lease: Millis,
     ) -> None:
         """Grant each reservation ``lease`` ms at a time."""
         self._caller = caller
@@ -61,10 +71,10 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def reserve(
-        self, reservation_id: str, shares: Sequence[Share]
-    ) -> Reserved | Worker:
+        self, reservation_id: str, shares: Sequence[MemoryShare]
+    ) -> Reservation | Worker:
         """Set all shares aside, or none and return the worker that won't."""
-        reserved = Reserved(reservation_id, shares)
+        reserved = Reservation(reservation_id, shares)
         answers = await asyncio.gather(
             *(self._ask(reserved, share) for share in shares)
         )
@@ -75,14 +85,14 @@
         reserved.renewal = self._spawn(self._renew(reserved))
         return reserved
 
-    def release(self, reserved: Reserved) -> None:
+    def release(self, reserved: Reservation) -> None:
         """Free everything; goes on in the background until it is sure."""
         if reserved.renewal is not None:
             reserved.renewal.cancel()
         for share in reserved.shares:
             self._spawn(self._free(reserved, share.worker))
 
-    def count(self) -> int:
+    def task_count(self) -> int:
         """Return how many tasks look after reservations."""
         return len(self._tasks)
 
@@ -93,7 +103,9 @@
         for task in tuple(self._tasks):
             task.cancel()
 
-    async def _ask(self, reserved: Reserved, share: Share) -> ReservationAnswer:
+    async def _ask(
+        self, reserved: Reservation, share: MemoryShare
+    ) -> ReservationResponse:
         call = self._dialect.reserve_call(
             share.worker.worker_id,
             reserved.reservation_id,
@@ -102,14 +114,14 @@
         )
         return await self._call(reserved, share.worker, call)
 
-    async def _renew(self, reserved: Reserved) -> None:
+    async def _renew(self, reserved: Reservation) -> None:
         while True:
             await asyncio.sleep(seconds(self._lease // _RENEWALS))
             await asyncio.gather(
                 *(self._ask(reserved, share) for share in reserved.shares)
             )
 
-    async def _free(self, reserved: Reserved, worker: Worker) -> None:
+    async def _free(self, reserved: Reservation, worker: Worker) -> None:
         call = self._dialect.release_call(
             worker.worker_id, reserved.reservation_id
         )
@@ -117,20 +129,20 @@
         while True:
             answer = await self._call(reserved, worker, call)
             free = answer.done or answer.refused
-            if free and worker.worker_id not in reserved.unsure:
+            if free and worker.worker_id not in reserved.unconfirmed:
                 return
             if self._clock.now() >= until:
                 return
             await asyncio.sleep(seconds(_RELEASE_STEP))
 
     async def _call(
-        self, reserved: Reserved, worker: Worker, call: Call
-    ) -> ReservationAnswer:
+        self, reserved: Reservation, worker: Worker, call: WorkerCall
+    ) -> ReservationResponse:
         answered = await self._caller.call(worker, call, _CALL_LIMIT)
         if answered is None:
-            reserved.unsure.add(worker.worker_id)
+            reserved.unconfirmed.add(worker.worker_id)
         status = 0 if answered is None else answered.status
-        answer = self._dialect.read_reservation(status)
+        answer = self._dialect.parse_reservation_response(status)
         if not answer.done:
             _log.info(
                 'A worker did not do as asked.',
--- a/verbenathread/gateway/choosing.py
+++ b/verbenathread/gateway/selection.py
@@ -4,13 +4,16 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from verbenathread.gateway.parts import Parts
-from verbenathread.gateway.reservations import Reserved, Share
+from verbenathread.gateway.context import GatewayContext
+from verbenathread.gateway.reservations import MemoryShare, Reservation
 from verbenathread.http1.messages import ResponseHead
-from verbenathread.serving.dialect import CallerRequest, Holder
+from verbenathread.serving.dialect import CallerRequest, Helper
+from verbenathread.serving.estimates import (
+    LONG_PROMPT_TOKENS,
+    GenerationRequest,
+)
 from verbenathread.serving.fleet_load import PromptPart, Send
-from verbenathread.serving.placement import NoRoom, Placed, place
-from verbenathread.serving.survey import LONG_TOKENS, Wanted
+from verbenathread.serving.placement import NoCapacity, Placement, place
 from verbenathread.serving.types import Prompt, Route, ServiceSpec, Worker
 from verbenathread.types import Millis
 
@@ -33,21 +36,21 @@
 _SOON: Millis = 100
 
 
-class Choice(NamedTuple):
+class Selection(NamedTuple):
     """A worker for one send."""
 
     worker: Worker
-    urgency: int | None
+    priority: int | None
     # Forecast of ms to the first event; 0 for a plain service.
-    first_in: Millis = 0
+    first_event_in: Millis = 0
     # Requests already there, and its pace, when it was chosen.
-    beside: int = 0
+    concurrent: int = 0
     pace: float = 1
     parts: tuple[PromptPart, ...] = ()
-    holders: Sequence[Holder] = ()
+    helpers: Sequence[Helper] = ()
 
 
-class Refused(NamedTuple):
+class Refusal(NamedTuple):
     """No worker will do, and when the caller should come back."""
 
     reason: str
@@ -57,19 +60,19 @@
     free_in: Millis | None = None
 
 
-class Noted(NamedTuple):
+class SendRecord(NamedTuple):
     """What was noted of a send, to be taken back at its end."""
 
     send_id: str
     started: Millis
 
 
-class Chooser:
+class WorkerSelector:
     """Chooses for one request."""
 
     def __init__(
         self,
-        parts: Parts,
+        parts: GatewayContext,
         service: ServiceSpec,
         caller: CallerRequest,
         route: Route,
@@ -81,20 +84,20 @@
         self._route = route
         self._excluded: set[str] = set()
         self._sends = 0
-        self._waiting: asyncio.Task[Placed | None] | None = None
+        self._waiting: asyncio.Task[Placement | None] | None = None
         self._due = parts.clock.now() + route.target_latency
 
     def exclude(self, worker: Worker) -> None:
         """Send nothing more to this worker."""
         self._excluded.add(worker.worker_id)
 
-    def exclude_at(self, address: str) -> None:
+    def exclude_address(self, address: str) -> None:
         """Send nothing more to the worker at an address."""
         for worker in self._parts.view.workers(self._service.name):
             if address in {str(worker.address), worker.worker_id}:
                 self.exclude(worker)
 
-    def is_misplaced(self, head: ResponseHead) -> bool:
+    def is_misdirected(self, head: ResponseHead) -> bool:
         """Tell whether a refusal says that another worker answers there."""
         return head.status == _MISDIRECTED
 
@@ -103,43 +106,43 @@
         if self._waiting is not None:
             self._waiting.cancel()
 
-    async def choose(self, left: Millis) -> Choice | Refused:
+    async def select(self, left: Millis) -> Selection | Refusal:
         """Return the worker to send to, perhaps after a wait."""
         if self._service.engine is None or self._caller.prompt is None:
             return self._choose_plain()
         found = self._place()
-        if isinstance(found, Placed):
+        if isinstance(found, Placement):
             return self._choice(found)
         count = len(self._candidates())
         free_in = found.free_in
         if not count:
-            return Refused('no worker is known', _COME_BACK)
+            return Refusal('no worker is known', _COME_BACK)
         if free_in is None:
-            return Refused('the prompt fits no worker', _COME_BACK, count)
+            return Refusal('the prompt fits no worker', _COME_BACK, count)
         patience = int(left * _PATIENCE)
         if free_in > patience:
-            return Refused('every worker is full', free_in, count, free_in)
+            return Refusal('every worker is full', free_in, count, free_in)
         placed = await self._wait(patience)
         if placed is None:
-            return Refused('every worker is full', _SOON, count, free_in)
+            return Refusal('every worker is full', _SOON, count, free_in)
         return self._choice(placed)
 
-    async def reserve(self, choice: Choice) -> Reserved | None:
+    async def reserve(self, choice: Selection) -> Reservation | None:
         """Set the memory aside that the choice needs; None if that fails."""
         shares = []
         for part in choice.parts:
             worker = self._parts.view.worker_by_id.get(part.worker_id)
-            if part.held_tokens and worker is not None:
-                shares.append(Share(worker, part.held_tokens))
+            if part.reserved_tokens and worker is not None:
+                shares.append(MemoryShare(worker, part.reserved_tokens))
         reserved = await self._parts.reservations.reserve(
             self._reservation_id(), shares
         )
-        if isinstance(reserved, Reserved):
+        if isinstance(reserved, Reservation):
             return reserved
         self.exclude(reserved)
         return None
 
-    def note_send(self, choice: Choice) -> Noted:
+    def record_send(self, choice: Selection) -> SendRecord:
         """Count a send, here and at the other gateways."""
         parts = self._parts
         now = parts.clock.now()
@@ -148,8 +151,8 @@
         engine = self._service.engine
         prompt = self._caller.prompt
         if engine is None or prompt is None:
-            parts.plain.note_call(choice.worker.worker_id)
-            return Noted(send_id, now)
+            parts.plain_balancer.record_start(choice.worker.worker_id)
+            return SendRecord(send_id, now)
         send = Send(
             send_id,
             prompt.tokens,
@@ -159,37 +162,39 @@
             parts=choice.parts,
         )
         worker_id = choice.worker.worker_id
-        parts.fleet.note_send(worker_id, engine, send, now)
-        parts.notices.sent(worker_id, send, max(0, self._due - now))
-        return Noted(send_id, now)
+        parts.fleet.record_send(worker_id, engine, send, now)
+        parts.notices.announce_send(worker_id, send, max(0, self._due - now))
+        return SendRecord(send_id, now)
 
-    def note_first(self, choice: Choice, first_in: Millis) -> None:
+    def record_first_event(self, choice: Selection, actual: Millis) -> None:
         """Compare the first event with its forecast."""
         if choice.parts or self._service.engine is None:
             return
         load = self._parts.fleet.load(choice.worker.worker_id)
         now = self._parts.clock.now()
-        load.note_first(choice.first_in, first_in, now)
+        load.record_first_event(choice.first_event_in, actual, now)
 
-    def note_end(self, choice: Choice, noted: Noted) -> None:
+    def record_end(self, choice: Selection, noted: SendRecord) -> None:
         """Take the count back."""
         parts = self._parts
         now = parts.clock.now()
         worker_id = choice.worker.worker_id
         if self._service.engine is None or self._caller.prompt is None:
-            parts.plain.note_end(worker_id, now - noted.started, now)
+            parts.plain_balancer.record_end(worker_id, now - noted.started, now)
             return
-        parts.fleet.note_end(worker_id, noted.send_id, now)
-        parts.notices.ended(worker_id, noted.send_id)
-        parts.room.look_again()
+        parts.fleet.record_end(worker_id, noted.send_id, now)
+        parts.notices.announce_end(worker_id, noted.send_id)
+        parts.queue.wake()
 
-    def _choose_plain(self) -> Choice | Refused:
+    def _choose_plain(self) -> Selection | Refusal:
         parts = self._parts
         now = parts.clock.now()
-        worker = parts.plain.choose(self._candidates(), parts.data_centre, now)
+        worker = parts.plain_balancer.choose(
+            self._candidates(), parts.data_centre, now
+        )
         if worker is None:
-            return Refused('no worker is known', _SOON)
-        return Choice(worker, None)
+            return Refusal('no worker is known', _SOON)
+        return Selection(worker, None)
 
     def _candidates(self) -> list[Worker]:
         """Return the workers to choose from, the sound ones if any are."""
@@ -206,13 +211,13 @@
                 sound.append(worker)
         return sound or others
 
-    def _place(self) -> Placed | NoRoom:
+    def _place(self) -> Placement | NoCapacity:
         parts = self._parts
         engine = self._service.engine
         now = parts.clock.now()
         if engine is None:
-            return NoRoom(None)
-        wanted = Wanted(
+            return NoCapacity(None)
+        wanted = GenerationRequest(
             self._prompt(),
             max(0, self._due - now),
             self._route.target_pause,
@@ -225,11 +230,11 @@
             self._candidates(),
             parts.fleet,
             now,
-            parts.view.chooser(now),
+            parts.view.placing_gateway(now),
         )
 
-    async def _wait(self, limit: Millis) -> Placed | None:
-        room = self._parts.room
+    async def _wait(self, limit: Millis) -> Placement | None:
+        room = self._parts.queue
         self._waiting = asyncio.create_task(
             room.wait(self._due, self._place, limit)
         )
@@ -240,30 +245,30 @@
         finally:
             self._waiting = None
 
-    def _choice(self, placed: Placed) -> Choice:
+    def _choice(self, placed: Placement) -> Selection:
         load = self._parts.fleet.load(placed.worker.worker_id)
         urgency = _URGENT
-        if self._prompt().tokens > LONG_TOKENS:
+        if self._prompt().tokens > LONG_PROMPT_TOKENS:
             urgency = _USUAL
-        return Choice(
+        return Selection(
             placed.worker,
             urgency,
-            placed.first_in,
+            placed.first_event_in,
             len(load.send_by_id),
             load.pace,
             placed.parts,
             self._holders(placed.parts),
         )
 
-    def _holders(self, parts: Sequence[PromptPart]) -> list[Holder]:
+    def _holders(self, parts: Sequence[PromptPart]) -> list[Helper]:
         """Return the addresses of the workers that read or hold a part."""
         holders = []
         for part in parts:
             worker = self._parts.view.worker_by_id.get(part.worker_id)
             if worker is None:
                 continue
-            ticket = self._reservation_id() if part.held_tokens else ''
-            holders.append(Holder(worker.address, ticket))
+            ticket = self._reservation_id() if part.reserved_tokens else ''
+            holders.append(Helper(worker.address, ticket))
         return holders
 
     def _reservation_id(self) -> str:
--- a/verbenathread/gateway/view.py
+++ b/verbenathread/gateway/view.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Iterable
 
 from verbenathread.observability.logs import get_logger
-from verbenathread.serving.placement import Chooser
+from verbenathread.serving.placement import PlacingGateway
 from verbenathread.serving.routes import RouteTable
 from verbenathread.serving.types import ServingConfig, Worker, WorkerState
 from verbenathread.types import Address, Millis, Peer
@@ -20,7 +20,7 @@
 _WorkersListener = Callable[[frozenset[str]], None]
 
 
-class View:
+class ClusterView:
     """The newest that the directory told."""
 
     def __init__(self, node_id: str = '') -> None:
@@ -30,13 +30,13 @@
         self.directory: tuple[Peer, ...] = ()
         self.gateways: tuple[Peer, ...] = ()
         # The gateways that are told of sends: those listed, now or recently.
-        self.told: tuple[Peer, ...] = ()
+        self.notice_targets: tuple[Peer, ...] = ()
         self._listed_at_by_peer: dict[Peer, Millis] = {}
         # True while a leader that a quorum follows feeds this view.
         self.is_fresh = False
         # Monotonic times at which it was fed first and last.
-        self.fed_first: Millis | None = None
-        self.fed_at: Millis = 0
+        self.first_update_at: Millis | None = None
+        self.updated_at: Millis = 0
         self.on_config: list[_ConfigListener] = []
         self.on_workers: list[_WorkersListener] = []
         self._workers_by_service: dict[str, tuple[Worker, ...]] = {}
@@ -49,7 +49,7 @@
         """Return the version in force here; 0 for none."""
         return 0 if self.table is None else self.table.config.version
 
-    def take_config(self, config: ServingConfig) -> None:
+    def apply_config(self, config: ServingConfig) -> None:
         """Bring a configuration in force, unless it is older."""
         if config.version <= self.config_version:
             return
@@ -62,7 +62,7 @@
         for notify in self.on_config:
             notify(config)
 
-    def take_workers(self, workers: Iterable[Worker]) -> None:
+    def apply_workers(self, workers: Iterable[Worker]) -> None:
         """Replace the workers by those that the directory lists."""
         before = self.worker_by_id
         self.worker_by_id = {one.worker_id: one for one in workers}
@@ -78,14 +78,15 @@
             if worker_id not in self.worker_by_id:
                 _log.info('A worker is gone.', worker=worker_id)
         self._misplaced.intersection_update(
-            (one.worker_id, one.born) for one in self.worker_by_id.values()
+            (one.worker_id, one.started_at)
+            for one in self.worker_by_id.values()
         )
         self._index()
         known = frozenset(self.worker_by_id)
         for notify in self.on_workers:
             notify(known)
 
-    def take_nodes(
+    def apply_nodes(
         self,
         directory: tuple[Peer, ...],
         gateways: tuple[Peer, ...],
@@ -99,33 +100,33 @@
             self._listed_at_by_peer[peer] = now
         self.directory = directory
         self.gateways = gateways
-        self.forget_unlisted(now)
+        self.expire_unlisted(now)
 
-    def forget_unlisted(self, now: Millis) -> None:
+    def expire_unlisted(self, now: Millis) -> None:
         """Tell gateways no more that were not listed for long."""
         for peer, listed_at in tuple(self._listed_at_by_peer.items()):
             if peer not in self.gateways and now - listed_at > _TOLD_FOR:
                 self._listed_at_by_peer.pop(peer)
-        self.told = tuple(self._listed_at_by_peer)
+        self.notice_targets = tuple(self._listed_at_by_peer)
 
-    def misplaced(self, worker: Worker) -> None:
+    def mark_misdirected(self, worker: Worker) -> None:
         """Note that another worker answers at this one's address."""
         _log.warning('Another worker answers.', worker=worker.worker_id)
-        self._misplaced.add((worker.worker_id, worker.born))
+        self._misplaced.add((worker.worker_id, worker.started_at))
         self._index()
 
-    def note_fed(self, now: Millis) -> None:
+    def record_update(self, now: Millis) -> None:
         """Note that a leader fed this view."""
         self.is_fresh = True
-        self.fed_at = now
-        if self.fed_first is None:
-            self.fed_first = now
+        self.updated_at = now
+        if self.first_update_at is None:
+            self.first_update_at = now
 
-    def chooser(self, now: Millis) -> Chooser:
+    def placing_gateway(self, now: Millis) -> PlacingGateway:
         """Return who chooses; blind while it knows no loads yet."""
-        first = self.fed_first
+        first = self.first_update_at
         is_blind = first is None or now - first < _BLIND_FOR
-        return Chooser(self._node_id, is_blind)
+        return PlacingGateway(self._node_id, is_blind)
 
     def workers(self, service: str) -> tuple[Worker, ...]:
         """Return the workers that take new requests of a service."""
@@ -136,7 +137,7 @@
         for worker in self.worker_by_id.values():
             if worker.state is not WorkerState.READY:
                 continue
-            if (worker.worker_id, worker.born) in self._misplaced:
+            if (worker.worker_id, worker.started_at) in self._misplaced:
                 continue
             found.setdefault(worker.service, []).append(worker)
         self._workers_by_service = {
@@ -144,6 +145,6 @@
         }
 
 
-def peer_at(node_id: str, host: str, port: int) -> Peer:
+def make_peer(node_id: str, host: str, port: int) -> Peer:
     """Return a node and its address."""
     return Peer(node_id, Address(host, port))
--- a/verbenathread/gateway/watch.py
+++ b/verbenathread/gateway/watch.py
@@ -11,7 +11,7 @@
 from verbenathread.directory.machine import worker_of
 from verbenathread.directory.seeds import SeedFile
 from verbenathread.exceptions import SettingsError
-from verbenathread.gateway.view import View, peer_at
+from verbenathread.gateway.view import ClusterView, make_peer
 from verbenathread.observability.logs import get_logger
 from verbenathread.rpc_channel import BROKEN_CALL, PeerChannel
 from verbenathread.schema import directory_pb2 as messages
@@ -38,7 +38,7 @@
 
     def __init__(
         self,
-        view: View,
+        view: ClusterView,
         seeds: SeedFile,
         me: Peer,
         read_config: Callable[[bytes], ServingConfig],
@@ -66,7 +66,7 @@
             if hint is None:
                 await asyncio.sleep(seconds(self._pause()))
 
-    def note_silent(self, address: Address) -> None:
+    def mark_unresponsive(self, address: Address) -> None:
         """Ask this process after all others."""
         self._silent.add(address)
 
@@ -108,7 +108,7 @@
         try:
             return await self._read(channel, address)
         except BROKEN_CALL as error:
-            self.note_silent(address)
+            self.mark_unresponsive(address)
             if isinstance(error, TimeoutError):
                 self._timeouts = min(_MOST_TIMEOUTS, self._timeouts + 1)
             if self._view.is_fresh:
@@ -143,7 +143,7 @@
                 return _leader_of(update)
             if not self._view.is_fresh:
                 _log.info('The directory feeds us.', address=str(address))
-            self._view.note_fed(self._clock.now())
+            self._view.record_update(self._clock.now())
             self._take(update)
             self._silent.discard(address)
             self._timeouts = 0
@@ -153,11 +153,11 @@
         if update.config:
             self._take_config(update.config)
         if update.HasField('workers'):
-            self._view.take_workers(
+            self._view.apply_workers(
                 worker_of(entry) for entry in update.workers.workers
             )
         if update.HasField('fleet'):
-            self._view.take_nodes(
+            self._view.apply_nodes(
                 _peers(update.fleet.directory),
                 _peers(update.fleet.gateways),
                 self._clock.now(),
@@ -169,7 +169,7 @@
         except (SettingsError, zlib.error) as error:
             _log.error('The configuration is unusable.', reason=str(error))
             return
-        self._view.take_config(config)
+        self._view.apply_config(config)
 
 
 def _leader_of(update: messages.WatchUpdate) -> Address | None:
@@ -179,4 +179,6 @@
 
 
 def _peers(nodes: Iterable[messages.NodeAddress]) -> tuple[Peer, ...]:
-    return tuple(peer_at(node.node_id, node.host, node.port) for node in nodes)
+    return tuple(
+        make_peer(node.node_id, node.host, node.port) for node in nodes
+    )
--- a/verbenathread/gateway/worker_call.py
+++ b/verbenathread/gateway/worker_client.py
@@ -7,30 +7,30 @@
 from verbenathread.gateway.pool import ConnectionPool
 from verbenathread.http1.client import Ending
 from verbenathread.http1.messages import ResponseHead, write_request
-from verbenathread.serving.dialect import Call
+from verbenathread.serving.dialect import WorkerCall
 from verbenathread.serving.types import Worker
 from verbenathread.types import Millis
 
 _LEAST_STATUS = 200
 
 
-class CallAnswer(NamedTuple):
+class CallResponse(NamedTuple):
     """Status and body."""
 
     status: int
     body: bytes
 
 
-class Caller(Protocol):
+class WorkerClient(Protocol):
     """Calls workers."""
 
     async def call(
-        self, worker: Worker, call: Call, limit: Millis
-    ) -> CallAnswer | None:
+        self, worker: Worker, call: WorkerCall, limit: Millis
+    ) -> CallResponse | None:
         """Return the answer; None when none came."""
 
 
-class WorkerCaller:
+class PooledWorkerClient:
     """Calls workers over the connections of the pool."""
 
     def __init__(self, pool: ConnectionPool, clock: Clock) -> None:
@@ -39,11 +39,11 @@
         self._clock = clock
 
     async def call(
-        self, worker: Worker, call: Call, limit: Millis
-    ) -> CallAnswer | None:
+        self, worker: Worker, call: WorkerCall, limit: Millis
+    ) -> CallResponse | None:
         """Return the answer; None when none came."""
         try:
-            connection = await self._pool.take(worker, limit)
+            connection = await self._pool.acquire(worker, limit)
         except (OSError, TimeoutError):
             return None
         answer = _Answer()
@@ -56,7 +56,7 @@
         )
         await asyncio.wait((answer.future,), timeout=seconds(limit))
         if answer.future.done():
-            self._pool.give_back(worker, connection)
+            self._pool.release(worker, connection)
             return answer.future.result()
         connection.drop_sink()
         return None
@@ -66,7 +66,7 @@
     """Takes the answer to one call."""
 
     def __init__(self) -> None:
-        self.future: asyncio.Future[CallAnswer | None] = (
+        self.future: asyncio.Future[CallResponse | None] = (
             asyncio.get_running_loop().create_future()
         )
         self._status = 0
@@ -90,6 +90,6 @@
             return
         if ending is Ending.COMPLETE:
             body = b''.join(self._body)
-            self.future.set_result(CallAnswer(self._status, body))
+            self.future.set_result(CallResponse(self._status, body))
         else:
             self.future.set_result(None)
--- a/verbenathread/platform/bodies.py
+++ b/verbenathread/platform/bodies.py
@@ -19,8 +19,8 @@
 
 _KIND_BY_WORD: Final = MappingProxyType(
     {
-        'idempotent': RequestKind.REPEATABLE,
-        'non_idempotent': RequestKind.ONCE,
+        'idempotent': RequestKind.IDEMPOTENT,
+        'non_idempotent': RequestKind.AT_MOST_ONCE,
         'streaming': RequestKind.STREAM,
     }
 )
@@ -99,10 +99,10 @@
         memory_tokens=int(said['kv-capacity-tokens']),
         stride=int(said.get('stride') or 1),
         step_ms=float(said['step_ms']),
-        writer_ms=float(said['per_seq_ms']),
+        sequence_ms=float(said['per_seq_ms']),
         context_ms=float(said['context_per_k']),
-        read_tokens_per_ms=float(said['read_per_s']) / _MS_PER_SECOND,
-        pairs_ms=float(said.get('pairs_per_m') or 0),
+        prefill_tokens_per_ms=float(said['read_per_s']) / _MS_PER_SECOND,
+        attention_ms=float(said.get('pairs_per_m') or 0),
     )
 
 
@@ -124,7 +124,7 @@
         target_latency=int(said.get('target-latency-ms') or 0),
         priority=int(said.get('priority') or 0),
         targets=targets,
-        attempts=max(1, int(said.get('attempts') or 1)),
+        max_attempts=max(1, int(said.get('attempts') or 1)),
         public=bool(said.get('public')),
         resumable=bool(said.get('resumable')),
         target_pause=int(said.get('target-gap-ms') or 0),
--- a/verbenathread/platform/headers.py
+++ b/verbenathread/platform/headers.py
@@ -11,12 +11,12 @@
 )
 from verbenathread.serving.dialect import (
     BadRequest,
-    Call,
     CallerRequest,
-    Onward,
-    Report,
-    ReservationAnswer,
-    WorkerAnswer,
+    ForwardContext,
+    LoadReport,
+    ReservationResponse,
+    WorkerCall,
+    WorkerResponse,
 )
 from verbenathread.serving.types import Prompt
 from verbenathread.types import Millis
@@ -54,7 +54,7 @@
 class PlatformDialect:
     """Reads and writes the platform's headers."""
 
-    def read_request(self, request: Request) -> CallerRequest | BadRequest:
+    def parse_request(self, request: Request) -> CallerRequest | BadRequest:
         """Read a caller's headers."""
         values = request.value_by_name
         attempt_id = values.get(_ATTEMPT, b'').decode('latin-1')
@@ -75,36 +75,36 @@
             return BadRequest('a header that holds a number holds none')
 
     def worker_headers(
-        self, request: Request, onward: Onward
+        self, request: Request, context: ForwardContext
     ) -> list[tuple[bytes, bytes]]:
         """Return the headers with which the request goes to a worker."""
         headers = []
         for name, text in end_to_end(request.headers, request.value_by_name):
             if name.lower() not in _REPLACED:
                 headers.append((name, text))
-        headers.append((b'Deadline-Ms', b'%d' % onward.time_left))
-        headers.append((b'Expect-Instance', onward.worker_id.encode()))
-        if onward.account is not None:
-            headers.append((b'Tenant', onward.account.encode()))
-        if onward.urgency is not None:
-            headers.append((b'Request-Priority', b'%d' % onward.urgency))
-        if onward.last_event_id is not None:
-            headers.append((b'Last-Event-Id', b'%d' % onward.last_event_id))
-        if onward.holders:
-            headers.append((b'Helpers', _holders(onward)))
+        headers.append((b'Deadline-Ms', b'%d' % context.time_left))
+        headers.append((b'Expect-Instance', context.worker_id.encode()))
+        if context.account is not None:
+            headers.append((b'Tenant', context.account.encode()))
+        if context.priority is not None:
+            headers.append((b'Request-Priority', b'%d' % context.priority))
+        if context.last_event_id is not None:
+            headers.append((b'Last-Event-Id', b'%d' % context.last_event_id))
+        if context.helpers:
+            headers.append((b'Helpers', _helpers(context)))
         return headers
 
-    def read_answer(self, head: ResponseHead) -> WorkerAnswer:
+    def parse_response(self, head: ResponseHead) -> WorkerResponse:
         """Read a worker's headers."""
         values = head.value_by_name
-        return WorkerAnswer(
+        return WorkerResponse(
             attempt_id=values.get(_ATTEMPT, b'').decode('latin-1'),
             signed=_SIGNATURE in values,
             not_run=_NOT_RUN in values or head.status == _OTHER_WORKER,
-            at_fault=values.get(_AT_FAULT, b'').decode('latin-1'),
+            faulty_worker=values.get(_AT_FAULT, b'').decode('latin-1'),
         )
 
-    def read_report(self, body: bytes) -> Report | None:
+    def parse_load_report(self, body: bytes) -> LoadReport | None:
         """Read the answer to a probe; None when it can't be read."""
         try:
             return _report(read_object(body))
@@ -113,15 +113,15 @@
         except BAD_BODY:
             return None
 
-    def probe_call(self, worker_id: str) -> Call:
+    def probe_call(self, worker_id: str) -> WorkerCall:
         """Return a call that a living worker answers at once."""
-        return Call(
+        return WorkerCall(
             b'GET', b'/report', ((b'Expect-Instance', worker_id.encode()),), b''
         )
 
     def reserve_call(
         self, worker_id: str, reservation_id: str, tokens: int, lease: Millis
-    ) -> Call:
+    ) -> WorkerCall:
         """Return the call that sets memory aside, or renews its lease."""
         said = {
             'operation': 'reserve',
@@ -131,13 +131,13 @@
         }
         return _order(worker_id, said)
 
-    def release_call(self, worker_id: str, reservation_id: str) -> Call:
+    def release_call(self, worker_id: str, reservation_id: str) -> WorkerCall:
         """Return the call that frees memory that was set aside."""
         return _order(worker_id, {'operation': 'release', 'id': reservation_id})
 
-    def read_reservation(self, status: int) -> ReservationAnswer:
+    def parse_reservation_response(self, status: int) -> ReservationResponse:
         """Read the answer to either call."""
-        return ReservationAnswer(
+        return ReservationResponse(
             done=status == _DONE,
             refused=status in {_CONFLICT, _BAD_ORDER, _OTHER_WORKER},
         )
@@ -159,16 +159,16 @@
         return headers
 
 
-def _order(worker_id: str, said: dict[str, object]) -> Call:
+def _order(worker_id: str, said: dict[str, object]) -> WorkerCall:
     headers = (
         (b'Content-Type', b'application/json'),
         (b'Expect-Instance', worker_id.encode()),
     )
-    return Call(b'POST', b'/order', headers, json.dumps(said).encode())
+    return WorkerCall(b'POST', b'/order', headers, json.dumps(said).encode())
 
 
-def _report(said: dict[str, Any]) -> Report:
-    return Report(
+def _report(said: dict[str, Any]) -> LoadReport:
+    return LoadReport(
         pace=float(said.get('pace', 1)),
     )
 
@@ -193,9 +193,9 @@
     return Prompt(int(tokens), most, most if expected is None else expected)
 
 
-def _holders(onward: Onward) -> bytes:
+def _helpers(context: ForwardContext) -> bytes:
     parts = []
-    for holder in onward.holders:
+    for holder in context.helpers:
         ticket = holder.reservation_id
         parts.append(
             f'{holder.address}/{ticket}' if ticket else f'{holder.address}'
--- a/verbenathread/platform/heartbeats.py
+++ b/verbenathread/platform/heartbeats.py
@@ -54,7 +54,7 @@
     if leaves:
         return Worker(
             worker_id=worker_id,
-            born=born,
+            started_at=born,
             sequence=0,
             state=WorkerState.GONE,
             service=str(said.get('service') or ''),
@@ -64,7 +64,7 @@
         )
     return Worker(
         worker_id=worker_id,
-        born=born,
+        started_at=born,
         sequence=read_integer(said['sequence']),
         state=_STATE_BY_WORD[said['state']],
         service=read_text(said['service']),
--- a/verbenathread/serving/dialect.py
+++ b/verbenathread/serving/dialect.py
@@ -29,7 +29,7 @@
     message: str
 
 
-class Holder(NamedTuple):
+class Helper(NamedTuple):
     """A worker that reads a part of a prompt, and memory set aside there."""
 
     address: Address
@@ -37,20 +37,20 @@
     reservation_id: str
 
 
-class Onward(NamedTuple):
+class ForwardContext(NamedTuple):
     """What a gateway tells a worker beside the caller's own headers."""
 
     worker_id: str
     time_left: Millis
     account: str | None
     # 0 is first; None leaves it to the worker.
-    urgency: int | None
+    priority: int | None
     # Go on after this event of a stream that broke.
     last_event_id: int | None
-    holders: Sequence[Holder] = ()
+    helpers: Sequence[Helper] = ()
 
 
-class WorkerAnswer(NamedTuple):
+class WorkerResponse(NamedTuple):
     """What the headers of a worker's answer say."""
 
     attempt_id: str
@@ -59,10 +59,10 @@
     # The worker did not and will not run the request.
     not_run: bool
     # Address of another worker that is to blame; empty when there is none.
-    at_fault: str = ''
+    faulty_worker: str = ''
 
 
-class Call(NamedTuple):
+class WorkerCall(NamedTuple):
     """A call to a worker that is no caller's request."""
 
     method: bytes
@@ -71,7 +71,7 @@
     body: bytes
 
 
-class ReservationAnswer(NamedTuple):
+class ReservationResponse(NamedTuple):
     """What a worker said to a call about memory that is set aside."""
 
     # The memory is set aside, or free again, as was asked.
@@ -80,7 +80,7 @@
     refused: bool
 
 
-class Report(NamedTuple):
+class LoadReport(NamedTuple):
     """What a worker says of its load; as of some 100 ms before."""
 
     # How much longer than a sound one it needs; 1 is sound.
@@ -90,32 +90,32 @@
 class Dialect(Protocol):
     """Reads and writes headers."""
 
-    def read_request(self, request: Request) -> CallerRequest | BadRequest:
+    def parse_request(self, request: Request) -> CallerRequest | BadRequest:
         """Read a caller's headers."""
 
     def worker_headers(
-        self, request: Request, onward: Onward
+        self, request: Request, context: ForwardContext
     ) -> list[tuple[bytes, bytes]]:
         """Return the headers with which the request goes to a worker."""
 
-    def read_answer(self, head: ResponseHead) -> WorkerAnswer:
+    def parse_response(self, head: ResponseHead) -> WorkerResponse:
         """Read a worker's headers."""
 
-    def read_report(self, body: bytes) -> Report | None:
+    def parse_load_report(self, body: bytes) -> LoadReport | None:
         """Read the answer to a probe; None when it can't be read."""
 
-    def probe_call(self, worker_id: str) -> Call:
+    def probe_call(self, worker_id: str) -> WorkerCall:
         """Return a call that a living worker answers at once."""
 
     def reserve_call(
         self, worker_id: str, reservation_id: str, tokens: int, lease: Millis
-    ) -> Call:
+    ) -> WorkerCall:
         """Return the call that sets memory aside, or renews its lease."""
 
-    def release_call(self, worker_id: str, reservation_id: str) -> Call:
+    def release_call(self, worker_id: str, reservation_id: str) -> WorkerCall:
         """Return the call that frees memory that was set aside."""
 
-    def read_reservation(self, status: int) -> ReservationAnswer:
+    def parse_reservation_response(self, status: int) -> ReservationResponse:
         """Read the answer to either call."""
 
     def caller_headers(self, head: ResponseHead) -> list[tuple[bytes, bytes]]:
--- a/verbenathread/serving/survey.py
+++ b/verbenathread/serving/estimates.py
@@ -20,7 +20,7 @@
 
 # Prompts over this many tokens fill engines from the far end. A prompt of
 # this size reads for about half of the shortest target pause in use, 250 ms.
-LONG_TOKENS = 20_000
+LONG_PROMPT_TOKENS = 20_000
 # Worth of an answer that comes late, as a share of one in time.
 _LATE_SHARE = 0.25
 # An answer is worth a fixed part, and a part by its size: 1.3 at 5 k tokens
@@ -64,7 +64,7 @@
 _WAIT_PER_VALUE = 1000
 
 
-class Wanted(NamedTuple):
+class GenerationRequest(NamedTuple):
     """A generation that looks for an engine."""
 
     prompt: Prompt
@@ -72,16 +72,16 @@
     target_latency: Millis
     target_pause: Millis
     # The caller leaves when nothing came until then.
-    patience: Millis
+    first_event_timeout: Millis
     data_centre: str
 
 
-def value_of(tokens: int) -> float:
+def answer_value(tokens: int) -> float:
     """Return what an answer to a prompt is worth."""
     return _FIXED_VALUE + tokens / TOKENS_PER_VALUE
 
 
-class Offer(NamedTuple):
+class Estimate(NamedTuple):
     """What an engine would do with one part of the prompt."""
 
     worker: Worker
@@ -90,24 +90,28 @@
     # It reads parts for fewer prompts than it has slots.
     can_help: bool
     # When the part is read there, and what the others there would lose.
-    read_in: float
-    harm: float
+    prefill_in: float
+    delay_cost: float
     # A pass there with the new request as one more writer.
-    one_pass: float
+    iteration: float
     # Decides between equals.
-    rank_price: float
+    preference_cost: float
 
-    def price(self) -> float:
+    def helper_cost(self) -> float:
         """Return how dear the engine is as a helper."""
-        return self.harm + self.read_in / _WAIT_PER_VALUE + self.rank_price
+        return (
+            self.delay_cost
+            + self.prefill_in / _WAIT_PER_VALUE
+            + self.preference_cost
+        )
 
 
-class Survey:
+class EngineEstimator:
     """The engines of a service, as one request sees them."""
 
     def __init__(
         self,
-        wanted: Wanted,
+        wanted: GenerationRequest,
         engine: EngineModel,
         ordered: list[Worker],
         fleet: FleetLoad,
@@ -120,7 +124,7 @@
         self._ordered = ordered
         self._fleet = fleet
         self._now = now
-        self._is_long = wanted.prompt.tokens > LONG_TOKENS
+        self._is_long = wanted.prompt.tokens > LONG_PROMPT_TOKENS
         short_count = self._count_short()
         # The first engines of the common order are kept for short prompts,
         # as many as those in progress and some more need.
@@ -131,25 +135,27 @@
         # answer takes about as long as they usually do.
         self._short_rate = short_count / _SHORT_ANSWER / self._lane
 
-    def offers(self, parts: int) -> list[Offer]:
+    def estimate(self, part_count: int) -> list[Estimate]:
         """Return what each engine does with one of ``parts`` parts."""
         return [
-            self._offer(rank, worker, parts)
+            self._offer(rank, worker, part_count)
             for rank, worker in enumerate(self._ordered)
         ]
 
-    def _offer(self, rank: int, worker: Worker, parts: int) -> Offer:
+    def _offer(self, rank: int, worker: Worker, parts: int) -> Estimate:
         engine = self._engine
         prompt = self._wanted.prompt
         load = self._fleet.load(worker.worker_id)
         count = len(load.send_by_id)
         context = load.context_tokens()
-        one_pass = load.pace * engine_time.pass_ms(
+        one_pass = load.pace * engine_time.iteration_ms(
             engine, count + 1, context + prompt.tokens // parts
         )
-        reading = load.pace * engine_time.read_ms(engine, prompt.tokens, parts)
-        read_in = max(0, load.reading_until - self._now) + reading
-        read_in += load.unknown_wait(self._now)
+        reading = load.pace * engine_time.prefill_ms(
+            engine, prompt.tokens, parts
+        )
+        read_in = max(0, load.prefill_until - self._now) + reading
+        read_in += load.unreported_delay(self._now)
         harm = self._harm(load.send_by_id.values(), reading, read_in + one_pass)
         if read_in > _LANE_PAUSE:
             harm += self._lane_harm(rank, reading)
@@ -160,15 +166,15 @@
         free = engine.memory_tokens - context
         if count >= min(worker.slots, engine.slots):
             free = 0
-        can_help = len(load.held_by_id) < engine.slots
-        return Offer(worker, free, can_help, read_in, harm, one_pass, price)
+        can_help = len(load.reserved_by_id) < engine.slots
+        return Estimate(worker, free, can_help, read_in, harm, one_pass, price)
 
     def _price(self, rank: int, worker: Worker, count: int) -> float:
         """Return what decides between engines that are equal otherwise."""
         price = rank * _RANK_PRICE + count * _CROWD_PRICE
         if count >= min(worker.slots, self._engine.slots) - 1:
             price += _LAST_SLOT_PRICE
-        share = own_order(self._node_id, worker) % _SHARES / _SHARES
+        share = gateway_order(self._node_id, worker) % _SHARES / _SHARES
         price += share * _PREFERENCE
         if not self._is_long and not self._in_lane(rank):
             price += _OUT_OF_LANE_PRICE
@@ -193,7 +199,7 @@
         count = 0
         for worker in self._ordered:
             load = self._fleet.load(worker.worker_id)
-            count += load.short_count(LONG_TOKENS)
+            count += load.count_short_prompts(LONG_PROMPT_TOKENS)
         return count
 
     def _harm(
@@ -204,24 +210,26 @@
         for send in sends:
             if send.is_late:
                 continue
-            if send.first_at > self._now:
-                late = send.first_at + reading > send.due_at
+            if send.first_event_at > self._now:
+                late = send.first_event_at + reading > send.due_at
             else:
                 late = pause > send.target_pause
             if late:
-                harm += value_of(send.prompt_tokens) * (1 - _LATE_SHARE)
+                harm += answer_value(send.prompt_tokens) * (1 - _LATE_SHARE)
         return harm
 
 
-def own_order(node_id: NodeId, worker: Worker) -> int:
+def gateway_order(node_id: NodeId, worker: Worker) -> int:
     """Return where a worker stands in the order of one gateway alone."""
     return hash64(f'{node_id} {worker.worker_id}')
 
 
-def lateness(first_in: float, target: Millis) -> float:
+def lateness_cost(first_event_in: float, target: Millis) -> float:
     """Return the share of the answer's worth that is at stake."""
     early_enough = target * _EARLY_ENOUGH
-    if first_in <= early_enough:
-        return _WAIT_SHARE * first_in / max(1, early_enough)
-    over = min(1, (first_in - early_enough) / max(_LEAST_SCALE, early_enough))
+    if first_event_in <= early_enough:
+        return _WAIT_SHARE * first_event_in / max(1, early_enough)
+    over = min(
+        1, (first_event_in - early_enough) / max(_LEAST_SCALE, early_enough)
+    )
     return _WAIT_SHARE * (1 + over) + over * (1 - _LATE_SHARE)
--- a/verbenathread/serving/fleet_load.py
+++ b/verbenathread/serving/fleet_load.py
@@ -27,7 +27,7 @@
 
     worker_id: str
     # Memory set aside there; 0 where it only reads.
-    held_tokens: int
+    reserved_tokens: int
 
 
 class Send(NamedTuple):
@@ -41,19 +41,19 @@
     # When its first event is late.
     due_at: Millis
     # Forecast times of the first event and of the end.
-    first_at: Millis = 0
+    first_event_at: Millis = 0
     end_at: Millis = 0
     # How long each of its engines reads.
-    reading: Millis = 0
+    prefill_time: Millis = 0
     # It is late already, by forecast.
     is_late: bool = False
     # The prompt is read in even parts by its engine and these.
     parts: tuple[PromptPart, ...] = ()
 
     @property
-    def tokens(self) -> int:
+    def memory_tokens(self) -> int:
         """Return the memory that it needs at its engine in the end."""
-        elsewhere = sum(part.held_tokens for part in self.parts)
+        elsewhere = sum(part.reserved_tokens for part in self.parts)
         prompt = max(0, self.prompt_tokens - elsewhere)
         return prompt + self.output_tokens
 
@@ -66,9 +66,9 @@
         self.send_by_id: dict[str, Send] = {}
         # Prompts of other engines of which a part is read here, by send, and
         # the memory set aside for them.
-        self.held_by_id: dict[str, int] = {}
+        self.reserved_by_id: dict[str, int] = {}
         # When the prompts that wait there are read, by forecast.
-        self.reading_until: Millis = 0
+        self.prefill_until: Millis = 0
         # 1 is sound; 2 takes twice as long.
         self.pace = 1.0
         # By how much a first event came later than forecast, and when.
@@ -77,56 +77,56 @@
 
     def context_tokens(self) -> int:
         """Return the tokens that its requests need and that it holds."""
-        own = sum(send.tokens for send in self.send_by_id.values())
-        return own + sum(self.held_by_id.values())
+        own = sum(send.memory_tokens for send in self.send_by_id.values())
+        return own + sum(self.reserved_by_id.values())
 
-    def short_count(self, most_tokens: int) -> int:
+    def count_short_prompts(self, max_tokens: int) -> int:
         """Return how many of its prompts have so many tokens at most."""
         sends = self.send_by_id.values()
-        return sum(1 for send in sends if send.prompt_tokens <= most_tokens)
+        return sum(1 for send in sends if send.prompt_tokens <= max_tokens)
 
-    def put_first(self, reading: float, now: Millis) -> None:
+    def delay_prefills(self, delay: float, now: Millis) -> None:
         """Delay the prompts that wait here by one that is read before."""
         for send in tuple(self.send_by_id.values()):
-            if send.first_at <= now:
+            if send.first_event_at <= now:
                 continue
-            first_at = int(send.first_at + reading)
+            first_at = int(send.first_event_at + delay)
             self.send_by_id[send.send_id] = send._replace(
-                first_at=first_at,
-                end_at=int(send.end_at + reading),
+                first_event_at=first_at,
+                end_at=int(send.end_at + delay),
                 is_late=send.is_late or first_at > send.due_at,
             )
-        self.note_pause(max(0, self.reading_until - now) + reading, now)
+        self.mark_late(max(0, self.prefill_until - now) + delay, now)
 
-    def drop_reading(self, unread: Millis, now: Millis) -> None:
+    def cancel_prefill(self, remaining: Millis, now: Millis) -> None:
         """Forget what is read no more; all of it where nothing is left."""
-        self.reading_until = max(now, self.reading_until - unread)
-        if not self.send_by_id and not self.held_by_id:
-            self.reading_until = 0
+        self.prefill_until = max(now, self.prefill_until - remaining)
+        if not self.send_by_id and not self.reserved_by_id:
+            self.prefill_until = 0
 
-    def note_pause(self, pause: float, now: Millis) -> None:
+    def mark_late(self, pause: float, now: Millis) -> None:
         """Note which answers a pause of the writers makes late."""
         for send in tuple(self.send_by_id.values()):
-            if send.first_at <= now and pause > send.target_pause:
+            if send.first_event_at <= now and pause > send.target_pause:
                 self.send_by_id[send.send_id] = send._replace(is_late=True)
 
-    def note_first(
-        self, forecast: Millis, first_in: Millis, now: Millis
+    def record_first_event(
+        self, forecast: Millis, actual: Millis, now: Millis
     ) -> None:
         """Compare a first event with its forecast.
 
         One that is late shows load that this gateway was not told of, as
         when it is cut off from the others.
         """
-        left = self.unknown_wait(now)
+        left = self.unreported_delay(now)
         self._surprised_at = now
-        over = first_in - forecast
+        over = actual - forecast
         if over > _SURPRISE:
             self._surprise = max(left, over)
         else:
             self._surprise = left // 2
 
-    def unknown_wait(self, now: Millis) -> Millis:
+    def unreported_delay(self, now: Millis) -> Millis:
         """Return how long load that nobody told of will take."""
         if not self._surprise:
             return 0
@@ -153,7 +153,7 @@
             self.load_by_id[worker_id] = found
         return found
 
-    def note_send(
+    def record_send(
         self,
         worker_id: str,
         engine: EngineModel,
@@ -162,33 +162,33 @@
     ) -> Send:
         """Add a send, with its forecast filled in."""
         load = self.load(worker_id)
-        reading = engine_time.read_ms(
+        reading = engine_time.prefill_ms(
             engine, send.prompt_tokens, 1 + len(send.parts)
         )
         read_at = self._read_until(load, reading, now)
         for part in send.parts:
             other = self.load(part.worker_id)
-            other.put_first(reading * other.pace, now)
+            other.delay_prefills(reading * other.pace, now)
             read_at = max(read_at, self._read_until(other, reading, now))
-            other.held_by_id[send.send_id] = part.held_tokens
-        one_pass = load.pace * engine_time.pass_ms(
+            other.reserved_by_id[send.send_id] = part.reserved_tokens
+        one_pass = load.pace * engine_time.iteration_ms(
             engine,
             len(load.send_by_id) + 1,
-            load.context_tokens() + send.tokens,
+            load.context_tokens() + send.memory_tokens,
         )
         first_at = int(read_at + one_pass)
-        writing = engine_time.write_ms(engine, send.output_tokens, one_pass)
+        writing = engine_time.decode_ms(engine, send.output_tokens, one_pass)
         filled = send._replace(
-            reading=int(reading),
-            first_at=first_at,
+            prefill_time=int(reading),
+            first_event_at=first_at,
             end_at=int(first_at + writing),
             is_late=first_at > send.due_at,
         )
-        load.note_pause(load.reading_until - now + one_pass, now)
+        load.mark_late(load.prefill_until - now + one_pass, now)
         load.send_by_id[send.send_id] = filled
         return filled
 
-    def note_end(self, worker_id: str, send_id: str, now: Millis) -> None:
+    def record_end(self, worker_id: str, send_id: str, now: Millis) -> None:
         """Remove a send that ended."""
         load = self.load_by_id.get(worker_id)
         if load is None:
@@ -197,25 +197,25 @@
         if send is None:
             return
         # What was not read by its end is not read any more.
-        unread = send.reading if now < send.first_at else 0
-        load.drop_reading(unread, now)
+        unread = send.prefill_time if now < send.first_event_at else 0
+        load.cancel_prefill(unread, now)
         for part in send.parts:
             other = self.load(part.worker_id)
-            other.held_by_id.pop(send_id, None)
-            other.drop_reading(unread, now)
+            other.reserved_by_id.pop(send_id, None)
+            other.cancel_prefill(unread, now)
 
-    def note_pace(self, worker_id: str, pace: float) -> None:
+    def record_pace(self, worker_id: str, pace: float) -> None:
         """Take how much longer than a sound engine this one needs."""
         self.load(worker_id).pace = min(_SLOWEST_PACE, max(1, pace))
 
-    def forget_ended(self, now: Millis) -> None:
+    def drop_expired(self, now: Millis) -> None:
         """Drop sends whose end must have been lost."""
         for worker_id, load in tuple(self.load_by_id.items()):
             for send in tuple(load.send_by_id.values()):
                 if now > send.end_at + _FORGET_AFTER:
-                    self.note_end(worker_id, send.send_id, now)
+                    self.record_end(worker_id, send.send_id, now)
 
-    def keep_only(self, worker_ids: frozenset[str]) -> None:
+    def retain(self, worker_ids: frozenset[str]) -> None:
         """Drop the loads of workers that are no longer known."""
         for worker_id in tuple(self.load_by_id):
             if worker_id not in worker_ids:
@@ -225,6 +225,6 @@
         self, load: EngineLoad, reading: float, now: Millis
     ) -> Millis:
         """Add a prompt's part to what an engine reads; return its end."""
-        start = max(now, load.reading_until)
-        load.reading_until = int(start + reading * load.pace)
-        return load.reading_until
+        start = max(now, load.prefill_until)
+        load.prefill_until = int(start + reading * load.pace)
+        return load.prefill_until
--- a/verbenathread/serving/placement.py
+++ b/verbenathread/serving/placement.py
@@ -9,17 +9,17 @@
 from typing import NamedTuple
 
 from verbenathread.serving import engine_time
-from verbenathread.serving.fleet_load import FleetLoad, PromptPart
-from verbenathread.serving.survey import (
-    LONG_TOKENS,
+from verbenathread.serving.estimates import (
+    LONG_PROMPT_TOKENS,
     TOKENS_PER_VALUE,
-    Offer,
-    Survey,
-    Wanted,
-    lateness,
-    own_order,
-    value_of,
+    EngineEstimator,
+    Estimate,
+    GenerationRequest,
+    answer_value,
+    gateway_order,
+    lateness_cost,
 )
+from verbenathread.serving.fleet_load import FleetLoad, PromptPart
 from verbenathread.serving.types import EngineModel, Prompt, Worker
 from verbenathread.types import Millis, NodeId
 
@@ -33,28 +33,28 @@
 _PART_PRICE = 0.006
 
 
-class Chooser(NamedTuple):
+class PlacingGateway(NamedTuple):
     """The gateway that chooses."""
 
     node_id: NodeId
     # It has not heard of the others' sends yet.
-    is_blind: bool
+    is_warming_up: bool
 
 
-_NOBODY = Chooser('', is_blind=False)
+_NOBODY = PlacingGateway('', is_warming_up=False)
 
 
-class Placed(NamedTuple):
+class Placement(NamedTuple):
     """The engine that was chosen and what is expected there."""
 
     worker: Worker
-    first_in: Millis
+    first_event_in: Millis
     cost: float
     # Other engines that read a part of the prompt, or hold it.
     parts: tuple[PromptPart, ...] = ()
 
 
-class NoRoom(NamedTuple):
+class NoCapacity(NamedTuple):
     """No engine takes the request now."""
 
     # When the first place may be free; None if none ever can.
@@ -62,13 +62,13 @@
 
 
 def place(
-    wanted: Wanted,
+    request: GenerationRequest,
     engine: EngineModel,
     workers: Iterable[Worker],
     fleet: FleetLoad,
     now: Millis,
-    chooser: Chooser = _NOBODY,
-) -> Placed | NoRoom:
+    gateway: PlacingGateway = _NOBODY,
+) -> Placement | NoCapacity:
     """Return the engines at which the least comes late.
 
     Gateways that hear of each other's sends use one common order of the
@@ -76,13 +76,15 @@
     fill the same engines.
     """
     ordered = sorted(workers, key=_order)
-    if chooser.is_blind:
-        ordered.sort(key=functools.partial(own_order, chooser.node_id))
-    if wanted.prompt.tokens > LONG_TOKENS:
+    if gateway.is_warming_up:
+        ordered.sort(key=functools.partial(gateway_order, gateway.node_id))
+    if request.prompt.tokens > LONG_PROMPT_TOKENS:
         ordered.reverse()
-    selection = _Selection(wanted, engine, ordered, fleet, now, chooser.node_id)
-    best: Placed | None = None
-    for parts in _part_counts(wanted.prompt, engine, len(ordered)):
+    selection = _Selection(
+        request, engine, ordered, fleet, now, gateway.node_id
+    )
+    best: Placement | None = None
+    for parts in _part_counts(request.prompt, engine, len(ordered)):
         placed = selection.place_in(parts)
         if placed is None:
             continue
@@ -96,7 +98,7 @@
 ) -> Iterable[int]:
     """Return in how many parts a prompt may be read."""
     yield 1
-    whole = engine_time.read_ms(engine, prompt.tokens)
+    whole = engine_time.prefill_ms(engine, prompt.tokens)
     for parts in _PART_COUNTS:
         if parts <= most and whole / parts >= _LEAST_PART:
             yield parts
@@ -107,7 +109,7 @@
 
     def __init__(
         self,
-        wanted: Wanted,
+        wanted: GenerationRequest,
         engine: EngineModel,
         ordered: list[Worker],
         fleet: FleetLoad,
@@ -119,12 +121,14 @@
         self._ordered = ordered
         self._fleet = fleet
         self._now = now
-        self._value = value_of(wanted.prompt.tokens)
-        self._survey = Survey(wanted, engine, ordered, fleet, now, node_id)
+        self._value = answer_value(wanted.prompt.tokens)
+        self._survey = EngineEstimator(
+            wanted, engine, ordered, fleet, now, node_id
+        )
 
-    def place_in(self, parts: int) -> Placed | None:
+    def place_in(self, parts: int) -> Placement | None:
         """Return the best engines that read the prompt in ``parts``."""
-        offers = self._survey.offers(parts)
+        offers = self._survey.estimate(parts)
         first = self._first(offers, parts)
         if first is None:
             return None
@@ -134,64 +138,73 @@
         helpers = self._helpers(first, others, parts - 1)
         if helpers is None:
             return None
-        read_in = max((first.read_in, *(offer.read_in for offer, _ in helpers)))
-        first_in = read_in + first.one_pass
-        if first_in > self._wanted.patience:
+        read_in = max(
+            (first.prefill_in, *(offer.prefill_in for offer, _ in helpers))
+        )
+        first_in = read_in + first.iteration
+        if first_in > self._wanted.first_event_timeout:
             return None
-        cost = self._value * lateness(first_in, self._wanted.target_latency)
-        cost += first.harm + first.rank_price + parts * _PART_PRICE
-        cost += sum(offer.harm for offer, _ in helpers)
+        cost = self._value * lateness_cost(
+            first_in, self._wanted.target_latency
+        )
+        cost += first.delay_cost + first.preference_cost + parts * _PART_PRICE
+        cost += sum(offer.delay_cost for offer, _ in helpers)
         if cost > self._value:
             # Others would lose more than this caller gains.
             return None
         chosen = tuple(
             PromptPart(offer.worker.worker_id, held) for offer, held in helpers
         )
-        return Placed(first.worker, int(first_in), cost, chosen)
+        return Placement(first.worker, int(first_in), cost, chosen)
 
-    def no_room(self) -> NoRoom:
+    def no_room(self) -> NoCapacity:
         """Return when the first of the requests there ends."""
         prompt = self._wanted.prompt
         memory = self._engine.memory_tokens * len(self._ordered)
-        if needed_tokens(prompt) > memory:
-            return NoRoom(None)
+        if required_tokens(prompt) > memory:
+            return NoCapacity(None)
         ends = []
         for worker in self._ordered:
             load = self._fleet.load(worker.worker_id)
             if load.send_by_id:
                 ends.append(load.next_end())
-        return NoRoom(max(0, min(ends) - self._now) if ends else None)
+        return NoCapacity(max(0, min(ends) - self._now) if ends else None)
 
-    def _first(self, offers: list[Offer], parts: int) -> Offer | None:
+    def _first(self, offers: list[Estimate], parts: int) -> Estimate | None:
         """Return the engine that writes the answer."""
         prompt = self._wanted.prompt
         least = prompt.expected_output
         if parts == 1:
-            least = needed_tokens(prompt) - 1
+            least = required_tokens(prompt) - 1
         roomy = [offer for offer in offers if offer.free_tokens > least]
         return min(roomy, key=self._first_cost) if roomy else None
 
-    def _first_cost(self, offer: Offer) -> float:
-        late = lateness(
-            offer.read_in + offer.one_pass, self._wanted.target_latency
+    def _first_cost(self, offer: Estimate) -> float:
+        late = lateness_cost(
+            offer.prefill_in + offer.iteration, self._wanted.target_latency
         )
         # The smaller its own share, the more others must hold.
-        needed = needed_tokens(self._wanted.prompt)
+        needed = required_tokens(self._wanted.prompt)
         elsewhere = max(0, needed - offer.free_tokens) / TOKENS_PER_VALUE
-        return self._value * late + offer.harm + offer.rank_price + elsewhere
+        return (
+            self._value * late
+            + offer.delay_cost
+            + offer.preference_cost
+            + elsewhere
+        )
 
     def _helpers(
-        self, first: Offer, others: list[Offer], count: int
-    ) -> list[tuple[Offer, int]] | None:
+        self, first: Estimate, others: list[Estimate], count: int
+    ) -> list[tuple[Estimate, int]] | None:
         """Return the helpers and what each holds; None without memory."""
-        missing = needed_tokens(self._wanted.prompt) - first.free_tokens
-        helpers: list[tuple[Offer, int]] = []
+        missing = required_tokens(self._wanted.prompt) - first.free_tokens
+        helpers: list[tuple[Estimate, int]] = []
         if missing > 0:
             helpers = self._holders(others, count, missing + _MEMORY_MARGIN)
             if not helpers:
                 return None
         holding = {offer.worker.worker_id for offer, _ in helpers}
-        for offer in sorted(others, key=Offer.price):
+        for offer in sorted(others, key=Estimate.helper_cost):
             if len(helpers) >= count:
                 break
             if offer.worker.worker_id not in holding:
@@ -199,8 +212,8 @@
         return helpers if len(helpers) == count else None
 
     def _holders(
-        self, others: list[Offer], count: int, missing: int
-    ) -> list[tuple[Offer, int]]:
+        self, others: list[Estimate], count: int, missing: int
+    ) -> list[tuple[Estimate, int]]:
         """Return engines that hold ``missing`` tokens; none if they can't."""
         holders = []
         for offer in sorted(others, key=_by_free, reverse=True)[:count]:
@@ -212,11 +225,11 @@
         return [] if missing > 0 else holders
 
 
-def _by_free(offer: Offer) -> int:
+def _by_free(offer: Estimate) -> int:
     return offer.free_tokens
 
 
-def needed_tokens(prompt: Prompt) -> int:
+def required_tokens(prompt: Prompt) -> int:
     """Return the memory that a generation needs."""
     return prompt.tokens + prompt.expected_output
 
--- a/verbenathread/serving/plain_choice.py
+++ b/verbenathread/serving/plain_balancer.py
@@ -21,7 +21,7 @@
 _DISTANCE = 8.0
 
 
-class PlainChoice:
+class PlainBalancer:
     """Times of answers and calls in progress, by worker."""
 
     def __init__(self) -> None:
@@ -45,11 +45,11 @@
                 least = cost
         return best
 
-    def note_call(self, worker_id: str) -> None:
+    def record_start(self, worker_id: str) -> None:
         """Count a call."""
         self._calls_by_id[worker_id] = self._calls_by_id.get(worker_id, 0) + 1
 
-    def note_end(self, worker_id: str, took: Millis, now: Millis) -> None:
+    def record_end(self, worker_id: str, took: Millis, now: Millis) -> None:
         """Count its end after ``took`` ms."""
         calls = self._calls_by_id.pop(worker_id, 1) - 1
         if calls:
--- a/verbenathread/serving/registry.py
+++ b/verbenathread/serving/registry.py
@@ -11,7 +11,7 @@
 _MOST_GONE = 4096
 
 
-class Registry:
+class WorkerRegistry:
     """Workers by id; equal news in equal order give equal registries."""
 
     def __init__(self) -> None:
@@ -24,7 +24,7 @@
 
         In one life a state never goes back, whatever order heartbeats come in.
         """
-        if not self.is_news(worker):
+        if not self.would_change(worker):
             return False
         other_id = self._id_by_address.get(worker.address)
         if other_id is not None and other_id != worker.worker_id:
@@ -39,11 +39,14 @@
             self._id_by_address[worker.address] = worker.worker_id
         return True
 
-    def is_news(self, worker: Worker) -> bool:
+    def would_change(self, worker: Worker) -> bool:
         """Tell whether this changes what is known."""
         held = self.worker_by_id.get(worker.worker_id)
         if held is not None:
-            newer = (worker.born, worker.state) > (held.born, held.state)
+            newer = (worker.started_at, worker.state) > (
+                held.started_at,
+                held.state,
+            )
             if not newer:
                 return False
         if worker.state is WorkerState.GONE:
@@ -52,12 +55,12 @@
         if other_id is None or other_id == worker.worker_id:
             return True
         # Of two at one address the one that started later is there now.
-        return worker.born > self.worker_by_id[other_id].born
+        return worker.started_at > self.worker_by_id[other_id].started_at
 
-    def drop(self, worker_id: str, born: int) -> bool:
+    def drop(self, worker_id: str, started_at: int) -> bool:
         """Forget a silent worker that said nothing of leaving."""
         held = self.worker_by_id.get(worker_id)
-        if held is None or held.born != born:
+        if held is None or held.started_at != started_at:
             return False
         if held.state is WorkerState.DRAINING:
             self._bury(worker_id)
@@ -68,7 +71,7 @@
         self._id_by_address.pop(held.address, None)
         return True
 
-    def living(self) -> Iterable[Worker]:
+    def live_workers(self) -> Iterable[Worker]:
         """Return the workers that are not gone."""
         for worker in self.worker_by_id.values():
             if worker.state is not WorkerState.GONE:
--- a/verbenathread/serving/retry_budget.py
+++ b/verbenathread/serving/retry_budget.py
@@ -19,15 +19,15 @@
         self._window = window
         self._firsts_by_service: dict[str, deque[Millis]] = {}
         self._repeats_by_service: dict[str, deque[Millis]] = {}
-        self.gateways = 1
+        self.gateway_count = 1
 
-    def note_request(self, service: str, now: Millis) -> None:
+    def record_request(self, service: str, now: Millis) -> None:
         """Count a request of a caller."""
         firsts = self._firsts_by_service.setdefault(service, deque())
         firsts.append(now)
         self._trim(firsts, now)
 
-    def take(self, service: str, now: Millis) -> bool:
+    def try_acquire(self, service: str, now: Millis) -> bool:
         """Count a repeat, if one is allowed."""
         repeats = self._repeats_by_service.setdefault(service, deque())
         self._trim(repeats, now)
@@ -36,7 +36,7 @@
         repeats.append(now)
         return True
 
-    def left(self, service: str, now: Millis) -> float:
+    def available(self, service: str, now: Millis) -> float:
         """Return how many repeats are allowed now."""
         repeats = self._repeats_by_service.get(service, deque())
         self._trim(repeats, now)
@@ -45,7 +45,9 @@
     def _allowed(self, service: str, now: Millis) -> float:
         firsts = self._firsts_by_service.get(service, deque())
         self._trim(firsts, now)
-        return self._share * len(firsts) + self._slack / max(1, self.gateways)
+        return self._share * len(firsts) + self._slack / max(
+            1, self.gateway_count
+        )
 
     def _trim(self, moments: deque[Millis], now: Millis) -> None:
         while moments and now - moments[0] > self._window:
--- a/verbenathread/serving/routes.py
+++ b/verbenathread/serving/routes.py
@@ -6,7 +6,7 @@
 from verbenathread.serving.types import ClientAccount, Route, ServingConfig
 
 
-class Matched(NamedTuple):
+class RouteMatch(NamedTuple):
     """A request that the configuration allows."""
 
     route: Route
@@ -40,18 +40,18 @@
 
     def match(
         self, host: str, path: str, key: str | None
-    ) -> Matched | UnknownRoute | UnknownKey:
+    ) -> RouteMatch | UnknownRoute | UnknownKey:
         """Return the route of a request and the account behind its key."""
         route = self.find(host, path)
         if route is None:
             return UnknownRoute()
         accounts = self.config.account_by_key
         if accounts is None:
-            return Matched(route, None)
+            return RouteMatch(route, None)
         account = None if key is None else accounts.get(key)
         if account is None and not route.public:
             return UnknownKey()
-        return Matched(route, account)
+        return RouteMatch(route, account)
 
     def find(self, host: str, path: str) -> Route | None:
         """Return the route with the longest prefix of ``path``."""
--- a/verbenathread/serving/types.py
+++ b/verbenathread/serving/types.py
@@ -10,9 +10,9 @@
 class RequestKind(enum.Enum):
     """How often the requests of a route may run."""
 
-    REPEATABLE = 'repeatable'
+    IDEMPOTENT = 'repeatable'
     # At most once for each attempt of a caller.
-    ONCE = 'once'
+    AT_MOST_ONCE = 'once'
     # A stream of events; repeatable only where it can be resumed.
     STREAM = 'stream'
 
@@ -39,7 +39,7 @@
     priority: int
     targets: tuple[Target, ...]
     # Most workers that one attempt of a caller may be sent to.
-    attempts: int
+    max_attempts: int
     # Served without a key.
     public: bool
     # A broken stream may go on at another worker after its last event.
@@ -47,11 +47,11 @@
     # Longest pause between events that is still in time.
     target_pause: Millis
 
-    def may_repeat(self) -> bool:
+    def may_retry(self) -> bool:
         """Tell whether a request that may have run can be sent again."""
         if self.kind is RequestKind.STREAM:
             return self.resumable
-        return self.kind is RequestKind.REPEATABLE
+        return self.kind is RequestKind.IDEMPOTENT
 
 
 class EngineModel(NamedTuple):
@@ -63,12 +63,12 @@
     stride: int
     step_ms: float
     # Added to a step for each request that writes.
-    writer_ms: float
+    sequence_ms: float
     # Added to a step for each 1,000 tokens of context.
     context_ms: float
-    read_tokens_per_ms: float
+    prefill_tokens_per_ms: float
     # Milliseconds for a million pairs of a token and an earlier one.
-    pairs_ms: float
+    attention_ms: float
 
 
 class ServiceSpec(NamedTuple):
@@ -120,7 +120,7 @@
 
     worker_id: str
     # Unix ms at which this life began.
-    born: int
+    started_at: int
     # Counts what it said in this life.
     sequence: int
     state: WorkerState
@@ -134,6 +134,6 @@
     """Size of a generation, from the caller's headers."""
 
     tokens: int
-    most_output: int
+    max_output: int
     # Output that the caller expects; the most where it says nothing.
     expected_output: int
