--- a/verbenathread/entry/fabric_node.py
+++ b/verbenathread/entry/cell_node.py
@@ -1,4 +1,4 @@
-"""The parts that join an entry to its cell and to control, on one loop."""
+"""Connects an entry to the peers of its cell and to the control plane."""
 
 import asyncio
 import random
@@ -8,35 +8,35 @@
 
 from verbenathread.clock import Clock, seconds
 from verbenathread.entry.admissions import CellAdmissions
-from verbenathread.entry.claims import ClaimsClient
+from verbenathread.entry.claims_client import ClaimsClient
+from verbenathread.entry.control_session import ControlSession
 from verbenathread.entry.engine_owners import EngineOwners
 from verbenathread.entry.hold_outbox import HoldOutbox
 from verbenathread.entry.ledger_host import HoldReader, LedgerHost
 from verbenathread.entry.load_reports import LoadReports
-from verbenathread.entry.node_access import NodeAccess
+from verbenathread.entry.node_auth import NodeAuth
 from verbenathread.entry.node_reports import NodeReports
 from verbenathread.entry.peer_channels import PeerCalls, PeerChannels
-from verbenathread.entry.peers import PeerServer, PeerService
+from verbenathread.entry.peer_server import PeerServer, PeerService
 from verbenathread.entry.reservations import EngineReservations
-from verbenathread.entry.session import ControlSession
-from verbenathread.entry.shared import SharedTree
-from verbenathread.entry.tree_fetch import TreeFetch
+from verbenathread.entry.settings_fetcher import SettingsFetcher
+from verbenathread.entry.settings_store import SettingsStore
 from verbenathread.membership.cell import Cell, NodeIdentity
 from verbenathread.observability.logs import get_logger
 from verbenathread.schema import peer_pb2, settings_pb2
 from verbenathread.settings.node import parse_addresses, parse_peers
 from verbenathread.types import Millis, UpstreamId
 
-# Lease of an upstream whose service is not known here.
+# Lease of an upstream whose service is not in the settings of this node.
 _UNKNOWN_SERVICE_LEASE_MS = 6000
-_FLUSH_TRIES = 10
+_FLUSH_ATTEMPTS = 10
 _FLUSH_PAUSE_MS = 100
 
 _log = get_logger('fabric')
 
 
 class NodeContext(NamedTuple):
-    """What the parts of one node share."""
+    """Settings and sources of time and randomness shared by a node's parts."""
 
     settings: settings_pb2.NodeSettings
     incarnation: int
@@ -44,27 +44,27 @@
     rng: random.Random
 
 
-class FabricNode:
-    """Everything between this entry, its peers and control."""
+class CellNode:
+    """The parts of one entry that talk to peers and to control."""
 
     def __init__(
         self,
         context: NodeContext,
-        shared: SharedTree,
+        settings_store: SettingsStore,
         reader: HoldReader,
         channels: PeerCalls | None = None,
     ) -> None:
-        """Connect the parts; nothing runs before :meth:`start`."""
+        """Create and connect the parts; nothing runs before :meth:`start`."""
         settings = context.settings
         clock = context.clock
-        self.shared = shared
+        self.settings_store = settings_store
         peers = parse_peers(settings.entry.cell)
-        access = NodeAccess(settings.node)
+        auth = NodeAuth(settings.node)
         others = [peer for peer in peers if peer.node_id != settings.node.id]
-        self._channels = channels or PeerChannels(others, access)
+        self._channels = channels or PeerChannels(others, auth)
         self._loads = LoadReports(clock)
-        self.admissions = CellAdmissions(len(peers), shared, clock)
-        self._fetch = TreeFetch(shared, self._channels)
+        self.admissions = CellAdmissions(len(peers), settings_store, clock)
+        self._fetcher = SettingsFetcher(settings_store, self._channels)
         self.cell = Cell(
             NodeIdentity(
                 settings.node.id,
@@ -76,47 +76,56 @@
             self._lease_of,
         )
         self.host = LedgerHost(
-            self.cell, reader, shared.policy, self._holdings_at, clock
+            self.cell, reader, settings_store.policy, self._holdings_at, clock
         )
         self.owners = EngineOwners(self.cell, self.host, self._channels, clock)
         self.outbox = HoldOutbox(self.host, self.cell)
         self.reservations = EngineReservations(
-            self.cell, self.owners, self.outbox, shared, clock, context.rng
+            self.cell,
+            self.owners,
+            self.outbox,
+            settings_store,
+            clock,
+            context.rng,
         )
         self._loads.connect(self.cell.table, self.reservations)
         self.admissions.connect(self.cell.table)
-        self.cell.carry(self._loads, self._fetch, self.outbox, self.admissions)
+        self.cell.carry(
+            self._loads, self._fetcher, self.outbox, self.admissions
+        )
         addresses = parse_addresses(settings.entry.control)
         self.claims = ClaimsClient(addresses, settings.node, clock, context.rng)
-        reports = NodeReports(settings, self.cell, shared, clock)
+        reports = NodeReports(settings, self.cell, settings_store, clock)
         self._session = ControlSession(
-            addresses, shared, reports.report, context.rng
+            addresses, settings_store, reports.report, context.rng
         )
         self._server = PeerServer(
-            PeerService(self.cell, self.host, self.reservations.held, shared),
-            access,
+            PeerService(
+                self.cell, self.host, self.reservations.held, settings_store
+            ),
+            auth,
         )
         self._tasks: tuple[asyncio.Task[None], ...] = ()
 
     async def start(self, listener: socket.socket) -> None:
-        """Serve peers on a bound socket and start every task."""
+        """Serve peers on a bound socket and start all tasks."""
         await self._server.start(listener)
         self.cell.start()
         self.host.start()
         self._tasks = tuple(
-            _watched(work)
-            for work in (
+            _create_task(coroutine)
+            for coroutine in (
                 self.outbox.run(),
                 self._session.run(),
-                self._fetch.run(),
+                self._fetcher.run(),
                 self._loads.run(self.host),
             )
         )
 
     async def stop(self) -> None:
-        """Send what is due, hand the leases over, and end."""
-        for _ in range(_FLUSH_TRIES):
-            self.outbox.push()
+        """Flush pending updates, hand the leases over, and close."""
+        for _ in range(_FLUSH_ATTEMPTS):
+            self.outbox.flush()
             if not self.outbox:
                 break
             await asyncio.sleep(  # noqa: WPS476 - one try at a time
@@ -128,7 +137,7 @@
         await self.close()
 
     async def close(self) -> None:
-        """End every task at once and tell nobody."""
+        """Cancel all tasks at once, without notifying peers or control."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -145,17 +154,17 @@
         return (*self.reservations.held.at(upstream_id), *others)
 
     def _lease_of(self, service: str) -> Millis:
-        settings = self.shared.service(service)
+        settings = self.settings_store.service(service)
         return _UNKNOWN_SERVICE_LEASE_MS if settings is None else settings.lease
 
 
-def _watched(work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-    """Start a task whose end by an error is logged at once."""
-    task = asyncio.create_task(work)
+def _create_task(coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+    """Start a task whose failure is logged at once."""
+    task = asyncio.create_task(coroutine)
     task.add_done_callback(_log_failure)
     return task
 
 
 def _log_failure(task: asyncio.Task[None]) -> None:
     if not task.cancelled() and task.exception() is not None:
-        _log.error('A task ended by an error.', exc_info=task.exception())
+        _log.error('Background task failed.', exc_info=task.exception())
--- a/verbenathread/entry/retry_budgets.py
+++ b/verbenathread/entry/retry_budgets.py
@@ -22,12 +22,14 @@
         self._lock = threading.Lock()
         self._retries_by_service: dict[str, RetryPolicy] = {}
 
-    def first(self, service: str, policy: settings_pb2.PolicySettings) -> None:
+    def record_first_attempt(
+        self, service: str, policy: settings_pb2.PolicySettings
+    ) -> None:
         """Count a first attempt, which earns a share of a retry."""
         with self._lock:
-            self._retries(service, policy).note_first()
+            self._retries(service, policy).record_first_attempt()
 
-    def next(
+    def next_retry(
         self,
         service: str,
         attempts: int,
@@ -39,7 +41,7 @@
         ``attempts`` is how many were made.
         """
         with self._lock:
-            return self._retries_by_service[service].next(
+            return self._retries_by_service[service].decide(
                 deadline,
                 attempts,
                 outcome,
--- a/verbenathread/entry/shared.py
+++ b/verbenathread/entry/settings_store.py
@@ -1,4 +1,7 @@
-"""The shared settings in force on this node, which never go back."""
+"""The shared settings in force on this node.
+
+Their revision only increases.
+"""
 
 import threading
 from collections.abc import Iterable, Mapping
@@ -12,15 +15,15 @@
 
 
 class _InForce(NamedTuple):
-    """One revision, replaced as a whole."""
+    """One immutable revision of the settings."""
 
     revision: int
     branch_by_path: Mapping[str, control_pb2.Branch]
     tree: EffectiveTree
 
 
-class SharedTree:
-    """Answers from the tree in force; any thread may read."""
+class SettingsStore:
+    """Provides the settings in force; any thread may read."""
 
     def __init__(self) -> None:
         """Start without settings, at revision 0."""
@@ -53,8 +56,8 @@
         """Return the policy of the branch that holds the service."""
         return self._in_force.tree.policy(service)
 
-    def newer_than(self, revision: int) -> control_pb2.TreeUpdate:
-        """Return the whole tree, or nothing if ``revision`` is as late."""
+    def update_since(self, revision: int) -> control_pb2.TreeUpdate:
+        """Return all settings, or an empty update if nothing is newer."""
         current = self._in_force
         if current.revision <= revision:
             return control_pb2.TreeUpdate(revision=current.revision)
@@ -64,8 +67,8 @@
             branches=current.branch_by_path.values(),
         )
 
-    def take(self, update: control_pb2.TreeUpdate) -> bool:
-        """Put an update in force unless it is no later; say whether it was."""
+    def apply(self, update: control_pb2.TreeUpdate) -> bool:
+        """Put a newer update in force; return whether it was newer."""
         with self._lock:
             current = self._in_force
             if update.revision <= current.revision:
@@ -75,7 +78,7 @@
                 {path: branch.text for path, branch in branch_by_path.items()}
             )
             self._in_force = _InForce(update.revision, branch_by_path, tree)
-        _log.info('Settings are in force.', revision=update.revision)
+        _log.info('Shared settings applied.', revision=update.revision)
         return True
 
 
--- a/verbenathread/gateway/exchange.py
+++ b/verbenathread/gateway/exchange.py
@@ -15,8 +15,8 @@
 from verbenathread.gateway.probing import PROBE_TIMEOUT
 from verbenathread.gateway.selection import Refusal, Selection, WorkerSelector
 from verbenathread.http1.client import ClientConnection
-from verbenathread.http1.messages import Request, ResponseHead, write_request
-from verbenathread.http1.reply import Reply
+from verbenathread.http1.messages import Request, ResponseHead, encode_request
+from verbenathread.http1.response import ResponseWriter
 from verbenathread.observability.logs import get_logger
 from verbenathread.observability.metrics import length_label
 from verbenathread.serving.dialect import CallerRequest, ForwardContext
@@ -59,7 +59,7 @@
     """Serves one request until the caller has its answer."""
 
     def __init__(
-        self, parts: GatewayContext, job: RoutedRequest, reply: Reply
+        self, parts: GatewayContext, job: RoutedRequest, reply: ResponseWriter
     ) -> None:
         """Answer ``job`` on ``reply``."""
         self._parts = parts
@@ -79,12 +79,12 @@
         # A failure that a worker signed, kept while another one is tried.
         self._failure: Result | None = None
         self._refused: Refusal | None = None
-        reply.on_gone = self._on_gone
-        reply.on_pressure = self._on_pressure
+        reply.on_disconnect = self._on_gone
+        reply.on_backpressure = self._on_pressure
 
     async def run(self) -> None:
         """Go on until the request is answered or its caller left."""
-        while not self._reply.done and not self._reply.is_gone:
+        while not self._reply.done and not self._reply.is_disconnected:
             left = self._job.deadline - self._parts.clock.now()
             if left <= 0:
                 self._give_up(_TIMED_OUT, 'out of time', None)
@@ -95,7 +95,7 @@
                 self._give_up(_UNAVAILABLE, chosen.reason, chosen.retry_after)
                 return
             await self._try(chosen)
-        if self._reply.is_gone and not self._reply.done:
+        if self._reply.is_disconnected and not self._reply.done:
             self._note('abandoned', '')
 
     async def _try(self, choice: Selection) -> None:
@@ -130,7 +130,7 @@
                     _UNAVAILABLE, 'no worker takes connections', _SOON
                 )
             return
-        if self._reply.is_gone:
+        if self._reply.is_disconnected:
             self._parts.pool.release(choice.worker, connection)
             return
         if self._sends and not self._take_repeat():
@@ -147,7 +147,7 @@
             return await parts.pool.acquire(worker, left)
         except (OSError, TimeoutError) as error:
             self._connects += 1
-            parts.outliers.note_failure(worker.worker_id, parts.clock.now())
+            parts.outliers.record_failure(worker.worker_id, parts.clock.now())
             _log.warning(
                 'A worker takes no connection.',
                 worker=worker.worker_id,
@@ -171,7 +171,7 @@
         )
         self._attempt = attempt
         self._sends += 1
-        parts.outliers.note_sent(choice.worker.worker_id, started)
+        parts.outliers.record_sent(choice.worker.worker_id, started)
         attempt.on_first_event = functools.partial(
             self._note_first, choice, started
         )
@@ -221,7 +221,7 @@
             helpers=choice.helpers,
         )
         headers = self._parts.dialect.worker_headers(job.request, onward)
-        return write_request(
+        return encode_request(
             job.request.method, job.request.target, headers, job.request.body
         )
 
@@ -237,7 +237,7 @@
             return
         self._may_have_run = True
         now = self._parts.clock.now()
-        self._parts.outliers.note_failure(worker.worker_id, now)
+        self._parts.outliers.record_failure(worker.worker_id, now)
         if result.verdict is Verdict.TIMED_OUT:
             self._give_up(_TIMED_OUT, 'out of time', None)
         elif self._may_go_on():
@@ -265,13 +265,13 @@
         parts = self._parts
         if head.status >= _SERVER_FAULT:
             self._may_have_run = True
-            parts.outliers.note_failure(worker.worker_id, parts.clock.now())
+            parts.outliers.record_failure(worker.worker_id, parts.clock.now())
             self._failure = result
             if self._may_go_on() and not self._is_begun():
                 self._chooser.exclude(worker)
                 return
         else:
-            parts.outliers.note_success(worker.worker_id)
+            parts.outliers.record_success(worker.worker_id)
         streamed = self._relay is not None and not result.body
         if streamed and head.status < _SERVER_FAULT and self._relay:
             self._relay.finish(head)
@@ -347,7 +347,7 @@
             retry_after=retry_after,
             route=job.match.route.name,
             sends=self._sends,
-            took=self._parts.clock.now() - job.request.arrived,
+            took=self._parts.clock.now() - job.request.received_at,
             config=self._parts.view.config_version,
             view_age=self._parts.clock.now() - self._parts.view.updated_at,
             candidates=None if refused is None else refused.candidates,
@@ -366,7 +366,7 @@
         measures = self._parts.metrics
         first = attempt.first_event_at
         if prompt is not None and first is not None:
-            waited = (first - self._job.request.arrived) / _MS_PER_SECOND
+            waited = (first - self._job.request.received_at) / _MS_PER_SECOND
             measures.first_event.labels(length_label(prompt.tokens)).observe(
                 waited
             )
@@ -378,7 +378,7 @@
             worker=choice.worker.worker_id,
             verdict=result.verdict.value,
             status=None if result.head is None else result.head.status,
-            queued=started - self._job.request.arrived,
+            queued=started - self._job.request.received_at,
             forecast=choice.first_event_in,
             beside=choice.concurrent,
             parts=1 + len(choice.parts),
