--- a/tests/consensus_network.py
+++ b/tests/consensus_network.py
@@ -15,14 +15,14 @@
 from verbenathread.exceptions import UnavailableError
 from verbenathread.types import Address, Peer
 
-LIMIT = 20_000
+TIMEOUT_MS = 20_000
 
 
 class MemoryFiles:
     """Files that know which of their bytes were synced."""
 
-    def __init__(self, chance: random.Random) -> None:
-        self.chance = chance
+    def __init__(self, rng: random.Random) -> None:
+        self.rng = rng
         self.content: dict[str, bytes] = {}
         self.synced: dict[str, bytes] = {}
         # Names as of the last sync of the folder.
@@ -65,7 +65,7 @@
     async def sync(self, name):
         content = self.content[name]
         self.before_sync()
-        await asyncio.sleep(self.chance.uniform(0, self.sync_seconds))
+        await asyncio.sleep(self.rng.uniform(0, self.sync_seconds))
         if self.failing:
             raise OSError(5, 'Input/output error')
         self.synced[name] = content
@@ -73,7 +73,7 @@
     async def sync_folder(self):
         names = sorted(self.content)
         self.before_sync()
-        await asyncio.sleep(self.chance.uniform(0, self.sync_seconds))
+        await asyncio.sleep(self.rng.uniform(0, self.sync_seconds))
         self.durable = set(names)
 
     def path(self, name):
@@ -84,15 +84,15 @@
 
     def crashed(self) -> 'MemoryFiles':
         """Return what a machine finds after it lost power now."""
-        after = MemoryFiles(self.chance)
+        after = MemoryFiles(self.rng)
         names = sorted(self.durable)
-        if self.chance.randrange(2):
+        if self.rng.randrange(2):
             names = sorted(self.content)
         for name in names:
             kept = self.synced.get(name, b'')
             current = self.content.get(name, kept)
             if current.startswith(kept):
-                torn = self.chance.randint(len(kept), len(current))
+                torn = self.rng.randint(len(kept), len(current))
                 kept = current[:torn]
             after.content[name] = kept
             after.synced[name] = kept
@@ -120,8 +120,8 @@
 class Network:
     """Carries calls, and drops, delays, doubles or cuts them."""
 
-    def __init__(self, chance: random.Random) -> None:
-        self.chance = chance
+    def __init__(self, rng: random.Random) -> None:
+        self.rng = rng
         self.replica_by_id: dict[str, Replica] = {}
         # Pairs of sender and receiver between which nothing passes.
         self.cut: set[tuple[str, str]] = set()
@@ -140,8 +140,8 @@
         self.cut.clear()
 
     async def pass_over(self, sender, receiver):
-        await asyncio.sleep(self.chance.uniform(0.2, self.slowest_ms) / 1000)
-        lost = self.chance.random() < self.drop
+        await asyncio.sleep(self.rng.uniform(0.2, self.slowest_ms) / 1000)
+        lost = self.rng.random() < self.drop
         if lost or (sender, receiver) in self.cut:
             # Nothing ever arrives; the caller's limit ends the wait.
             await asyncio.get_running_loop().create_future()
@@ -161,7 +161,7 @@
         return reply
 
     async def repeat(self, kind, sender, receiver, request):
-        await asyncio.sleep(self.chance.uniform(0, 0.5))
+        await asyncio.sleep(self.rng.uniform(0, 0.5))
         try:
             await asyncio.wait_for(
                 self.call(kind, sender, receiver, request), 1
@@ -180,7 +180,7 @@
     def __getattr__(self, kind):
         async def call(peer, request, limit):
             network = self.network
-            if network.chance.random() < network.double:
+            if network.rng.random() < network.double:
                 again = network.repeat(kind, self.sender, peer.node_id, request)
                 network.doubles.append(asyncio.create_task(again))
             try:
@@ -198,7 +198,7 @@
     return Peer(node_id, Address('127.0.0.1', 7000 + int(node_id[1:])))
 
 
-async def in_turn(call, arguments):
+async def run_in_order(call, arguments):
     """Await ``call`` for each argument, one after another."""
     left = list(arguments)
     while left:
@@ -209,32 +209,32 @@
     """Replicas n1, n2, ... with their disks and machines."""
 
     def __init__(self, voters=3, seed=1, **settings) -> None:
-        self.chance = random.Random(seed)
-        self.network = Network(self.chance)
+        self.rng = random.Random(seed)
+        self.network = Network(self.rng)
         self.settings = settings
         self.first = tuple(peer(f'n{n + 1}') for n in range(voters))
         self.files_by_id: dict[str, MemoryFiles] = {}
         self.machine_by_id: dict[str, ListMachine] = {}
 
     async def __aenter__(self):
-        await in_turn(self.start, [one.node_id for one in self.first])
+        await run_in_order(self.start, [one.node_id for one in self.first])
         return self
 
     async def __aexit__(self, *_):
-        await in_turn(self.stop, list(self.replicas))
+        await run_in_order(self.stop, list(self.replicas))
 
     @property
     def replicas(self):
         return self.network.replica_by_id
 
     async def start(self, node_id, *, join=False):
-        files = self.files_by_id.setdefault(node_id, MemoryFiles(self.chance))
+        files = self.files_by_id.setdefault(node_id, MemoryFiles(self.rng))
         machine = ListMachine()
         replica = Replica(
             settings=ReplicaSettings(
-                me=peer(node_id),
+                local_peer=peer(node_id),
                 cluster='test',
-                first_members=self.first,
+                initial_members=self.first,
                 join=join,
                 **self.settings,
             ),
@@ -242,22 +242,22 @@
             machine=machine,
             transport=Wire(self.network, node_id),
             clock=LoopClock(),
-            random=self.chance,
+            random=self.rng,
         )
         await replica.start()
         self.machine_by_id[node_id] = machine
         self.replicas[node_id] = replica
         return replica
 
-    async def stop(self, node_id, *, hand_over=False):
+    async def stop(self, node_id, *, transfer_leadership=False):
         replica = self.replicas.pop(node_id)
-        await replica.stop(hand_over=hand_over)
+        await replica.stop(transfer_leadership=transfer_leadership)
 
     async def crash(self, node_id):
         """Lose power: what was not synced may be lost or torn."""
         replica = self.replicas.pop(node_id)
         self.files_by_id[node_id] = self.files_by_id[node_id].crashed()
-        await replica.stop(hand_over=False)
+        await replica.stop(transfer_leadership=False)
 
     async def lose_disk(self, node_id):
         await self.crash(node_id)
@@ -274,7 +274,7 @@
             await asyncio.sleep(0.01)
         raise AssertionError('no leader in 60 s')
 
-    async def propose(self, text, limit=LIMIT):
+    async def propose(self, text, limit=TIMEOUT_MS):
         replica = self.replicas[await self.leader()]
         try:
             return await replica.propose(text.encode(), limit)
@@ -290,16 +290,16 @@
         async def one(text):
             indexes.append((await self.propose(text)).index)
 
-        await in_turn(one, texts)
+        await run_in_order(one, texts)
         return indexes[-1]
 
-    async def settle(self, index, *node_ids):
+    async def wait_applied(self, index, *node_ids):
         """Wait until replicas, or all, have applied up to ``index``."""
 
         async def one(node_id):
-            await self.replicas[node_id].wait_applied(index - 1, LIMIT)
+            await self.replicas[node_id].wait_applied(index - 1, TIMEOUT_MS)
 
-        await in_turn(one, node_ids or list(self.replicas))
+        await run_in_order(one, node_ids or list(self.replicas))
 
     def texts(self, node_id):
         return [text for _, text in self.machine_by_id[node_id].applied]
--- a/tests/consensus_schedule.py
+++ b/tests/consensus_schedule.py
@@ -8,7 +8,7 @@
 import asyncio
 from typing import NamedTuple
 
-from tests.consensus_network import Group, ListMachine, in_turn, peer
+from tests.consensus_network import Group, ListMachine, peer, run_in_order
 from tests.virtual_loop import run_virtual
 from verbenathread.exceptions import (
     UnavailableError,
@@ -111,9 +111,9 @@
                 # Else the group is formed under faults.
                 await self.propose_surely('formed')
                 self.formed = True
-            await in_turn(self.step, steps)
+            await run_in_order(self.step, steps)
             await self.recover()
-            await group.settle(await self.propose_surely('last'))
+            await group.wait_applied(await self.propose_surely('last'))
             watcher.cancel()
             self.checks.see_group(group)
             for node_id, machine in group.machine_by_id.items():
@@ -141,7 +141,9 @@
     async def recover(self):
         await self.calm_down()
         await asyncio.wait(self.calls)
-        await in_turn(self.revive, [one.node_id for one in self.group.first])
+        await run_in_order(
+            self.revive, [one.node_id for one in self.group.first]
+        )
         if self.wiped:
             await self.readmit(self.wiped)
 
@@ -165,7 +167,7 @@
 
     async def step(self, step):
         if step.node:
-            turn = self.group.chance.choice((0, 2))
+            turn = self.group.rng.choice((0, 2))
             chosen = self.group.first[
                 (step.node + turn) % len(self.group.first)
             ]
@@ -224,7 +226,7 @@
         for node_id, replica in self.group.replicas.items():
             if replica._state.leading is not None:
                 found.append(node_id)
-        return self.group.chance.choice(found) if found else None
+        return self.group.rng.choice(found) if found else None
 
     def leading(self):
         return self.group.replicas.get(self.leading_id())
@@ -248,19 +250,19 @@
         for member in self.group.first:
             if member.node_id not in self.group.replicas:
                 gone.append(member.node_id)
-        await in_turn(self.group.start, gone)
+        await run_in_order(self.group.start, gone)
 
     async def stop(self, node_id):
         if node_id in self.group.replicas:
-            await self.group.stop(node_id, hand_over=True)
+            await self.group.stop(node_id, transfer_leadership=True)
 
     async def isolate(self, node_id):
         self.group.network.isolate(node_id)
 
     async def one_way(self, node_id):
-        other = self.group.chance.choice(self.group.first).node_id
+        other = self.group.rng.choice(self.group.first).node_id
         way = [node_id, other]
-        self.group.chance.shuffle(way)
+        self.group.rng.shuffle(way)
         self.group.network.cut.add(tuple(way))
 
     async def heal(self, _):
@@ -268,13 +270,13 @@
 
     async def weather(self, _):
         network = self.group.network
-        network.drop = network.chance.choice((0, 0.05, 0.2))
-        network.double = network.chance.choice((0, 0.1))
-        network.slowest_ms = network.chance.choice((2, 20, 60))
+        network.drop = network.rng.choice((0, 0.05, 0.2))
+        network.double = network.rng.choice((0, 0.1))
+        network.slowest_ms = network.rng.choice((2, 20, 60))
 
     async def slow_disk(self, node_id):
         files = self.group.files_by_id[node_id]
-        files.sync_seconds = self.group.chance.choice((0.002, 0.03, 0.3))
+        files.sync_seconds = self.group.rng.choice((0.002, 0.03, 0.3))
 
     async def lose_disk(self, node_id):
         """Lose one disk in the midst; the node comes back under its name."""
@@ -290,7 +292,7 @@
         if self.wiped or len(group.replicas) < len(group.first):
             return
         # Without a formed group there is nothing to lose or to replace.
-        await group.settle(await self.propose_surely('whole'))
+        await group.wait_applied(await self.propose_surely('whole'))
         await group.lose_disk(node_id)
         await group.start(node_id, join=True)
         await self.readmit(node_id)
--- a/tests/test_consensus_disk.py
+++ b/tests/test_consensus_disk.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from unittest.mock import patch
 
-from tests.consensus_network import in_turn
+from tests.consensus_network import run_in_order
 from tests.test_consensus_replica import GroupCase
 from verbenathread.consensus.disk import FileStorage
 from verbenathread.consensus.files import DiskFiles
@@ -81,9 +81,9 @@
             def append(index):
                 return storage.append([entry(index)])
 
-            await in_turn(append, (1, 2))
+            await run_in_order(append, (1, 2))
             await storage.compact(LogSnapshot(index=2, term=1), 2)
-            await in_turn(append, range(3, ENTRIES + 1))
+            await run_in_order(append, range(3, ENTRIES + 1))
             await storage.save_ballot(Ballot(7, 'n2'))
 
         self.use(write)
--- a/tests/test_consensus_members.py
+++ b/tests/test_consensus_members.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from tests.consensus_network import in_turn, peer
+from tests.consensus_network import peer, run_in_order
 from tests.test_consensus_replica import GroupCase
 from verbenathread.exceptions import UnavailableError, UsageError
 
@@ -16,7 +16,7 @@
         leader = group.replicas[await group.leader()]
         await leader.change_member(pair[0], peer(pair[1]), LIMIT)
 
-    await in_turn(one, actions)
+    await run_in_order(one, actions)
 
 
 class LostDiskTest(GroupCase):
@@ -33,7 +33,7 @@
             await asyncio.sleep(60)
             elected = [one.status().leader for one in group.replicas.values()]
             await group.start(leader)
-            await group.settle(kept.index, leader, behind)
+            await group.wait_applied(kept.index, leader, behind)
             return elected, group.texts(behind)
 
         elected, texts = self.run_scene(scene)
@@ -53,12 +53,12 @@
                 group, ('remove', wiped), ('add', wiped), ('promote', wiped)
             )
             await group.lose_disk(leader)
-            await group.settle(await group.propose_all(['later']))
+            await group.wait_applied(await group.propose_all(['later']))
             await group.start(leader, join=True)
             await change(
                 group, ('remove', leader), ('add', leader), ('promote', leader)
             )
-            await group.settle(await group.propose_all(['last']))
+            await group.wait_applied(await group.propose_all(['last']))
             voters = [
                 member.voter
                 for member in group.replicas[other].status().members
@@ -109,7 +109,7 @@
             old = group.replicas[leader]
             before = old.status().commit_index
             others = [one for one in group.first if one.node_id != leader]
-            await in_turn(group.stop, [one.node_id for one in others])
+            await run_in_order(group.stop, [one.node_id for one in others])
             error = await self.outcome(old.propose(b'lost', 3000))
             await asyncio.sleep(30)
             status = old.status()
@@ -157,10 +157,10 @@
             while old.status().members[-1].node_id != 'n4':
                 await asyncio.sleep(0.001)
             task.cancel()
-            await group.settle(await group.propose_all(['after']))
+            await group.wait_applied(await group.propose_all(['after']))
             await group.crash(leader)
             await group.start(leader)
-            await group.settle(await group.propose_all(['last']))
+            await group.wait_applied(await group.propose_all(['last']))
             return group.texts(leader), old.status().failure
 
         texts, failure = self.run_scene(scene)
--- a/tests/test_consensus_replica.py
+++ b/tests/test_consensus_replica.py
@@ -33,7 +33,7 @@
     def run_scene(self, scene, **settings):
         async def whole():
             async with Group(**settings) as group:
-                await group.settle(await group.propose_all(['first']))
+                await group.wait_applied(await group.propose_all(['first']))
                 return await scene(group)
 
         return run_virtual(whole())
@@ -59,7 +59,7 @@
             await group.propose_all(['b'])
             gap = now() - killed
             await group.start(leader)
-            await group.settle(await group.propose_all(['c']))
+            await group.wait_applied(await group.propose_all(['c']))
             return gap, [group.texts(node_id) for node_id in group.replicas]
 
         wanted = ['first', *(f'a{number}' for number in range(10)), 'b', 'c']
@@ -97,7 +97,7 @@
             await asyncio.sleep(120)
             group.network.heal()
             await asyncio.sleep(5)
-            await group.settle(await group.propose_all(['after']))
+            await group.wait_applied(await group.propose_all(['after']))
             statuses = [one.status() for one in group.replicas.values()]
             return (leader, term), {(s.leader, s.term) for s in statuses}
 
@@ -117,7 +117,7 @@
             await group.leader(among=others)
             await asyncio.sleep(60)
             group.network.heal()
-            await group.settle(await group.propose_all(['kept']))
+            await group.wait_applied(await group.propose_all(['kept']))
             first = await self.outcome(lost)
             return still, refused, first, group.texts(leader)
 
@@ -310,7 +310,7 @@
                 calls.append(asyncio.create_task(call))
             await asyncio.sleep(0.001)
             began = now()
-            await group.stop(leader, hand_over=True)
+            await group.stop(leader, transfer_leadership=True)
             stopped = now()
             await group.propose_all(['next'])
             outcomes = [task.exception() for task in calls]
--- a/tests/test_consensus_rpc.py
+++ b/tests/test_consensus_rpc.py
@@ -9,7 +9,7 @@
 
 from grpclib.server import Server
 
-from tests.consensus_network import ListMachine, in_turn
+from tests.consensus_network import ListMachine, run_in_order
 from verbenathread.clock import SystemClock
 from verbenathread.consensus.disk import FileStorage
 from verbenathread.consensus.replica import Replica
@@ -58,18 +58,18 @@
                 node[1].close()
                 node[2].close()
 
-            await in_turn(start, range(3))
+            await run_in_order(start, range(3))
             leader = await self.find_leader(nodes)
             applied = await asyncio.gather(
                 *(leader.propose(b'%d' % number, 20_000) for number in range(9))
             )
             last = max(one.index for one in applied)
-            await in_turn(
+            await run_in_order(
                 lambda node: node[0].wait_applied(last - 1, 20_000), nodes
             )
             reached = [node[0].status().applied_index for node in nodes]
             refusals = await self.refused_calls(peers[0])
-            await in_turn(stop, nodes)
+            await run_in_order(stop, nodes)
             return last, reached, refusals
 
         with tempfile.TemporaryDirectory() as folder:
@@ -95,7 +95,7 @@
                         Peer('n1', address), BeatRequest(), 200
                     )
 
-            await in_turn(call, range(2))
+            await run_in_order(call, range(2))
             transport.close()
             server.close()
 
@@ -120,5 +120,5 @@
                 refusals.append(str(error))
             transport.close()
 
-        await in_turn(call, (('other', 'k'), ('c', 'wrong')))
+        await run_in_order(call, (('other', 'k'), ('c', 'wrong')))
         return refusals
--- a/tests/test_consensus_snapshots.py
+++ b/tests/test_consensus_snapshots.py
@@ -24,10 +24,10 @@
             missing = log.base_index
             await group.start(behind)
             last = await group.propose_all(['last'])
-            await group.settle(last)
+            await group.wait_applied(last)
             await group.crash(behind)
             await group.start(behind)
-            await group.settle(last)
+            await group.wait_applied(last)
             log = group.replicas[behind]._state.log
             kept = log.last_index - log.base_index
             return missing, kept, group.texts(behind)
@@ -46,7 +46,7 @@
             replica = next(
                 one for node, one in group.replicas.items() if node != leader
             )
-            await group.settle(await group.propose_all('bcdefghi'))
+            await group.wait_applied(await group.propose_all('bcdefghi'))
             old = LogSnapshot(
                 index=1, term=1, members=replica._state.log.members()
             )
@@ -62,7 +62,7 @@
                     checksum=zlib.crc32(image),
                 )
             )
-            await group.settle(await group.propose_all(['third']))
+            await group.wait_applied(await group.propose_all(['third']))
             await asyncio.sleep(1)
             node_id = replica._state.my_id
             return reply.installed, group.texts(node_id)
--- a/tests/test_control_proposals.py
+++ b/tests/test_control_proposals.py
@@ -4,7 +4,7 @@
 import unittest
 from unittest.mock import patch
 
-from tests.consensus_network import Group, in_turn
+from tests.consensus_network import Group, run_in_order
 from tests.control_commands import (
     ROOT_KEY,
     ROOT_SHA,
@@ -76,7 +76,7 @@
                 # Minutes go by before the network is mended.
                 await asyncio.sleep(300)
                 group.network.heal()
-                await group.settle(accepted.revision)
+                await group.wait_applied(accepted.revision)
                 leader = await group.leader()
                 resent = await self.at(group, leader).change(lost)
                 trees = {
@@ -118,7 +118,7 @@
                     )
                 )
                 machines = group.machine_by_id.values()
-                await group.settle(machine_index(machines))
+                await group.wait_applied(machine_index(machines))
                 return both, [machine.snapshot() for machine in machines]
 
         both, snapshots = run_virtual(scene())
@@ -149,7 +149,7 @@
                     )
                     replies.append(await calls.status(request))
 
-                await in_turn(ask, (ROOT_KEY, 'wrong'))
+                await run_in_order(ask, (ROOT_KEY, 'wrong'))
                 return replies
 
         known, stranger = run_virtual(scene())
@@ -182,7 +182,7 @@
                     # A resend of a refusal gets the same answer.
                     change('a', secret, 0, path='/x'),
                 )
-                await in_turn(ask, commands)
+                await run_in_order(ask, commands)
                 flood = [
                     proposals.change(
                         change(f'f{number}', '', 0, operator='no').change
--- a/tools/bench_consensus.py
+++ b/tools/bench_consensus.py
@@ -72,8 +72,8 @@
 async def leaderless(seed: int) -> float:
     """Return election timeouts from a kill until the next leader's commit."""
     async with Group(seed=seed) as group:
-        await group.settle(await group.propose_all(['first']))
-        await asyncio.sleep(group.chance.uniform(1, 3))
+        await group.wait_applied(await group.propose_all(['first']))
+        await asyncio.sleep(group.rng.uniform(1, 3))
         await group.crash(await group.leader())
         killed = asyncio.get_running_loop().time()
         await group.propose('next')
@@ -83,7 +83,7 @@
 async def idle_payload() -> float:
     """Return bytes a second of messages in an idle group, by payload."""
     async with Group() as group:
-        await group.settle(await group.propose_all(['first']))
+        await group.wait_applied(await group.propose_all(['first']))
         await asyncio.sleep(1)
         before = group.network.bytes
         await asyncio.sleep(_IDLE_SECONDS)
--- a/verbenathread/consensus/applier.py
+++ b/verbenathread/consensus/applier.py
@@ -48,17 +48,17 @@
         self._machine.restore(snapshot.image)
         self.applied_index = snapshot.index
         self.abandon_from(0)
-        self._state.changed.fire()
+        self._state.changed.notify_all()
 
     async def run(self) -> None:
         """Apply whatever becomes committed, for ever."""
         state = self._state
         running = True
         while running:
-            await state.changed.until(self._has_work)
+            await state.changed.wait_for(self._has_work)
             while self._has_work():
                 self._apply_next()
-            state.changed.fire()
+            state.changed.notify_all()
             await self._take_snapshot()
 
     def abandon_from(self, first: int) -> None:
--- a/verbenathread/consensus/changes.py
+++ b/verbenathread/consensus/changes.py
@@ -46,7 +46,7 @@
         if changed is None:
             return
         index = await self._leader.write_members(leading, changed, expected)
-        committed = await state.changed.until(
+        committed = await state.changed.wait_for(
             lambda: state.commit_index >= index or not state.leads(leading),
             deadline - state.clock.now(),
         )
@@ -68,13 +68,13 @@
             return False
         leading.handing_over = True
         deadline = state.clock.now() + limit
-        await state.changed.until(
+        await state.changed.wait_for(
             lambda: not state.leads(leading) or _is_ready(state, target),
             limit,
         )
         if state.leads(leading) and _is_ready(state, target):
             await self._ask_to_lead(leading, target)
-        handed = await state.changed.until(
+        handed = await state.changed.wait_for(
             lambda: not state.leads(leading), deadline - state.clock.now()
         )
         leading.handing_over = False
@@ -105,7 +105,7 @@
 
     async def _commit_own_term(self, leading: Leading, limit: Millis) -> None:
         state = self._state
-        await state.changed.until(
+        await state.changed.wait_for(
             lambda: (
                 state.commit_index >= leading.first_index
                 or not state.leads(leading)
@@ -175,7 +175,7 @@
         if known.voter:
             return None
         wanted = state.commit_index
-        caught_up = await state.changed.until(
+        caught_up = await state.changed.wait_for(
             lambda: progress.match_index >= wanted,
             deadline - state.clock.now(),
         )
--- a/verbenathread/consensus/election.py
+++ b/verbenathread/consensus/election.py
@@ -143,7 +143,7 @@
             self._tasks.spawn(
                 self._ask_one(member, request, store_by_id, asked)
             )
-        await state.changed.until(
+        await state.changed.wait_for(
             lambda: not asked or membership.is_quorum(members, store_by_id),
             state.settings.election_timeout,
         )
@@ -174,7 +174,7 @@
             )
         except UnavailableError:
             asked.discard(member.node_id)
-            state.changed.fire()
+            state.changed.notify_all()
             return
         await state.saw_term(reply.head.term)
         store = reply.head.sender_store
@@ -182,7 +182,7 @@
         if reply.granted and store and member.store_id in {'', store}:
             store_by_id[member.node_id] = store
         asked.discard(member.node_id)
-        state.changed.fire()
+        state.changed.notify_all()
 
     def _may_listen(self, request: VoteRequest) -> bool:
         """Tell whether an election may disturb the leader."""
--- a/verbenathread/consensus/leader.py
+++ b/verbenathread/consensus/leader.py
@@ -212,7 +212,7 @@
             return
         progress.heard = max(progress.heard, sent)
         progress.round = max(progress.round, reply.round)
-        state.changed.fire()
+        state.changed.notify_all()
 
     async def _replicate(self, leading: Leading, progress: Progress) -> None:
         """Send entries to one member for as long as the term lasts."""
@@ -321,7 +321,7 @@
         if state.log.term_at(index) == leading.term:
             state.commit_to(index)
             leading.wake()
-        state.changed.fire()
+        state.changed.notify_all()
 
 
 def _members_entry(members: LogMembers) -> LogEntry:
--- a/verbenathread/consensus/replica.py
+++ b/verbenathread/consensus/replica.py
@@ -81,7 +81,7 @@
         """
         settings = self._state.settings
         saved = await self._state.storage.load(
-            settings.cluster, settings.me.node_id
+            settings.cluster, settings.local_peer.node_id
         )
         self._state.load(saved)
         if saved.snapshot is not None:
@@ -90,12 +90,12 @@
         self._tasks.spawn(self._elections.run())
         self._tasks.spawn(self._applier.run())
 
-    async def stop(self, *, hand_over: bool = True) -> None:
+    async def stop(self, *, transfer_leadership: bool = True) -> None:
         """Stop; a leader first hands over and answers what is in progress."""
         state = self._state
-        if self._running and hand_over and state.leading is not None:
+        if self._running and transfer_leadership and state.leading is not None:
             await self._changes.hand_over(2 * state.settings.election_timeout)
-            await state.changed.until(
+            await state.changed.wait_for(
                 self._applier.is_idle, state.settings.election_timeout
             )
         self._halt()
@@ -166,7 +166,7 @@
         Raises UnavailableError when the replica stops meanwhile.
         """
         applier = self._applier
-        await self._state.changed.until(
+        await self._state.changed.wait_for(
             lambda: applier.applied_index > after or not self._running, limit
         )
         if applier.applied_index <= after:
@@ -176,7 +176,7 @@
     async def wait_leader(self, limit: Millis) -> None:
         """Return once a leader is known here, or after ``limit`` ms."""
         state = self._state
-        await state.changed.until(
+        await state.changed.wait_for(
             lambda: bool(state.leader_id) or not self._running, limit
         )
 
@@ -257,7 +257,7 @@
         self, leading: Leading, condition: Any, deadline: Millis
     ) -> None:
         state = self._state
-        done = await state.changed.until(
+        done = await state.changed.wait_for(
             lambda: condition() or not state.leads(leading),
             deadline - state.clock.now(),
         )
--- a/verbenathread/consensus/settings.py
+++ b/verbenathread/consensus/settings.py
@@ -8,10 +8,10 @@
 class ReplicaSettings(NamedTuple):
     """How one replica takes part in its group."""
 
-    me: Peer
+    local_peer: Peer
     cluster: str
     # The voters that form the group; used only by an empty store.
-    first_members: tuple[Peer, ...]
+    initial_members: tuple[Peer, ...]
     # Wait to be added to a group instead of forming one.
     join: bool = False
     # Silence of the leader after which a voter may stand for election; the
--- a/verbenathread/consensus/state.py
+++ b/verbenathread/consensus/state.py
@@ -123,7 +123,7 @@
         self.ballot = saved.ballot
         self.log.load((saved.base_index, saved.base_term), saved.entries)
         if saved.snapshot is None:
-            first = () if self.settings.join else self.settings.first_members
+            first = () if self.settings.join else self.settings.initial_members
             self.log.load_members(0, membership.members_of(first))
         else:
             self.commit_index = saved.snapshot.index
@@ -136,7 +136,7 @@
     @property
     def my_id(self) -> str:
         """Return the node id of this replica."""
-        return self.settings.me.node_id
+        return self.settings.local_peer.node_id
 
     @property
     def term(self) -> int:
@@ -250,13 +250,13 @@
             leading.work.set()
             leading.wake()
             leading.wake_beats()
-        self.changed.fire()
+        self.changed.notify_all()
 
     def commit_to(self, index: int) -> None:
         """Move the commit index forward; it never falls."""
         if index > self.commit_index:
             self.commit_index = index
-            self.changed.fire()
+            self.changed.notify_all()
 
 
 # A replica that never heard a leader waits for this part of the usual time.
--- a/verbenathread/consensus/waiting.py
+++ b/verbenathread/consensus/waiting.py
@@ -18,7 +18,7 @@
         self._clock = clock
         self._waiting: list[asyncio.Future[None]] = []
 
-    def fire(self) -> None:
+    def notify_all(self) -> None:
         """Let every waiting task look at its condition again."""
         waiting = self._waiting
         self._waiting = []
@@ -26,7 +26,7 @@
             if not future.done():
                 future.set_result(None)
 
-    async def until(
+    async def wait_for(
         self, condition: Callable[[], bool], limit: Millis | None = None
     ) -> bool:
         """Wait for ``condition``; return False after ``limit`` ms."""
--- a/verbenathread/control/daemon.py
+++ b/verbenathread/control/daemon.py
@@ -166,9 +166,9 @@
 def _replica_settings(settings: settings_pb2.NodeSettings) -> ReplicaSettings:
     control = settings.control
     return ReplicaSettings(
-        me=Peer(settings.node.id, parse_address(control.listen)),
+        local_peer=Peer(settings.node.id, parse_address(control.listen)),
         cluster=settings.node.cluster,
-        first_members=parse_peers(control.voters),
+        initial_members=parse_peers(control.voters),
         join=control.join,
         election_timeout=control.election_timeout,
         heartbeat=control.heartbeat,
--- a/verbenathread/directory/daemon.py
+++ b/verbenathread/directory/daemon.py
@@ -127,7 +127,7 @@
     async def stop(self, *, hand_over: bool = True) -> None:
         """Transfer leadership, finish calls in progress and shut down."""
         self._http_server.stopping = True
-        await self.replica.stop(hand_over=hand_over)
+        await self.replica.stop(transfer_leadership=hand_over)
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -155,9 +155,9 @@
         )
         return Replica(
             settings=ReplicaSettings(
-                me=self._own_peer,
+                local_peer=self._own_peer,
                 cluster=self._cluster,
-                first_members=first_members,
+                initial_members=first_members,
                 join=not section.bootstrap
                 or self._own_peer not in first_members,
                 election_timeout=section.election_timeout,
--- a/verbenathread/directory/service.py
+++ b/verbenathread/directory/service.py
@@ -76,7 +76,7 @@
             if members != self._members:
                 self._members = members
                 self._fleet_changes += 1
-            self._changed.fire()
+            self._changed.notify_all()
 
     def gateway_count(self) -> int:
         """Return the number of gateways that watch this process."""
@@ -144,7 +144,7 @@
                 await asyncio.sleep(seconds(_CONFIG_INTERVAL))
             sent = newly_sent
             has_changes = functools.partial(self._has_changes, sent)
-            await self._changed.until(has_changes, _UPDATE_INTERVAL)
+            await self._changed.wait_for(has_changes, _UPDATE_INTERVAL)
         await stream.send_message(messages.WatchUpdate(leader=self._leader()))
 
     def _has_changes(self, sent: _SentState) -> bool:
