--- a/verbenathread/entry/http_frontend.py
+++ b/verbenathread/entry/http_frontend.py
@@ -1,6 +1,7 @@
-"""Everything of an entry that speaks HTTP with callers and upstreams.
+"""The HTTP frontend of an entry, towards callers and upstreams.
 
-It is wired from ports only, so it can be embedded with other neighbours.
+It depends on its interfaces only, so it can be embedded with other
+implementations of them.
 """
 
 from functools import partial
@@ -42,8 +43,8 @@
 )
 
 
-class FrontendPorts(NamedTuple):
-    """The neighbours of the callers' side."""
+class FrontendInterfaces(NamedTuple):
+    """The interfaces that the frontend depends on."""
 
     settings: SharedSettings
     upstreams: Upstreams
@@ -58,7 +59,7 @@
     def __init__(
         self,
         listen: Address,
-        ports: FrontendPorts,
+        interfaces: FrontendInterfaces,
         owner: Owner,
         limits: Limits,
         metrics: EntryMetrics,
@@ -67,7 +68,7 @@
         engine_client: EngineClient | None = None,
         recorder: TraceRecorder | None = None,
     ) -> None:
-        """Wire the parts; nothing runs before :meth:`start`."""
+        """Create the components; nothing runs before :meth:`start`."""
         clock = clock or SystemClock()
         self._clock = clock
         self._pool = ConnectionPool(clock)
@@ -79,25 +80,25 @@
         self._pump = StreamPoller(clock)
         self.reaper = Reaper(
             self.engine_client,
-            ports.reservations,
-            ports.upstreams,
+            interfaces.reservations,
+            interfaces.upstreams,
             owner,
             clock,
-            partial(_known_engines, ports),
+            partial(_known_engines, interfaces),
         )
-        self.settler = Settler(ports.claims, clock)
+        self.settler = Settler(interfaces.claims, clock)
         self.body_budget = BodyBudget(limits.buffered_bytes)
         self._application = Application(
-            self._services(ports, owner, metrics), metrics
+            self._create_services(interfaces, owner, metrics), metrics
         )
         self.server = CallerServer(
             listen,
             ServerContext(limits, self.body_budget, self._application, clock),
         )
-        self._watch_metrics(ports, metrics)
+        self._register_metrics(interfaces, metrics)
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
         self.disconnect_watcher.start()
         self._pump.start()
         self.reaper.start()
@@ -105,15 +106,18 @@
         self.server.start()
 
     def refuse_new_work(self) -> None:
-        """Refuse new requests as not run; those in progress go on."""
+        """Refuse new requests as not run; those in progress continue."""
         self._application.stopping = True
 
     def drain(self, timeout: Millis) -> bool:
-        """Wait for requests in progress; False if some are left."""
+        """Wait up to ``timeout`` ms for requests in progress.
+
+        Return whether all of them have ended.
+        """
         return self.server.wait_idle(timeout)
 
     def stop(self, timeout: Millis) -> None:
-        """Stop serving; flush cancels and outcomes for up to ``limit`` ms."""
+        """Stop serving; flush cancels and outcomes for ``timeout`` ms."""
         deadline = self._clock.now() + timeout
         self.server.stop()
         self.settler.stop(max(0, deadline - self._clock.now()))
@@ -123,14 +127,17 @@
         self._pool.close()
         self._recorder.close()
 
-    def _services(
-        self, ports: FrontendPorts, owner: Owner, metrics: EntryMetrics
+    def _create_services(
+        self,
+        interfaces: FrontendInterfaces,
+        owner: Owner,
+        metrics: EntryMetrics,
     ) -> Services:
         retries = RetryBudgets(self._clock)
         relay = RelayDependencies(
             self.engine_client,
-            ports.reservations,
-            ports.upstreams,
+            interfaces.reservations,
+            interfaces.upstreams,
             self.reaper,
             self._pump,
             retries,
@@ -139,8 +146,8 @@
             self._clock,
         )
         models = ModelDependencies(
-            ports.settings,
-            ports.admissions,
+            interfaces.settings,
+            interfaces.admissions,
             relay,
             self.disconnect_watcher,
             metrics,
@@ -150,10 +157,10 @@
             self._clock,
         )
         plain = PlainDependencies(
-            ports.settings,
-            ports.upstreams,
-            ports.claims,
-            ports.admissions,
+            interfaces.settings,
+            interfaces.upstreams,
+            interfaces.claims,
+            interfaces.admissions,
             retries,
             self.settler,
             PlainClient(self._pool),
@@ -165,21 +172,23 @@
         return Services(
             ModelService(models),
             PlainService(plain),
-            AnnounceService(ports.settings, ports.upstreams),
+            AnnounceService(interfaces.settings, interfaces.upstreams),
         )
 
-    def _watch_metrics(
-        self, ports: FrontendPorts, metrics: EntryMetrics
+    def _register_metrics(
+        self, interfaces: FrontendInterfaces, metrics: EntryMetrics
     ) -> None:
         metrics.buffered.set_function(lambda: self.body_budget.used_bytes)
-        metrics.revision.set_function(ports.settings.revision)
+        metrics.revision.set_function(interfaces.settings.revision)
         metrics.unconfirmed_cancels.set_function(lambda: self.reaper.pending)
 
 
-def _known_engines(ports: FrontendPorts) -> tuple[UpstreamRecord, ...]:
-    found: list[UpstreamRecord] = []
-    for name in ports.settings.service_names():
-        for record in ports.upstreams.by_service(name):
+def _known_engines(
+    interfaces: FrontendInterfaces,
+) -> tuple[UpstreamRecord, ...]:
+    engines: list[UpstreamRecord] = []
+    for name in interfaces.settings.service_names():
+        for record in interfaces.upstreams.by_service(name):
             if record.kind == UpstreamKind.ENGINE:
-                found.append(record)
-    return tuple(found)
+                engines.append(record)
+    return tuple(engines)
