--- a/tests/cell_network.py
+++ b/tests/cell_network.py
@@ -96,7 +96,7 @@
         if cell is None:
             await asyncio.sleep(NEVER_S)
             raise AssertionError('a dead node can not reply')
-        reply = cell.answer(message)
+        reply = cell.handle_message(message)
         await self._travel(target, source, reply.ByteSize())
         return reply
 
--- a/tests/node_network.py
+++ b/tests/node_network.py
@@ -164,7 +164,7 @@
     async def exchange(self, peer_id, message):
         node = await self._connect(peer_id)
         copy = peer_pb2.PeerMessage.FromString(message.SerializeToString())
-        reply = node.cell.answer(copy)
+        reply = node.cell.handle_message(copy)
         await self._connect(peer_id)
         return reply
 
--- a/tests/test_entry_admissions.py
+++ b/tests/test_entry_admissions.py
@@ -78,16 +78,16 @@
         message = peer_pb2.PeerMessage(
             node_id=node_id, incarnation=self.incarnation_by_id[node_id]
         )
-        sender.compose(peer_id, message)
+        sender.fill_message(peer_id, message)
         lost = self.lost_part(self.exchanges)
         if lost == 'message':
             return
         reply = peer_pb2.PeerReply(
             node_id=peer_id, incarnation=self.incarnation_by_id[peer_id]
         )
-        receiver.answer(message, reply)
+        receiver.handle_message(message, reply)
         if lost != 'reply':
-            sender.absorb(peer_id, message, reply)
+            sender.handle_reply(peer_id, message, reply)
 
     def run(self, seconds, restart_at=None):
         """Send a call to each entry at each step; return how many it admits."""
--- a/tests/test_membership_engine_leases.py
+++ b/tests/test_membership_engine_leases.py
@@ -12,14 +12,14 @@
 from verbenathread.membership.engine_leases import (
     DRIFT_PER_MILLE,
     EngineLeases,
-    Step,
+    Phase,
 )
 from verbenathread.membership.hashing import preferred_node
 from verbenathread.membership.lease_acceptor import (
-    LONGEST_LEASE_MS,
-    Answer,
+    MAX_LEASE_MS,
     Ballot,
     LeaseAcceptor,
+    LeaseResponse,
     Verdict,
 )
 
@@ -126,7 +126,7 @@
     def send(self, node_id, peer_id):
         leases = self.leases_by_id[node_id]
         life = self.life_by_id[node_id]
-        for ask in leases.take_asks(peer_id):
+        for ask in leases.take_requests(peer_id):
             self.later(
                 partial(self.deliver, leases, life, node_id, peer_id, ask)
             )
@@ -135,13 +135,13 @@
         if self.true_now < self.frozen_until_by_id[peer_id]:
             return
         peer = self.leases_by_id[peer_id]
-        answer = peer.answer(node_id, life, ask, leases.lease)
+        answer = peer.handle_request(node_id, life, ask, leases.lease)
         peer_life = self.life_by_id[peer_id]
 
         def reply():
             awake = self.true_now >= self.frozen_until_by_id[node_id]
             if self.leases_by_id[node_id] is leases and awake:
-                leases.absorb(peer_id, peer_life, ask, answer)
+                leases.handle_response(peer_id, peer_life, ask, answer)
 
         self.later(reply)
 
@@ -193,42 +193,42 @@
         self.leases = EngineLeases(
             IDS, acceptor, self.clock, lambda node_id: None, node_id='a'
         )
-        self.clock.advance(LONGEST_LEASE_MS + 1)
+        self.clock.advance(MAX_LEASE_MS + 1)
 
     def ask(self):
         """Let the proposer act and return what it asks of ``b``."""
         self.leases.run_step([ENGINE], frozenset(IDS[:2]), ())
-        return self.leases.take_asks('b')[0]
+        return self.leases.take_requests('b')[0]
 
     def absorb(self, ask):
-        self.leases.absorb('b', 9, ask, Answer(Verdict.OPEN))
+        self.leases.handle_response('b', 9, ask, LeaseResponse(Verdict.GRANTED))
 
     def acquire(self):
         self.absorb(self.ask())
-        self.absorb(self.leases.take_asks('b')[0])
+        self.absorb(self.leases.take_requests('b')[0])
         self.assertTrue(self.leases.holds(ENGINE))
 
     def test_acceptor_takes_only_what_it_promised(self):
         promised = Ballot(5, 'b', 1)
         for name, ballot, life, verdict in (
-            ('same', promised, 1, Verdict.OPEN),
+            ('same', promised, 1, Verdict.GRANTED),
             ('lower', Ballot(4, 'c', 1), 1, Verdict.REFUSED),
             ('greater, unprepared', Ballot(6, 'c', 1), 1, Verdict.REFUSED),
             ('promise of a former life', promised, 0, Verdict.REFUSED),
         ):
             with self.subTest(name):
                 acceptor = LeaseAcceptor(self.clock, 1)
-                self.clock.advance(LONGEST_LEASE_MS + 1)
+                self.clock.advance(MAX_LEASE_MS + 1)
                 acceptor.prepare(1, promised)
-                answer = acceptor.propose(1, ballot, life, LONGEST_LEASE_MS)
+                answer = acceptor.propose(1, ballot, life, MAX_LEASE_MS)
                 self.assertIs(answer.verdict, verdict)
 
     def test_a_lapsed_lease_needs_a_new_prepare(self):
         self.acquire()
-        self.clock.advance(LONGEST_LEASE_MS // 2)
+        self.clock.advance(MAX_LEASE_MS // 2)
         renewal = self.ask()
-        self.assertIs(renewal.step, Step.PROPOSE)
-        self.clock.advance(LONGEST_LEASE_MS // 2)
+        self.assertIs(renewal.phase, Phase.PROPOSE)
+        self.clock.advance(MAX_LEASE_MS // 2)
         self.absorb(renewal)
         self.assertFalse(self.leases.holds(ENGINE))
 
@@ -237,7 +237,7 @@
         held_until = self.leases.held_until(ENGINE)
         renewals = []
         for _ in range(2):
-            self.clock.advance(LONGEST_LEASE_MS // 3 + 1)
+            self.clock.advance(MAX_LEASE_MS // 3 + 1)
             renewals.append(self.ask())
         self.absorb(renewals[0])
         self.assertEqual(self.leases.held_until(ENGINE), held_until)
@@ -249,9 +249,10 @@
     def test_a_proposal_of_another_life_is_not_sent(self):
         leases = World(1).leases_by_id['a']
         leases.run_step([ENGINE], frozenset('a'), ())
-        asks = leases.take_asks('b')
-        self.assertEqual(wire.ordered_asks(asks, 7), asks)
+        asks = leases.take_requests('b')
+        self.assertEqual(wire.order_requests(asks, 7), asks)
         stale = [
-            ask._replace(step=type(ask.step).PROPOSE, life=6) for ask in asks
+            ask._replace(phase=type(ask.phase).PROPOSE, acceptor_incarnation=6)
+            for ask in asks
         ]
-        self.assertEqual(wire.ordered_asks(stale, 7), ())
+        self.assertEqual(wire.order_requests(stale, 7), ())
--- a/tests/test_observability.py
+++ b/tests/test_observability.py
@@ -8,7 +8,7 @@
 
 from verbenathread import cmdline
 from verbenathread.observability.bounded_output import BoundedOutput
-from verbenathread.observability.story import tell
+from verbenathread.observability.request_history import format_request_history
 
 
 def line(node, clock, event, **said):
@@ -53,7 +53,7 @@
 
 class StoryTest(unittest.TestCase):
     def test_the_story_is_in_order_and_about_one_request(self):
-        told = tell(LINES, 'r1')
+        told = format_request_history(LINES, 'r1')
         self.assertEqual(
             told,
             [
--- a/verbenathread/commands.py
+++ b/verbenathread/commands.py
@@ -15,7 +15,7 @@
     run_gateway,
 )
 from verbenathread.exceptions import SettingsError, UsageError
-from verbenathread.observability.story import tell
+from verbenathread.observability.request_history import format_request_history
 from verbenathread.settings.node import check_node_text, load_node_settings
 from verbenathread.settings.rules import Problem, options_of
 from verbenathread.settings.tree import ROOT_PATH, check_tree
@@ -73,7 +73,7 @@
 
 
 def _run_story(request_id: str) -> Rendered:
-    lines = tell(sys.stdin, request_id)
+    lines = format_request_history(sys.stdin, request_id)
     if not lines:
         raise UsageError(
             f'no line names request {request_id}; give the logs of the'
--- a/verbenathread/entry/admissions.py
+++ b/verbenathread/entry/admissions.py
@@ -91,7 +91,9 @@
                 name, account, 0, self._clock.now(), is_long=False
             )
 
-    def compose(self, peer_id: NodeId, message: peer_pb2.PeerMessage) -> None:
+    def fill_message(
+        self, peer_id: NodeId, message: peer_pb2.PeerMessage
+    ) -> None:
         """Add the usage that changed since the peer last confirmed it."""
         confirmed = self._confirmed_by_peer.get(peer_id)
         now = self._clock.now()
@@ -107,7 +109,7 @@
             ):
                 message.usages.append(peer_pb2.AccountUse(**usage._asdict()))
 
-    def answer(
+    def handle_message(
         self, message: peer_pb2.PeerMessage, reply: peer_pb2.PeerReply
     ) -> None:
         """Count what a peer admitted; usage it does not report is unchanged.
@@ -128,7 +130,7 @@
                 message.node_id, _usages_of(message), self._clock.now()
             )
 
-    def absorb(
+    def handle_reply(
         self,
         peer_id: NodeId,
         message: peer_pb2.PeerMessage,
--- a/verbenathread/entry/cell_node.py
+++ b/verbenathread/entry/cell_node.py
@@ -90,7 +90,7 @@
         )
         self._loads.connect(self.cell.table, self.reservations)
         self.admissions.connect(self.cell.table)
-        self.cell.carry(
+        self.cell.add_extensions(
             self._loads, self._fetcher, self.outbox, self.admissions
         )
         addresses = parse_addresses(settings.entry.control)
--- a/verbenathread/entry/engine_owners.py
+++ b/verbenathread/entry/engine_owners.py
@@ -111,7 +111,7 @@
     ) -> None:
         """Cancel a call when its owner stops sending messages."""
         view = self._cell.views.by_id[owner_id]
-        while view.alive(self._clock.now()):
+        while view.is_alive(self._clock.now()):
             await asyncio.sleep(seconds(_LIVENESS_CHECK_MS))
         call.cancel()
 
@@ -127,7 +127,7 @@
             view = self._cell.views.by_id[owner_id]
             start_by = None
             if view.incarnation == reply.owner_incarnation:
-                start_by = view.earliest_local(reply.start_by_ms)
+                start_by = view.earliest_local_time(reply.start_by_ms)
         if start_by is None or start_by <= self._clock.now():
             # Too late to use: the owner reclaims the memory by itself.
             return reservation_messages.not_owner_reply(owner_id, upstream_id)
--- a/verbenathread/entry/hold_outbox.py
+++ b/verbenathread/entry/hold_outbox.py
@@ -53,7 +53,9 @@
         self._pending_by_id[_key(update)] = pending
         self._deliver(pending)
 
-    def compose(self, peer_id: NodeId, message: peer_pb2.PeerMessage) -> None:
+    def fill_message(
+        self, peer_id: NodeId, message: peer_pb2.PeerMessage
+    ) -> None:
         """Add the updates whose engines the peer owns."""
         sent = {}
         for key, pending in self._pending_by_id.items():
@@ -62,7 +64,7 @@
                 sent[key] = pending.number
         self._sent_by_peer[peer_id] = sent
 
-    def answer(
+    def handle_message(
         self, message: peer_pb2.PeerMessage, reply: peer_pb2.PeerReply
     ) -> None:
         """Apply the updates of a peer."""
@@ -70,7 +72,7 @@
             if not self._host.update(update):
                 reply.not_owned.append(update.upstream_id)
 
-    def absorb(
+    def handle_reply(
         self,
         peer_id: NodeId,
         message: peer_pb2.PeerMessage,
--- a/verbenathread/entry/ledger_host.py
+++ b/verbenathread/entry/ledger_host.py
@@ -15,7 +15,7 @@
 from verbenathread.entry.owned_engine import ARRIVAL_MS, OwnedEngine
 from verbenathread.exceptions import UnavailableError
 from verbenathread.membership.cell import Cell
-from verbenathread.membership.engine_leases import lengthened
+from verbenathread.membership.engine_leases import safe_wait
 from verbenathread.observability.logs import get_logger
 from verbenathread.scheduling.ledger import START_TIMEOUT, EngineLedger
 from verbenathread.scheduling.messages import EngineHold, EngineReport
@@ -151,7 +151,7 @@
             _log.info('Engine lease ended.', engine=upstream_id)
 
     async def _take_over(self, upstream_id: UpstreamId, term: int) -> None:
-        await asyncio.sleep(seconds(lengthened(START_TIMEOUT) + ARRIVAL_MS))
+        await asyncio.sleep(seconds(safe_wait(START_TIMEOUT) + ARRIVAL_MS))
         while self._term_by_id.get(upstream_id) == term:
             record = self._cell.table.get(upstream_id)
             if record is None:
@@ -238,7 +238,7 @@
         if entry_id == identity.node_id:
             return incarnation in {0, identity.incarnation}
         view = self._cell.views.by_id.get(entry_id)
-        if view is None or not view.alive(self._clock.now()):
+        if view is None or not view.is_alive(self._clock.now()):
             return False
         return incarnation in {0, view.incarnation}
 
--- a/verbenathread/entry/load_reports.py
+++ b/verbenathread/entry/load_reports.py
@@ -38,7 +38,9 @@
         self._table = table
         self._reservations = reservations
 
-    def compose(self, peer_id: NodeId, message: peer_pb2.PeerMessage) -> None:
+    def fill_message(
+        self, peer_id: NodeId, message: peer_pb2.PeerMessage
+    ) -> None:
         """Add the loads that changed since the last message to a peer."""
         sent_at = self._sent_at_by_peer.get(peer_id, 0)
         now = self._clock.now()
@@ -47,7 +49,7 @@
                 message.loads.append(self._load_by_engine[engine])
         self._sent_at_by_peer[peer_id] = now
 
-    def answer(
+    def handle_message(
         self, message: peer_pb2.PeerMessage, reply: peer_pb2.PeerReply
     ) -> None:
         """Pass on what a peer reports about its engines."""
@@ -59,7 +61,7 @@
             if report is not None:
                 self._reservations.record_report(report)
 
-    def absorb(
+    def handle_reply(
         self,
         peer_id: NodeId,
         message: peer_pb2.PeerMessage,
--- a/verbenathread/entry/peer_server.py
+++ b/verbenathread/entry/peer_server.py
@@ -49,7 +49,7 @@
             if message is None:
                 return
             try:
-                reply = self._cell.answer(message)
+                reply = self._cell.handle_message(message)
             except UnavailableError as error:
                 raise grpclib.GRPCError(
                     grpclib.Status.FAILED_PRECONDITION, str(error)
--- a/verbenathread/entry/settings_fetcher.py
+++ b/verbenathread/entry/settings_fetcher.py
@@ -29,17 +29,19 @@
         self._channels = channels
         self._revision_by_peer: dict[NodeId, int] = {}
 
-    def compose(self, peer_id: NodeId, message: peer_pb2.PeerMessage) -> None:
+    def fill_message(
+        self, peer_id: NodeId, message: peer_pb2.PeerMessage
+    ) -> None:
         """Add the revision in force on this node."""
         message.revision = self._settings_store.revision()
 
-    def answer(
+    def handle_message(
         self, message: peer_pb2.PeerMessage, reply: peer_pb2.PeerReply
     ) -> None:
         """Record the revision in force at a peer."""
         self._revision_by_peer[message.node_id] = message.revision
 
-    def absorb(
+    def handle_reply(
         self,
         peer_id: NodeId,
         message: peer_pb2.PeerMessage,
--- a/verbenathread/gateway/reports.py
+++ b/verbenathread/gateway/reports.py
@@ -11,7 +11,7 @@
 from verbenathread.clock import seconds
 from verbenathread.gateway.view import View
 from verbenathread.gateway.worker_call import Caller
-from verbenathread.membership.hashing import Preferences
+from verbenathread.membership.hashing import PreferredNodeCache
 from verbenathread.observability.logs import get_logger
 from verbenathread.serving.dialect import Dialect
 from verbenathread.serving.types import Worker
@@ -54,7 +54,7 @@
         self._caller = caller
         self._dialect = dialect
         self._listeners = tuple(listeners)
-        self._preferences = Preferences()
+        self._preferences = PreferredNodeCache()
         self._misses_by_id: dict[str, int] = {}
         self._pace_by_id: dict[str, float] = {}
 
@@ -70,7 +70,7 @@
         )
         mine = []
         for worker in self._engines():
-            preferred = self._preferences.node(worker.worker_id, node_ids)
+            preferred = self._preferences.get(worker.worker_id, node_ids)
             if preferred == self._node_id:
                 mine.append(worker)
         return mine
--- a/verbenathread/membership/cell.py
+++ b/verbenathread/membership/cell.py
@@ -15,7 +15,7 @@
 from verbenathread.membership.engine_leases import EngineLeases
 from verbenathread.membership.gossip import Gossip
 from verbenathread.membership.lease_acceptor import (
-    LONGEST_LEASE_MS,
+    MAX_LEASE_MS,
     LeaseAcceptor,
 )
 from verbenathread.membership.peer_view import PeerViews
@@ -34,9 +34,9 @@
 )
 
 # A peer without news still gets a message this often.
-IDLE_MS = 1000
+HEARTBEAT_INTERVAL_MS = 1000
 # Time that a peer has to reply.
-EXCHANGE_MS = 1000
+EXCHANGE_TIMEOUT_MS = 1000
 # Pause after a failed exchange; it doubles up to the idle time.
 _FIRST_RETRY_MS = 50
 # Messages to one peer are at least this far apart, to gather news.
@@ -66,18 +66,20 @@
         """Return the reply, or raise :class:`PeerUnreachableError`."""
 
 
-class Rider(Protocol):
+class MessageExtension(Protocol):
     """Something else that travels with the messages of a cell."""
 
-    def compose(self, peer_id: NodeId, message: peer_pb2.PeerMessage) -> None:
+    def fill_message(
+        self, peer_id: NodeId, message: peer_pb2.PeerMessage
+    ) -> None:
         """Put what is due for a peer into a message to it."""
 
-    def answer(
+    def handle_message(
         self, message: peer_pb2.PeerMessage, reply: peer_pb2.PeerReply
     ) -> None:
         """Take what came with a message, and put what is due in its reply."""
 
-    def absorb(
+    def handle_reply(
         self,
         peer_id: NodeId,
         message: peer_pb2.PeerMessage,
@@ -108,7 +110,7 @@
         clock: Clock,
         lease_of: Callable[[str], Millis],
         *,
-        lease: Millis = LONGEST_LEASE_MS,
+        lease: Millis = MAX_LEASE_MS,
     ) -> None:
         """Take what carries messages, and the upstream lease of a service."""
         self.identity = identity
@@ -124,7 +126,7 @@
             node_id=identity.node_id,
             lease=lease,
         )
-        self._riders: tuple[Rider, ...] = ()
+        self._riders: tuple[MessageExtension, ...] = ()
         self._clock = clock
         self._transport = transport
         self._upstream_leases = UpstreamLeases(
@@ -137,9 +139,9 @@
         self._questions: tuple[int, ...] = ()
         self._tasks: tuple[asyncio.Task[None], ...] = ()
 
-    def carry(self, *riders: Rider) -> None:
+    def add_extensions(self, *extensions: MessageExtension) -> None:
         """Let these travel with the messages; call it before the start."""
-        self._riders = (*self._riders, *riders)
+        self._riders = (*self._riders, *extensions)
 
     def start(self) -> None:
         """Start one task for each peer and two for leases."""
@@ -159,7 +161,7 @@
         self.engine_leases.release_all()
         for peer_id in self.views.by_id:
             self.wake(peer_id)
-        await asyncio.sleep(seconds(IDLE_MS // 2))
+        await asyncio.sleep(seconds(HEARTBEAT_INTERVAL_MS // 2))
         await self.close()
 
     async def close(self) -> None:
@@ -173,10 +175,10 @@
         """Take an announcement or a renewal; return what holds now."""
         now = self._clock.now()
         if self.table.announce(record, now):
-            self._gossip.spread(record.upstream_id)
+            self._gossip.enqueue(record.upstream_id)
         held = self.table.get(record.upstream_id) or record
         if held.incarnation == record.incarnation:
-            self._upstream_leases.heard(record.upstream_id, now)
+            self._upstream_leases.record_renewal(record.upstream_id, now)
         return held
 
     async def leave(self, upstream_id: UpstreamId, incarnation: int) -> bool:
@@ -190,7 +192,9 @@
             self._retire(held, UpstreamState.LEAVING)
         return await self._spread_enough(upstream_id)
 
-    def answer(self, message: peer_pb2.PeerMessage) -> peer_pb2.PeerReply:
+    def handle_message(
+        self, message: peer_pb2.PeerMessage
+    ) -> peer_pb2.PeerReply:
         """Take a peer's message and return the reply."""
         now = self._clock.now()
         reply = peer_pb2.PeerReply(
@@ -206,24 +210,24 @@
                 f'{message.node_id} is not in the cell of this entry: '
                 + 'list the same entries under [entry] cell on every VM'
             )
-        if not view.heard(message.incarnation, message.stopping, now):
+        if not view.record_message(message.incarnation, message.stopping, now):
             raise PeerUnreachableError(
                 f'{message.node_id} sends as a former incarnation: stop the '
                 + 'older process of the two that share this name'
             )
-        self._gossip.answer(message.node_id, message, reply, now)
+        self._gossip.handle_message(message.node_id, message, reply, now)
         for rider in self._riders:
-            rider.answer(message, reply)
+            rider.handle_message(message, reply)
         for upstream_hash in message.heard_asks:
-            age = self._upstream_leases.age(upstream_hash, now)
+            age = self._upstream_leases.renewal_age(upstream_hash, now)
             reply.heard_ages.append(0 if age is None else age + 1)
-        wire.put_answers(
+        wire.add_responses(
             reply,
             [
-                self.engine_leases.answer(
+                self.engine_leases.handle_request(
                     message.node_id, message.incarnation, ask, message.lease_ms
                 )
-                for ask in wire.asks_from(message)
+                for ask in wire.decode_requests(message)
             ],
         )
         return reply
@@ -248,7 +252,7 @@
 
     def _retire(self, record: UpstreamRecord, state: UpstreamState) -> None:
         if self.table.retire(record, state, self._clock.now()):
-            self._gossip.spread(record.upstream_id)
+            self._gossip.enqueue(record.upstream_id)
 
     async def _spread_enough(self, upstream_id: UpstreamId) -> bool:
         if not self.views.by_id:
@@ -273,7 +277,7 @@
                 if pause == _FIRST_RETRY_MS:
                     _log.info('A peer is out of reach.', why=str(error))
                 await asyncio.sleep(seconds(pause))
-                pause = min(pause * 2, IDLE_MS)
+                pause = min(pause * 2, HEARTBEAT_INTERVAL_MS)
                 continue
             pause = _FIRST_RETRY_MS
             await self._wait_for_news(peer_id)
@@ -289,38 +293,40 @@
             lease_ms=self.engine_leases.lease,
             stopping=self.stopping,
         )
-        self._gossip.compose(peer_id, message)
+        self._gossip.fill_message(peer_id, message)
         message.heard_asks.extend(self._questions)
         for rider in self._riders:
-            rider.compose(peer_id, message)
-        asks = wire.ordered_asks(
-            self.engine_leases.take_asks(peer_id), view.incarnation
+            rider.fill_message(peer_id, message)
+        asks = wire.order_requests(
+            self.engine_leases.take_requests(peer_id), view.incarnation
         )
-        wire.put_asks(message, asks, view.incarnation)
+        wire.add_requests(message, asks, view.incarnation)
         try:
-            async with asyncio.timeout(seconds(EXCHANGE_MS)):
+            async with asyncio.timeout(seconds(EXCHANGE_TIMEOUT_MS)):
                 reply = await self._transport.exchange(peer_id, message)
         except TimeoutError:
             raise PeerUnreachableError(
                 f'{peer_id} did not reply in time: see whether it runs'
             ) from None
         now = self._clock.now()
-        if not view.heard(reply.incarnation, reply.stopping, now):
+        if not view.record_message(reply.incarnation, reply.stopping, now):
             return
-        view.note_clock(sent_at, reply.now_ms)
-        self._gossip.absorb(peer_id, message, reply, now)
+        view.record_clock(sent_at, reply.now_ms)
+        self._gossip.handle_reply(peer_id, message, reply, now)
         for rider in self._riders:
-            rider.absorb(peer_id, message, reply)
-        self._upstream_leases.absorb(
-            peer_id, wire.heard_from(message, reply), sent_at
+            rider.handle_reply(peer_id, message, reply)
+        self._upstream_leases.handle_renewal_ages(
+            peer_id, wire.decode_renewal_ages(message, reply), sent_at
         )
-        for ask, answer in zip(asks, wire.answers_from(reply), strict=True):
-            self.engine_leases.absorb(peer_id, reply.incarnation, ask, answer)
+        for ask, answer in zip(asks, wire.decode_responses(reply), strict=True):
+            self.engine_leases.handle_response(
+                peer_id, reply.incarnation, ask, answer
+            )
 
     async def _wait_for_news(self, peer_id: NodeId) -> None:
         event = self._event_by_peer[peer_id]
         try:
-            async with asyncio.timeout(seconds(IDLE_MS)):
+            async with asyncio.timeout(seconds(HEARTBEAT_INTERVAL_MS)):
                 await event.wait()
         except TimeoutError:
             return
@@ -331,7 +337,7 @@
             self.engine_leases.run_step(
                 self.engine_ids(),
                 self.serving_ids(),
-                self.views.settled_ids(self._clock.now()),
+                self.views.stable_ids(self._clock.now()),
             )
             await asyncio.sleep(seconds(_ENGINE_STEP_MS))
 
@@ -339,12 +345,12 @@
         while True:
             now = self._clock.now()
             alive_ids = self.views.alive_ids(now)
-            findings = self._upstream_leases.look(now, alive_ids)
-            self._questions = findings.asks
-            for record in findings.ended:
+            findings = self._upstream_leases.check(now, alive_ids)
+            self._questions = findings.queries
+            for record in findings.expired:
                 _log.info('A lease ended.', upstream=record.upstream_id)
                 self._retire(record, UpstreamState.GONE)
-            self.table.forget_gone(now)
+            self.table.expire_tombstones(now)
             await asyncio.sleep(seconds(_UPSTREAM_STEP_MS))
 
 
--- a/verbenathread/membership/engine_leases.py
+++ b/verbenathread/membership/engine_leases.py
@@ -14,12 +14,12 @@
 from typing import NamedTuple
 
 from verbenathread.clock import Clock
-from verbenathread.membership.hashing import Preferences, hash64
+from verbenathread.membership.hashing import PreferredNodeCache, hash64
 from verbenathread.membership.lease_acceptor import (
-    LONGEST_LEASE_MS,
-    Answer,
+    MAX_LEASE_MS,
     Ballot,
     LeaseAcceptor,
+    LeaseResponse,
     Verdict,
 )
 from verbenathread.types import Millis, NodeId, UpstreamId
@@ -37,7 +37,7 @@
 _HAND_BACK_MS = 5000
 
 
-class Step(enum.Enum):
+class Phase(enum.Enum):
     """The kinds of ask that a proposer sends."""
 
     PREPARE = 'prepare'
@@ -45,45 +45,45 @@
     RELEASE = 'release'
 
 
-class LeaseAsk(NamedTuple):
+class LeaseRequest(NamedTuple):
     """One ask to one acceptor."""
 
-    step: Step
+    phase: Phase
     engine: int
     round: int
     # Life of the acceptor that gave the promise behind a proposal.
-    life: int
+    acceptor_incarnation: int
     # When the lease starts to count; never sent.
-    began: Millis
+    started_at: Millis
 
 
-def shortened(lease: Millis) -> Millis:
+def safe_lease(lease: Millis) -> Millis:
     """Return how long an owner may rely on a lease by its own clock."""
     return lease - lease * 2 * DRIFT_PER_MILLE // _MILLE - _ROUNDING_MS
 
 
-def lengthened(wait: Millis) -> Millis:
+def safe_wait(wait: Millis) -> Millis:
     """Return how long to wait so that ``wait`` ms passed on any clock."""
     return wait + wait * 2 * DRIFT_PER_MILLE // _MILLE + _ROUNDING_MS
 
 
-class _Engine:
+class _EngineState:
     """What the proposer knows of one engine."""
 
     def __init__(self, upstream_id: UpstreamId) -> None:
         self.upstream_id = upstream_id
         self.engine = hash64(upstream_id)
         self.round = 0
-        self.step = Step.RELEASE
-        self.began: Millis = 0
+        self.phase = Phase.RELEASE
+        self.started_at: Millis = 0
         # Whether the running proposal renews a lease without a prepare.
-        self.renews = False
-        self.life_by_node: dict[NodeId, int] = {}
+        self.renewing = False
+        self.incarnation_by_node: dict[NodeId, int] = {}
         self.accepted_ids: set[NodeId] = set()
         self.held_until: Millis = 0
         # Grows with each acquisition after a time without the lease.
         self.term = 0
-        self.act_at: Millis = 0
+        self.next_action_at: Millis = 0
 
 
 class EngineLeases:
@@ -97,7 +97,7 @@
         wake: Callable[[NodeId], None],
         *,
         node_id: NodeId,
-        lease: Millis = LONGEST_LEASE_MS,
+        lease: Millis = MAX_LEASE_MS,
     ) -> None:
         """Take the nodes of the cell, this one included."""
         self.lease = lease
@@ -107,11 +107,11 @@
         self._acceptor = acceptor
         self._clock = clock
         self._wake = wake
-        self._state_by_engine: dict[int, _Engine] = {}
-        self._asks_by_node: dict[NodeId, dict[int, LeaseAsk]] = {}
+        self._state_by_engine: dict[int, _EngineState] = {}
+        self._asks_by_node: dict[NodeId, dict[int, LeaseRequest]] = {}
         self._highest_round = 0
         self._hand_back_at: Millis = 0
-        self._preferences = Preferences()
+        self._preferences = PreferredNodeCache()
 
     def holds(self, upstream_id: UpstreamId) -> bool:
         """Tell whether this node owns the engine at this moment."""
@@ -155,7 +155,7 @@
         self,
         upstream_ids: Iterable[UpstreamId],
         alive_ids: frozenset[NodeId],
-        settled_ids: Collection[NodeId],
+        stable_ids: Collection[NodeId],
     ) -> None:
         """Acquire, renew and hand back what is due.
 
@@ -166,22 +166,24 @@
         now = self._clock.now()
         states = [self._state(upstream_id) for upstream_id in upstream_ids]
         due_by = now
-        if any(state.act_at <= now < state.held_until for state in states):
+        if any(
+            state.next_action_at <= now < state.held_until for state in states
+        ):
             # One message renews all that are due soon as well.
             due_by += self.lease // _RENEWALS_PER_LEASE // 2
         for state in states:
             if now < state.held_until:
-                self._keep(state, alive_ids, settled_ids, due_by)
-            elif now >= state.act_at and self._node_id in alive_ids:
+                self._keep(state, alive_ids, stable_ids, due_by)
+            elif now >= state.next_action_at and self._node_id in alive_ids:
                 self._acquire(state, alive_ids)
 
     def release(self, upstream_id: UpstreamId) -> None:
         """Give a lease up; the caller has stopped to rely on it."""
         state = self._state(upstream_id)
         state.held_until = 0
-        state.step = Step.RELEASE
-        state.act_at = self._clock.now() + self.lease
-        for node_id, life in state.life_by_node.items():
+        state.phase = Phase.RELEASE
+        state.next_action_at = self._clock.now() + self.lease
+        for node_id, life in state.incarnation_by_node.items():
             self._ask(node_id, self._new_ask(state, life))
 
     def release_all(self) -> None:
@@ -190,44 +192,59 @@
             if self.holds(state.upstream_id):
                 self.release(state.upstream_id)
 
-    def take_asks(self, node_id: NodeId) -> tuple[LeaseAsk, ...]:
+    def take_requests(self, node_id: NodeId) -> tuple[LeaseRequest, ...]:
         """Return and forget the asks that wait for one acceptor."""
         asks = self._asks_by_node.pop(node_id, {})
         return tuple(asks.values())
 
-    def absorb(
-        self, node_id: NodeId, life: int, ask: LeaseAsk, answer: Answer
+    def handle_response(
+        self,
+        node_id: NodeId,
+        acceptor_incarnation: int,
+        request: LeaseRequest,
+        response: LeaseResponse,
     ) -> None:
         """Take one acceptor's answer to one ask."""
-        state = self._state_by_engine.get(ask.engine)
+        state = self._state_by_engine.get(request.engine)
         if state is None:
             return
-        self._highest_round = max(self._highest_round, answer.promised_round)
-        if (ask.round, ask.began) != (state.round, state.began):
+        self._highest_round = max(self._highest_round, response.promised_round)
+        if (request.round, request.started_at) != (
+            state.round,
+            state.started_at,
+        ):
             return
-        if answer.verdict is not Verdict.OPEN:
-            if ask.step is Step.PROPOSE:
+        if response.verdict is not Verdict.GRANTED:
+            if request.phase is Phase.PROPOSE:
                 # Its promise is gone; the next renewal prepares anew.
-                state.life_by_node.pop(node_id, None)
+                state.incarnation_by_node.pop(node_id, None)
             return
-        if ask.step is Step.PREPARE:
-            self._promised(state, node_id, life)
-        elif ask.step is Step.PROPOSE and ask.step is state.step:
+        if request.phase is Phase.PREPARE:
+            self._promised(state, node_id, acceptor_incarnation)
+        elif request.phase is Phase.PROPOSE and request.phase is state.phase:
             self._accepted(state, node_id)
 
-    def answer(
-        self, node_id: NodeId, incarnation: int, ask: LeaseAsk, lease: Millis
-    ) -> Answer:
+    def handle_request(
+        self,
+        node_id: NodeId,
+        incarnation: int,
+        request: LeaseRequest,
+        lease: Millis,
+    ) -> LeaseResponse:
         """Answer another proposer's ask, or this node's own."""
-        ballot = Ballot(ask.round, node_id, incarnation)
-        if ask.step is Step.PREPARE:
-            return self._acceptor.prepare(ask.engine, ballot)
-        if ask.step is Step.PROPOSE:
-            return self._acceptor.propose(ask.engine, ballot, ask.life, lease)
-        return self._acceptor.release(ask.engine, ballot)
-
-    def _acquire(self, state: _Engine, alive_ids: frozenset[NodeId]) -> None:
-        preferred = self._preferences.node(state.upstream_id, alive_ids)
+        ballot = Ballot(request.round, node_id, incarnation)
+        if request.phase is Phase.PREPARE:
+            return self._acceptor.prepare(request.engine, ballot)
+        if request.phase is Phase.PROPOSE:
+            return self._acceptor.propose(
+                request.engine, ballot, request.acceptor_incarnation, lease
+            )
+        return self._acceptor.release(request.engine, ballot)
+
+    def _acquire(
+        self, state: _EngineState, alive_ids: frozenset[NodeId]
+    ) -> None:
+        preferred = self._preferences.get(state.upstream_id, alive_ids)
         if preferred != self._node_id:
             return
         if self.owner(state.upstream_id) is None:
@@ -235,60 +252,62 @@
 
     def _keep(
         self,
-        state: _Engine,
+        state: _EngineState,
         alive_ids: frozenset[NodeId],
         settled_ids: Collection[NodeId],
         due_by: Millis,
     ) -> None:
         now = self._clock.now()
-        preferred = self._preferences.node(state.upstream_id, alive_ids)
+        preferred = self._preferences.get(state.upstream_id, alive_ids)
         if preferred in settled_ids and now >= self._hand_back_at:
             self._hand_back_at = now + _HAND_BACK_MS
             self.release(state.upstream_id)
             return
-        if state.act_at > due_by:
+        if state.next_action_at > due_by:
             return
-        if state.life_by_node.keys() >= alive_ids:
-            state.renews = True
-            state.began = now
+        if state.incarnation_by_node.keys() >= alive_ids:
+            state.renewing = True
+            state.started_at = now
             self._propose(state)
         else:
             self._prepare(state)
-        state.act_at = now + self.lease // _RENEWALS_PER_LEASE
+        state.next_action_at = now + self.lease // _RENEWALS_PER_LEASE
 
-    def _prepare(self, state: _Engine) -> None:
+    def _prepare(self, state: _EngineState) -> None:
         now = self._clock.now()
         self._highest_round = 1 + max(
             self._highest_round, self._acceptor.promised_round(state.engine)
         )
         state.round = self._highest_round
-        state.step = Step.PREPARE
-        state.began = now
-        state.renews = False
-        state.life_by_node = {}
+        state.phase = Phase.PREPARE
+        state.started_at = now
+        state.renewing = False
+        state.incarnation_by_node = {}
         jitter = hash64(f'{self._node_id} {state.round}') % _ROUND_JITTER_MS
-        state.act_at = now + _ROUND_MS + jitter
+        state.next_action_at = now + _ROUND_MS + jitter
         ask = self._new_ask(state, 0)
         for node_id in self._cell_ids:
             self._ask(node_id, ask)
 
-    def _promised(self, state: _Engine, node_id: NodeId, life: int) -> None:
-        state.life_by_node[node_id] = life
-        if state.step is Step.PROPOSE:
+    def _promised(
+        self, state: _EngineState, node_id: NodeId, life: int
+    ) -> None:
+        state.incarnation_by_node[node_id] = life
+        if state.phase is Phase.PROPOSE:
             # A late promise joins the running proposal.
             self._ask(node_id, self._new_ask(state, life))
-        elif len(state.life_by_node) >= self._majority:
+        elif len(state.incarnation_by_node) >= self._majority:
             self._propose(state)
 
-    def _propose(self, state: _Engine) -> None:
-        state.step = Step.PROPOSE
+    def _propose(self, state: _EngineState) -> None:
+        state.phase = Phase.PROPOSE
         state.accepted_ids = set()
-        for node_id, life in tuple(state.life_by_node.items()):
+        for node_id, life in tuple(state.incarnation_by_node.items()):
             self._ask(node_id, self._new_ask(state, life))
 
-    def _accepted(self, state: _Engine, node_id: NodeId) -> None:
+    def _accepted(self, state: _EngineState, node_id: NodeId) -> None:
         now = self._clock.now()
-        if state.renews and now >= state.held_until:
+        if state.renewing and now >= state.held_until:
             # The lease lapsed; only a new prepare can bring it back.
             return
         state.accepted_ids.add(node_id)
@@ -296,27 +315,29 @@
             return
         if now >= state.held_until:
             state.term += 1
-            state.act_at = state.began + self.lease // _RENEWALS_PER_LEASE
+            state.next_action_at = (
+                state.started_at + self.lease // _RENEWALS_PER_LEASE
+            )
         state.held_until = max(
-            state.held_until, state.began + shortened(self.lease)
+            state.held_until, state.started_at + safe_lease(self.lease)
         )
 
-    def _ask(self, node_id: NodeId, ask: LeaseAsk) -> None:
+    def _ask(self, node_id: NodeId, ask: LeaseRequest) -> None:
         if node_id == self._node_id:
-            life = self._acceptor.life
-            answer = self.answer(node_id, life, ask, self.lease)
-            self.absorb(node_id, life, ask, answer)
+            life = self._acceptor.incarnation
+            answer = self.handle_request(node_id, life, ask, self.lease)
+            self.handle_response(node_id, life, ask, answer)
             return
         self._asks_by_node.setdefault(node_id, {})[ask.engine] = ask
         self._wake(node_id)
 
-    def _new_ask(self, state: _Engine, life: int) -> LeaseAsk:
-        return LeaseAsk(
-            state.step, state.engine, state.round, life, state.began
+    def _new_ask(self, state: _EngineState, life: int) -> LeaseRequest:
+        return LeaseRequest(
+            state.phase, state.engine, state.round, life, state.started_at
         )
 
-    def _state(self, upstream_id: UpstreamId) -> _Engine:
+    def _state(self, upstream_id: UpstreamId) -> _EngineState:
         engine = hash64(upstream_id)
         if engine not in self._state_by_engine:
-            self._state_by_engine[engine] = _Engine(upstream_id)
+            self._state_by_engine[engine] = _EngineState(upstream_id)
         return self._state_by_engine[engine]
--- a/verbenathread/membership/gossip.py
+++ b/verbenathread/membership/gossip.py
@@ -26,7 +26,7 @@
 
     def __init__(self) -> None:
         self.pending: dict[UpstreamId, None] = {}
-        self.unequal_replies = 0
+        self.digest_mismatches = 0
 
 
 class Gossip:
@@ -43,7 +43,7 @@
         self._wake = wake
         self._state_by_peer = {peer_id: _PeerState() for peer_id in peer_ids}
 
-    def spread(self, upstream_id: UpstreamId) -> None:
+    def enqueue(self, upstream_id: UpstreamId) -> None:
         """Queue one record for every peer."""
         for peer_id, state in self._state_by_peer.items():
             state.pending[upstream_id] = None
@@ -57,7 +57,9 @@
             if upstream_id not in state.pending
         )
 
-    def compose(self, peer_id: NodeId, message: peer_pb2.PeerMessage) -> None:
+    def fill_message(
+        self, peer_id: NodeId, message: peer_pb2.PeerMessage
+    ) -> None:
         """Put news, the digest and, if due, all ranks into a message."""
         state = self._state_by_peer[peer_id]
         for upstream_id in tuple(state.pending)[:_BATCH]:
@@ -65,13 +67,13 @@
             if record is None:
                 state.pending.pop(upstream_id)
                 continue
-            message.news.append(wire.news_of(record))
+            message.news.append(wire.encode_record(record))
         message.digest = self._table.digest()
-        if state.unequal_replies >= _UNEQUAL_REPLIES:
-            state.unequal_replies = 0
-            message.summary.extend(map(wire.wire_key, self._table.summary()))
+        if state.digest_mismatches >= _UNEQUAL_REPLIES:
+            state.digest_mismatches = 0
+            message.summary.extend(map(wire.encode_key, self._table.summary()))
 
-    def answer(
+    def handle_message(
         self,
         peer_id: NodeId,
         message: peer_pb2.PeerMessage,
@@ -81,14 +83,14 @@
         """Take a peer's message and fill the reply; return what was new."""
         fresh = self._merge(peer_id, message.news, now)
         if message.summary:
-            ranks = map(wire.key_from, message.summary)
+            ranks = map(wire.decode_key, message.summary)
             differences = self._table.compare(ranks)
-            reply.wanted.extend(differences.newer_there)
-            reply.news.extend(map(wire.news_of, differences.newer_here))
+            reply.wanted.extend(differences.newer_remote)
+            reply.news.extend(map(wire.encode_record, differences.newer_local))
         reply.digest = self._table.digest()
         return fresh
 
-    def absorb(
+    def handle_reply(
         self,
         peer_id: NodeId,
         message: peer_pb2.PeerMessage,
@@ -98,15 +100,15 @@
         """Take the reply to a message; return what was new."""
         state = self._state_by_peer[peer_id]
         for news in message.news:
-            self._confirm(peer_id, wire.record_of(news))
+            self._confirm(peer_id, wire.decode_record(news))
         fresh = self._merge(peer_id, reply.news, now)
         for upstream_id in reply.wanted:
             if self._table.get(upstream_id) is not None:
                 state.pending[upstream_id] = None
         if state.pending or reply.digest == self._table.digest():
-            state.unequal_replies = 0
+            state.digest_mismatches = 0
         else:
-            state.unequal_replies += 1
+            state.digest_mismatches += 1
         return fresh
 
     def _merge(
@@ -117,10 +119,10 @@
     ) -> tuple[UpstreamRecord, ...]:
         fresh = []
         for news in messages:
-            record = wire.record_of(news)
+            record = wire.decode_record(news)
             if self._table.merge(record, now):
                 fresh.append(record)
-                self.spread(record.upstream_id)
+                self.enqueue(record.upstream_id)
             self._confirm(peer_id, record)
         return tuple(fresh)
 
--- a/verbenathread/membership/hashing.py
+++ b/verbenathread/membership/hashing.py
@@ -27,7 +27,7 @@
     )
 
 
-class Preferences:
+class PreferredNodeCache:
     """Preferred nodes by key, kept for as long as the nodes stay the same."""
 
     def __init__(self) -> None:
@@ -35,7 +35,7 @@
         self._node_ids: frozenset[NodeId] = frozenset()
         self._node_by_key: dict[str, NodeId] = {}
 
-    def node(self, key: str, node_ids: frozenset[NodeId]) -> NodeId:
+    def get(self, key: str, node_ids: frozenset[NodeId]) -> NodeId:
         """Return the preferred node of a key."""
         if node_ids != self._node_ids:
             self._node_ids = node_ids
--- a/verbenathread/membership/lease_acceptor.py
+++ b/verbenathread/membership/lease_acceptor.py
@@ -18,20 +18,20 @@
 from verbenathread.types import Millis, NodeId
 
 # Longest lease that any node of a cell may ask for.
-LONGEST_LEASE_MS = 5000
+MAX_LEASE_MS = 5000
 
 
 class Verdict(enum.IntEnum):
     """What an acceptor answers to one ask."""
 
     # Prepared, and no other node holds the lease; or accepted.
-    OPEN = 1
+    GRANTED = 1
     # Prepared, but another node holds the lease.
-    TAKEN = 2
+    HELD = 2
     # A greater ballot was promised, or the promise is of another life.
     REFUSED = 3
     # Started too short a time ago to know what was accepted before.
-    SILENT = 4
+    RECOVERING = 4
 
 
 class Ballot(NamedTuple):
@@ -42,14 +42,14 @@
     incarnation: int
 
 
-class Answer(NamedTuple):
+class LeaseResponse(NamedTuple):
     """The verdict on one ask, and the promised round on a refusal."""
 
     verdict: Verdict
     promised_round: int = 0
 
 
-class _Slot:
+class _AcceptorState:
     """What an acceptor remembers of one engine."""
 
     def __init__(self, promised: Ballot) -> None:
@@ -73,51 +73,55 @@
     lost; an entry is a few hundred bytes for each engine ever seen.
     """
 
-    def __init__(self, clock: Clock, life: int) -> None:
+    def __init__(self, clock: Clock, incarnation: int) -> None:
         """Take the clock and the incarnation of this process."""
-        self.life = life
+        self.incarnation = incarnation
         self._clock = clock
-        self._speaks_at = clock.now() + LONGEST_LEASE_MS
-        self._slot_by_engine: dict[int, _Slot] = {}
+        self._speaks_at = clock.now() + MAX_LEASE_MS
+        self._slot_by_engine: dict[int, _AcceptorState] = {}
 
-    def silent(self) -> bool:
+    def is_recovering(self) -> bool:
         """Tell whether a lease of the former life may still run."""
         return self._clock.now() <= self._speaks_at
 
-    def prepare(self, engine: int, ballot: Ballot) -> Answer:
+    def prepare(self, engine: int, ballot: Ballot) -> LeaseResponse:
         """Promise to accept nothing below a ballot."""
-        if self.silent():
-            return Answer(Verdict.SILENT)
-        slot = self._slot_by_engine.setdefault(engine, _Slot(ballot))
+        if self.is_recovering():
+            return LeaseResponse(Verdict.RECOVERING)
+        slot = self._slot_by_engine.setdefault(engine, _AcceptorState(ballot))
         if ballot < slot.promised:
-            return Answer(Verdict.REFUSED, slot.promised.round)
+            return LeaseResponse(Verdict.REFUSED, slot.promised.round)
         slot.promised = ballot
         holder = slot.holder(self._clock.now())
         if holder is None or _same_owner(holder, ballot):
-            return Answer(Verdict.OPEN)
-        return Answer(Verdict.TAKEN)
+            return LeaseResponse(Verdict.GRANTED)
+        return LeaseResponse(Verdict.HELD)
 
     def propose(
-        self, engine: int, ballot: Ballot, life: int, lease: Millis
-    ) -> Answer:
+        self, engine: int, ballot: Ballot, incarnation: int, lease: Millis
+    ) -> LeaseResponse:
         """Accept or renew a lease at the promised ballot."""
-        if self.silent():
-            return Answer(Verdict.SILENT)
+        if self.is_recovering():
+            return LeaseResponse(Verdict.RECOVERING)
         slot = self._slot_by_engine.get(engine)
-        if slot is None or life != self.life or lease > LONGEST_LEASE_MS:
-            return Answer(Verdict.REFUSED)
+        if (
+            slot is None
+            or incarnation != self.incarnation
+            or lease > MAX_LEASE_MS
+        ):
+            return LeaseResponse(Verdict.REFUSED)
         if ballot != slot.promised:
-            return Answer(Verdict.REFUSED, slot.promised.round)
+            return LeaseResponse(Verdict.REFUSED, slot.promised.round)
         slot.accepted = ballot
         slot.expires_at = self._clock.now() + lease
-        return Answer(Verdict.OPEN)
+        return LeaseResponse(Verdict.GRANTED)
 
-    def release(self, engine: int, ballot: Ballot) -> Answer:
+    def release(self, engine: int, ballot: Ballot) -> LeaseResponse:
         """Forget a lease that its owner gave up."""
         slot = self._slot_by_engine.get(engine)
         if slot is not None and slot.accepted == ballot:
             slot.accepted = None
-        return Answer(Verdict.OPEN)
+        return LeaseResponse(Verdict.GRANTED)
 
     def holder(self, engine: int) -> Ballot | None:
         """Return who holds a lease as far as this acceptor knows."""
--- a/verbenathread/membership/peer_view.py
+++ b/verbenathread/membership/peer_view.py
@@ -7,9 +7,9 @@
 
 # A peer from which nothing was heard for this long is not asked for memory
 # and owns no engine anew.
-ALIVE_MS = 3000
+ALIVE_TIMEOUT_MS = 3000
 # A peer gets engines back once it has been alive this long.
-SETTLED_MS = 30_000
+STABLE_AFTER_MS = 30_000
 _MILLE = 1000
 
 
@@ -26,11 +26,13 @@
         self._sent_at: Millis = 0
         self._peer_now: Millis | None = None
 
-    def heard(self, incarnation: int, stopping: bool, now: Millis) -> bool:
+    def record_message(
+        self, incarnation: int, stopping: bool, now: Millis
+    ) -> bool:
         """Note a message; False if it comes from a former life."""
         if incarnation < self.incarnation:
             return False
-        if incarnation > self.incarnation or not self.alive(now):
+        if incarnation > self.incarnation or not self.is_alive(now):
             self._alive_since = now
         if incarnation > self.incarnation:
             self._peer_now = None
@@ -39,20 +41,23 @@
         self._heard_at = now
         return True
 
-    def alive(self, now: Millis) -> bool:
+    def is_alive(self, now: Millis) -> bool:
         """Tell whether the peer was heard a short time ago."""
-        return self._heard_at is not None and now - self._heard_at < ALIVE_MS
+        return (
+            self._heard_at is not None
+            and now - self._heard_at < ALIVE_TIMEOUT_MS
+        )
 
-    def settled(self, now: Millis) -> bool:
+    def is_stable(self, now: Millis) -> bool:
         """Tell whether the peer has been alive for long."""
-        return self.alive(now) and now - self._alive_since >= SETTLED_MS
+        return self.is_alive(now) and now - self._alive_since >= STABLE_AFTER_MS
 
-    def note_clock(self, sent_at: Millis, peer_now: Millis) -> None:
+    def record_clock(self, sent_at: Millis, peer_now: Millis) -> None:
         """Note the peer's clock from a reply to a message sent then."""
         self._sent_at = sent_at
         self._peer_now = peer_now
 
-    def earliest_local(self, peer_moment: Millis) -> Millis | None:
+    def earliest_local_time(self, peer_time: Millis) -> Millis | None:
         """Return a local time that is surely not after a peer's moment.
 
         The peer read its clock after the message was sent, so that moment
@@ -60,7 +65,7 @@
         """
         if self._peer_now is None:
             return None
-        ahead = peer_moment - self._peer_now
+        ahead = peer_time - self._peer_now
         drift = abs(ahead) * 2 * DRIFT_PER_MILLE // _MILLE
         return self._sent_at + ahead - drift
 
@@ -80,7 +85,9 @@
     def alive_ids(self, now: Millis) -> frozenset[NodeId]:
         """Return the peers heard a short time ago, this node not included."""
         return frozenset(
-            peer_id for peer_id, view in self.by_id.items() if view.alive(now)
+            peer_id
+            for peer_id, view in self.by_id.items()
+            if view.is_alive(now)
         )
 
     def serving_ids(self, now: Millis) -> frozenset[NodeId]:
@@ -91,10 +98,10 @@
             if not self.by_id[peer_id].stopping
         )
 
-    def settled_ids(self, now: Millis) -> frozenset[NodeId]:
+    def stable_ids(self, now: Millis) -> frozenset[NodeId]:
         """Return the serving peers that have been alive for long."""
         return frozenset(
             peer_id
             for peer_id in self.serving_ids(now)
-            if self.by_id[peer_id].settled(now)
+            if self.by_id[peer_id].is_stable(now)
         )
--- a/verbenathread/membership/upstream_leases.py
+++ b/verbenathread/membership/upstream_leases.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
-from verbenathread.membership.hashing import Preferences, hash64
+from verbenathread.membership.hashing import PreferredNodeCache, hash64
 from verbenathread.membership.upstreams import UpstreamTable
 from verbenathread.types import (
     Millis,
@@ -24,7 +24,7 @@
 _ASK_AFTER_SHARE = 0.5
 
 
-class Heard(NamedTuple):
+class RenewalAge(NamedTuple):
     """What one peer answered about one upstream."""
 
     upstream_hash: int
@@ -32,28 +32,28 @@
     age: Millis | None
 
 
-class Findings(NamedTuple):
+class LeaseCheck(NamedTuple):
     """What one look at the leases came to."""
 
     # Hashes of the upstreams to ask every peer about.
-    asks: tuple[int, ...]
-    ended: tuple[UpstreamRecord, ...]
+    queries: tuple[int, ...]
+    expired: tuple[UpstreamRecord, ...]
 
 
-class _Watch:
+class _LeaseWatch:
     """What the keeper knows of the lease of one upstream."""
 
     def __init__(self, known_at: Millis, incarnation: int) -> None:
-        self.known_at = known_at
+        self.renewed_at = known_at
         self.incarnation = incarnation
         # Peers that answered after the end of the lease, having heard nothing.
-        self.silent_ids: set[NodeId] = set()
+        self.confirmed_ids: set[NodeId] = set()
 
-    def heard(self, moment: Millis) -> None:
+    def record_renewal(self, moment: Millis) -> None:
         """Note when some entry heard the upstream."""
-        if moment > self.known_at:
-            self.known_at = moment
-            self.silent_ids.clear()
+        if moment > self.renewed_at:
+            self.renewed_at = moment
+            self.confirmed_ids.clear()
 
 
 class UpstreamLeases:
@@ -72,14 +72,14 @@
         self._table = table
         self._lease_of = lease_of
         self._heard_at_by_id: dict[UpstreamId, Millis] = {}
-        self._watch_by_id: dict[UpstreamId, _Watch] = {}
-        self._preferences = Preferences()
+        self._watch_by_id: dict[UpstreamId, _LeaseWatch] = {}
+        self._preferences = PreferredNodeCache()
 
-    def heard(self, upstream_id: UpstreamId, now: Millis) -> None:
+    def record_renewal(self, upstream_id: UpstreamId, now: Millis) -> None:
         """Note a renewal that reached this node."""
         self._heard_at_by_id[upstream_id] = now
 
-    def age(self, upstream_hash: int, now: Millis) -> Millis | None:
+    def renewal_age(self, upstream_hash: int, now: Millis) -> Millis | None:
         """Return the time since this node heard an upstream, or None."""
         record = self._table.by_hash(upstream_hash)
         if record is None:
@@ -87,7 +87,7 @@
         heard_at = self._heard_at_by_id.get(record.upstream_id)
         return None if heard_at is None else now - heard_at
 
-    def look(self, now: Millis, alive_ids: frozenset[NodeId]) -> Findings:
+    def check(self, now: Millis, alive_ids: frozenset[NodeId]) -> LeaseCheck:
         """Return what to ask every peer about, and which leases ended."""
         asks = []
         ended = []
@@ -96,15 +96,15 @@
             if watch is None:
                 continue
             lease = self._lease_of(record.service)
-            if now - watch.known_at >= lease * _ASK_AFTER_SHARE:
+            if now - watch.renewed_at >= lease * _ASK_AFTER_SHARE:
                 asks.append(hash64(record.upstream_id))
-            if now - watch.known_at >= lease:
+            if now - watch.renewed_at >= lease:
                 if self._all_silent(watch, alive_ids):
                     ended.append(record)
-        return Findings(tuple(asks), tuple(ended))
+        return LeaseCheck(tuple(asks), tuple(ended))
 
-    def absorb(
-        self, peer_id: NodeId, answers: Iterable[Heard], sent_at: Millis
+    def handle_renewal_ages(
+        self, peer_id: NodeId, answers: Iterable[RenewalAge], sent_at: Millis
     ) -> None:
         """Take a peer's answers to questions sent at ``sent_at``."""
         for answer in answers:
@@ -114,12 +114,14 @@
             watch = self._watch_by_id[record.upstream_id]
             lease = self._lease_of(record.service)
             if answer.age is not None:
-                watch.heard(sent_at - answer.age)
-            if sent_at >= watch.known_at + lease:
-                watch.silent_ids.add(peer_id)
-
-    def _all_silent(self, watch: _Watch, alive_ids: frozenset[NodeId]) -> bool:
-        silent_ids = watch.silent_ids | {self._node_id}
+                watch.record_renewal(sent_at - answer.age)
+            if sent_at >= watch.renewed_at + lease:
+                watch.confirmed_ids.add(peer_id)
+
+    def _all_silent(
+        self, watch: _LeaseWatch, alive_ids: frozenset[NodeId]
+    ) -> bool:
+        silent_ids = watch.confirmed_ids | {self._node_id}
         if len(silent_ids) < self._majority:
             return False
         return silent_ids.issuperset(alive_ids)
@@ -129,23 +131,23 @@
         record: UpstreamRecord,
         now: Millis,
         alive_ids: frozenset[NodeId],
-    ) -> _Watch | None:
+    ) -> _LeaseWatch | None:
         """Return the watch over a record, or None if another keeps it."""
         upstream_id = record.upstream_id
         if record.state is UpstreamState.GONE:
             self._heard_at_by_id.pop(upstream_id, None)
             self._watch_by_id.pop(upstream_id, None)
             return None
-        keeper = self._preferences.node(
-            upstream_id, alive_ids | {self._node_id}
-        )
+        keeper = self._preferences.get(upstream_id, alive_ids | {self._node_id})
         if keeper != self._node_id:
             self._watch_by_id.pop(upstream_id, None)
             return None
         watch = self._watch_by_id.get(upstream_id)
         if watch is None or watch.incarnation != record.incarnation:
             # A new keeper has heard nothing yet and allows a whole lease.
-            watch = _Watch(now, record.incarnation)
+            watch = _LeaseWatch(now, record.incarnation)
             self._watch_by_id[upstream_id] = watch
-        watch.heard(self._heard_at_by_id.get(upstream_id, watch.known_at))
+        watch.record_renewal(
+            self._heard_at_by_id.get(upstream_id, watch.renewed_at)
+        )
         return watch
--- a/verbenathread/membership/upstreams.py
+++ b/verbenathread/membership/upstreams.py
@@ -13,7 +13,7 @@
 
 # How long the record of a gone upstream is kept, so that an older record
 # from a peer that was cut off can't revive it.
-TOMBSTONE_MS = 3_600_000
+TOMBSTONE_TTL_MS = 3_600_000
 
 
 class UpstreamKey(NamedTuple):
@@ -27,28 +27,28 @@
     check: int
 
 
-class Differences(NamedTuple):
+class TableDiff(NamedTuple):
     """What two tables do not share."""
 
     # Records that the other side lacks or holds in an older form.
-    newer_here: tuple[UpstreamRecord, ...]
+    newer_local: tuple[UpstreamRecord, ...]
     # Identifiers of records that the other side holds in a newer form.
-    newer_there: tuple[UpstreamId, ...]
+    newer_remote: tuple[UpstreamId, ...]
 
 
-def check_of(record: UpstreamRecord) -> int:
+def record_checksum(record: UpstreamRecord) -> int:
     """Return a hash of the whole record, alike on every node."""
     return hash64(repr(tuple(record)))
 
 
-def key_of(record: UpstreamRecord) -> UpstreamKey:
+def record_key(record: UpstreamRecord) -> UpstreamKey:
     """Return the rank of a record."""
     return UpstreamKey(
         record.upstream_id,
         record.incarnation,
         int(record.state),
         record.version,
-        check_of(record),
+        record_checksum(record),
     )
 
 
@@ -122,7 +122,7 @@
         held here are kept, in a version that outranks it.
         """
         record = self._with_details(record)
-        key = key_of(record)
+        key = record_key(record)
         held_key = self._key_by_id.get(record.upstream_id)
         if held_key is not None and key <= held_key:
             return False
@@ -156,7 +156,7 @@
             record._replace(state=state, version=record.version + 1), now
         )
 
-    def compare(self, summary: Iterable[UpstreamKey]) -> Differences:
+    def compare(self, summary: Iterable[UpstreamKey]) -> TableDiff:
         """Compare with the ranks that another node holds."""
         key_by_id = {key.upstream_id: key for key in summary}
         newer_there = [
@@ -169,12 +169,12 @@
             for key in self._key_by_id.values()
             if _outranks(key, key_by_id.get(key.upstream_id))
         ]
-        return Differences(tuple(newer_here), tuple(newer_there))
+        return TableDiff(tuple(newer_here), tuple(newer_there))
 
-    def forget_gone(self, now: Millis) -> None:
+    def expire_tombstones(self, now: Millis) -> None:
         """Drop the records that have been gone for long."""
         for upstream_id, gone_at in tuple(self._gone_at_by_id.items()):
-            if now - gone_at < TOMBSTONE_MS:
+            if now - gone_at < TOMBSTONE_TTL_MS:
                 continue
             self._gone_at_by_id.pop(upstream_id)
             self._key_by_id.pop(upstream_id)
--- a/verbenathread/membership/wire.py
+++ b/verbenathread/membership/wire.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Iterable, Sequence
 
-from verbenathread.membership.engine_leases import LeaseAsk, Step
-from verbenathread.membership.lease_acceptor import Answer, Verdict
-from verbenathread.membership.upstream_leases import Heard
+from verbenathread.membership.engine_leases import LeaseRequest, Phase
+from verbenathread.membership.lease_acceptor import LeaseResponse, Verdict
+from verbenathread.membership.upstream_leases import RenewalAge
 from verbenathread.membership.upstreams import UpstreamKey
 from verbenathread.schema import peer_pb2
 from verbenathread.types import (
@@ -15,7 +15,7 @@
 )
 
 
-def news_of(record: UpstreamRecord) -> peer_pb2.UpstreamNews:
+def encode_record(record: UpstreamRecord) -> peer_pb2.UpstreamNews:
     """Return the message for one record."""
     return peer_pb2.UpstreamNews(
         upstream_id=record.upstream_id,
@@ -33,7 +33,7 @@
     )
 
 
-def record_of(news: peer_pb2.UpstreamNews) -> UpstreamRecord:
+def decode_record(news: peer_pb2.UpstreamNews) -> UpstreamRecord:
     """Return the record in one message."""
     return UpstreamRecord(
         upstream_id=news.upstream_id,
@@ -50,7 +50,7 @@
     )
 
 
-def wire_key(key: UpstreamKey) -> peer_pb2.UpstreamKey:
+def encode_key(key: UpstreamKey) -> peer_pb2.UpstreamKey:
     """Return the message for the rank of one record."""
     return peer_pb2.UpstreamKey(
         upstream_id=key.upstream_id,
@@ -61,7 +61,7 @@
     )
 
 
-def key_from(message: peer_pb2.UpstreamKey) -> UpstreamKey:
+def decode_key(message: peer_pb2.UpstreamKey) -> UpstreamKey:
     """Return the rank in one message."""
     return UpstreamKey(
         message.upstream_id,
@@ -72,79 +72,83 @@
     )
 
 
-def ordered_asks(asks: Iterable[LeaseAsk], life: int) -> tuple[LeaseAsk, ...]:
+def order_requests(
+    asks: Iterable[LeaseRequest], life: int
+) -> tuple[LeaseRequest, ...]:
     """Return the asks in the order of the wire.
 
     A proposal whose promise came from another life of the acceptor than
     ``life`` is left out: it would only be refused.
     """
-    by_step: dict[Step, list[LeaseAsk]] = {step: [] for step in Step}
+    by_step: dict[Phase, list[LeaseRequest]] = {step: [] for step in Phase}
     for ask in asks:
-        if ask.step is Step.PROPOSE and ask.life != life:
+        if ask.phase is Phase.PROPOSE and ask.acceptor_incarnation != life:
             continue
-        by_step[ask.step].append(ask)
+        by_step[ask.phase].append(ask)
     return (
-        *by_step[Step.PREPARE],
-        *by_step[Step.PROPOSE],
-        *by_step[Step.RELEASE],
+        *by_step[Phase.PREPARE],
+        *by_step[Phase.PROPOSE],
+        *by_step[Phase.RELEASE],
     )
 
 
-def put_asks(
-    message: peer_pb2.PeerMessage, asks: Sequence[LeaseAsk], life: int
+def add_requests(
+    message: peer_pb2.PeerMessage, asks: Sequence[LeaseRequest], life: int
 ) -> None:
     """Put ordered asks into a message."""
     batch_by_step = {
-        Step.PREPARE: message.prepare,
-        Step.PROPOSE: message.propose,
-        Step.RELEASE: message.release,
+        Phase.PREPARE: message.prepare,
+        Phase.PROPOSE: message.propose,
+        Phase.RELEASE: message.release,
     }
     for ask in asks:
-        batch_by_step[ask.step].engines.append(ask.engine)
-        batch_by_step[ask.step].rounds.append(ask.round)
+        batch_by_step[ask.phase].engines.append(ask.engine)
+        batch_by_step[ask.phase].rounds.append(ask.round)
     if message.propose.engines:
         message.acceptor_incarnation = life
 
 
-def asks_from(message: peer_pb2.PeerMessage) -> tuple[LeaseAsk, ...]:
+def decode_requests(message: peer_pb2.PeerMessage) -> tuple[LeaseRequest, ...]:
     """Return the asks in a message, in the order of the wire."""
     asks = []
     life = message.acceptor_incarnation
     for step, batch in (
-        (Step.PREPARE, message.prepare),
-        (Step.PROPOSE, message.propose),
-        (Step.RELEASE, message.release),
+        (Phase.PREPARE, message.prepare),
+        (Phase.PROPOSE, message.propose),
+        (Phase.RELEASE, message.release),
     ):
         for engine, ballot_round in zip(
             batch.engines, batch.rounds, strict=True
         ):
-            asks.append(LeaseAsk(step, engine, ballot_round, life, 0))
+            asks.append(LeaseRequest(step, engine, ballot_round, life, 0))
     return tuple(asks)
 
 
-def put_answers(reply: peer_pb2.PeerReply, answers: Iterable[Answer]) -> None:
+def add_responses(
+    reply: peer_pb2.PeerReply, answers: Iterable[LeaseResponse]
+) -> None:
     """Put the answers to a message's asks into its reply."""
     for answer in answers:
         reply.leases.verdicts.append(int(answer.verdict))
         reply.leases.rounds.append(answer.promised_round)
 
 
-def answers_from(reply: peer_pb2.PeerReply) -> tuple[Answer, ...]:
+def decode_responses(reply: peer_pb2.PeerReply) -> tuple[LeaseResponse, ...]:
     """Return the answers in a reply, in the order of the asks."""
     return tuple(
-        Answer(Verdict(verdict), promised_round)
+        LeaseResponse(Verdict(verdict), promised_round)
         for verdict, promised_round in zip(
             reply.leases.verdicts, reply.leases.rounds, strict=True
         )
     )
 
 
-def heard_from(
+def decode_renewal_ages(
     message: peer_pb2.PeerMessage, reply: peer_pb2.PeerReply
-) -> tuple[Heard, ...]:
+) -> tuple[RenewalAge, ...]:
     """Return what a reply says of the upstreams that were asked for."""
     return tuple(
-        Heard(upstream_hash, age - 1 if age else None)
+        RenewalAge(upstream_hash, age - 1 if age else None)
         for upstream_hash, age in zip(
             message.heard_asks, reply.heard_ages, strict=False
         )
--- a/verbenathread/observability/logs.py
+++ b/verbenathread/observability/logs.py
@@ -33,10 +33,10 @@
 _Event = MutableMapping[str, Any]
 
 
-def get_logger(part: str) -> structlog.typing.FilteringBoundLogger:
+def get_logger(component: str) -> structlog.typing.FilteringBoundLogger:
     """Return the logger of one part; ``part`` heads each of its sentences."""
     logger: structlog.typing.FilteringBoundLogger = structlog.get_logger(
-        part=part
+        part=component
     )
     return logger
 
--- a/verbenathread/observability/metrics.py
+++ b/verbenathread/observability/metrics.py
@@ -9,7 +9,7 @@
     (131_072, '128k'),
     (1_048_576, '1M'),
 )
-LONGEST_LABEL = 'over'
+OVERFLOW_LABEL = 'over'
 
 _FIRST_TOKEN_SECONDS = (
     0.05,
@@ -33,7 +33,7 @@
     for bound, label in LENGTH_BUCKETS:
         if prompt_tokens <= bound:
             return label
-    return LONGEST_LABEL
+    return OVERFLOW_LABEL
 
 
 class EntryMetrics:
--- a/verbenathread/observability/story.py
+++ b/verbenathread/observability/request_history.py
@@ -12,30 +12,32 @@
 _SECONDS = (3600, 60, 1)
 
 
-class Line(NamedTuple):
+class LogLine(NamedTuple):
     """One log line."""
 
     # Milliseconds since midnight, UTC.
-    at: int
+    time_ms: int
     # What stands before the JSON, such as the node that a collector names.
     source: str
-    said: dict[str, Any]
+    fields: dict[str, Any]
 
 
-def tell(texts: Iterable[str], request_id: str) -> list[str]:
+def format_request_history(texts: Iterable[str], request_id: str) -> list[str]:
     """Return the story of ``request_id``, a line for each decision."""
     lines = [line for line in map(_read, texts) if line is not None]
-    own = [line for line in lines if line.said.get('request_id') == request_id]
+    own = [
+        line for line in lines if line.fields.get('request_id') == request_id
+    ]
     if not own:
         return []
-    first = min(line.at for line in own) - _BEFORE_MS
-    last = max(line.at for line in own)
-    workers = {line.said.get('worker') for line in own} - {None}
+    first = min(line.time_ms for line in own) - _BEFORE_MS
+    last = max(line.time_ms for line in own)
+    workers = {line.fields.get('worker') for line in own} - {None}
     sources = {line.source for line in own}
     chosen = [
         line
         for line in lines
-        if first <= line.at <= last
+        if first <= line.time_ms <= last
         and _is_about(line, request_id, workers, sources)
     ]
     chosen.sort(key=_moment)
@@ -43,19 +45,19 @@
 
 
 def _is_about(
-    line: Line, request_id: str, workers: set[Any], sources: set[str]
+    line: LogLine, request_id: str, workers: set[Any], sources: set[str]
 ) -> bool:
     """Tell whether a line is the request's or touches what decided it."""
-    own_id = line.said.get('request_id')
+    own_id = line.fields.get('request_id')
     if own_id is not None:
         return bool(own_id == request_id)
-    worker = line.said.get('worker')
+    worker = line.fields.get('worker')
     if worker is not None:
         return worker in workers
     return line.source in sources
 
 
-def _read(text: str) -> Line | None:
+def _read(text: str) -> LogLine | None:
     """Read one line; None for one that is not ours."""
     start = text.find('{"')
     if start < 0:
@@ -74,17 +76,17 @@
     )
     # The bench puts a time of its own before the node.
     source = text[:start].split()
-    return Line(int(seconds * _MS), source[-1] if source else '', said)
+    return LogLine(int(seconds * _MS), source[-1] if source else '', said)
 
 
-def _moment(line: Line) -> int:
-    return line.at
+def _moment(line: LogLine) -> int:
+    return line.time_ms
 
 
-def _show(line: Line) -> str:
+def _show(line: LogLine) -> str:
     shown = []
-    for name, found in line.said.items():
+    for name, found in line.fields.items():
         if name not in _HIDDEN and found is not None:
             shown.append(f'{name}={found}')
-    clock = line.said['timestamp'][_DATE_LENGTH:-4]
-    return f'{clock} {line.source} {line.said["event"]} {" ".join(shown)}'
+    clock = line.fields['timestamp'][_DATE_LENGTH:-4]
+    return f'{clock} {line.source} {line.fields["event"]} {" ".join(shown)}'
--- a/verbenathread/observability/status_handler.py
+++ b/verbenathread/observability/status_handler.py
@@ -18,11 +18,11 @@
     """Answers the balancer and whoever reads metrics."""
 
     def __init__(
-        self, registry: CollectorRegistry, why_not_ready: Callable[[], str]
+        self, registry: CollectorRegistry, unready_reason: Callable[[], str]
     ) -> None:
         """Show ``registry``; an empty reason means ready."""
         self._registry = registry
-        self._why_not_ready = why_not_ready
+        self._why_not_ready = unready_reason
 
     async def handle(self, request: Request, reply: ResponseWriter) -> None:
         """Answer one question."""
--- a/verbenathread/observability/status_server.py
+++ b/verbenathread/observability/status_server.py
@@ -23,11 +23,11 @@
         self,
         listen: Address,
         registry: CollectorRegistry,
-        ready: Callable[[], str],
+        unready_reason: Callable[[], str],
     ) -> None:
         """Serve ``registry``; ``ready`` returns why not, empty if it is."""
         self._registry = registry
-        self._ready = ready
+        self._ready = unready_reason
         self._server = Server(
             (listen.host, listen.port), self._answer, numthreads=_WORKERS
         )
