--- a/verbenathread/directory/daemon.py
+++ b/verbenathread/directory/daemon.py
@@ -185,7 +185,7 @@
             voters = sum(1 for member in status.members if member.voter)
             metrics.voters.set(voters)
             metrics.config_version.set(self._machine.config_version)
-            live_workers = sum(1 for _ in self._machine.registry.living())
+            live_workers = sum(1 for _ in self._machine.registry.live_workers())
             metrics.workers.set(live_workers)
             metrics.gateways.set(self._service.gateway_count())
 
--- a/verbenathread/directory/machine.py
+++ b/verbenathread/directory/machine.py
@@ -1,7 +1,7 @@
 """State machine of the directory: one configuration and the workers."""
 
 from verbenathread.schema import directory_pb2 as messages
-from verbenathread.serving.registry import Registry
+from verbenathread.serving.registry import WorkerRegistry
 from verbenathread.serving.types import Worker, WorkerState
 from verbenathread.types import Address
 
@@ -13,7 +13,7 @@
         """Start without a configuration and without workers."""
         self.config_version = 0
         self.config_body = b''
-        self.registry = Registry()
+        self.registry = WorkerRegistry()
         # Local counter, incremented on every change to the registry.
         self.registry_changes = 0
 
@@ -48,7 +48,7 @@
         decoded = messages.DirectoryImage.FromString(image)
         self.config_version = decoded.config.version
         self.config_body = decoded.config.body
-        self.registry = Registry()
+        self.registry = WorkerRegistry()
         for entry in decoded.workers:
             self.registry.merge(decode_worker(entry))
         self.registry_changes += 1
@@ -64,7 +64,7 @@
     """Build a worker from its message."""
     return Worker(
         worker_id=entry.worker_id,
-        born=entry.born,
+        started_at=entry.born,
         sequence=entry.sequence,
         state=WorkerState(entry.state),
         service=entry.service,
@@ -78,7 +78,7 @@
     """Build the message for a worker."""
     return messages.WorkerEntry(
         worker_id=worker.worker_id,
-        born=worker.born,
+        born=worker.started_at,
         sequence=worker.sequence,
         state=worker.state,
         service=worker.service,
