--- a/verbenathread/platform/bodies.py
+++ b/verbenathread/platform/bodies.py
@@ -19,8 +19,8 @@
 
 _KIND_BY_NAME: Final = MappingProxyType(
     {
-        'idempotent': RequestKind.REPEATABLE,
-        'non_idempotent': RequestKind.ONCE,
+        'idempotent': RequestKind.IDEMPOTENT,
+        'non_idempotent': RequestKind.AT_MOST_ONCE,
         'streaming': RequestKind.STREAM,
     }
 )
@@ -100,10 +100,10 @@
         memory_tokens=int(fields['kv-capacity-tokens']),
         stride=int(fields.get('stride') or 1),
         step_ms=float(fields['step_ms']),
-        writer_ms=float(fields['per_seq_ms']),
+        sequence_ms=float(fields['per_seq_ms']),
         context_ms=float(fields['context_per_k']),
-        read_tokens_per_ms=float(fields['read_per_s']) / _MS_PER_SECOND,
-        pairs_ms=float(fields.get('pairs_per_m') or 0),
+        prefill_tokens_per_ms=float(fields['read_per_s']) / _MS_PER_SECOND,
+        attention_ms=float(fields.get('pairs_per_m') or 0),
     )
 
 
@@ -125,7 +125,7 @@
         target_latency=int(fields.get('target-latency-ms') or 0),
         priority=int(fields.get('priority') or 0),
         targets=targets,
-        attempts=max(1, int(fields.get('attempts') or 1)),
+        max_attempts=max(1, int(fields.get('attempts') or 1)),
         public=bool(fields.get('public')),
         resumable=bool(fields.get('resumable')),
         target_pause=int(fields.get('target-gap-ms') or 0),
--- a/verbenathread/platform/headers.py
+++ b/verbenathread/platform/headers.py
@@ -15,12 +15,12 @@
 )
 from verbenathread.serving.dialect import (
     BadRequest,
-    Call,
     CallerRequest,
-    Onward,
-    Report,
-    ReservationAnswer,
-    WorkerAnswer,
+    ForwardContext,
+    LoadReport,
+    ReservationResponse,
+    WorkerCall,
+    WorkerResponse,
 )
 from verbenathread.serving.types import Prompt
 from verbenathread.types import Millis
@@ -34,7 +34,7 @@
 _EXPECTED_WORKER: Final = b'expect-instance'
 _PRIORITY: Final = b'request-priority'
 _LAST_EVENT_ID: Final = b'last-event-id'
-_HOLDERS: Final = b'helpers'
+_HELPERS: Final = b'helpers'
 # Holds the prompt tokens and the output token limit, not actual usage.
 _TOKEN_USAGE: Final = b'token-usage'
 _LENGTH_HINT: Final = b'length-hint'
@@ -57,7 +57,7 @@
         _TENANT,
         _EXPECTED_WORKER,
         _PRIORITY,
-        _HOLDERS,
+        _HELPERS,
         _LAST_EVENT_ID,
     )
 )
@@ -66,7 +66,7 @@
 class PlatformDialect:
     """Implements the dialect of the platform."""
 
-    def read_request(self, request: Request) -> CallerRequest | BadRequest:
+    def parse_request(self, request: Request) -> CallerRequest | BadRequest:
         """Parse a caller's headers."""
         values = request.value_by_name
         attempt_id = values.get(_ATTEMPT_ID, b'').decode('latin-1')
@@ -87,7 +87,7 @@
             return BadRequest('a numeric header is not a number')
 
     def worker_headers(
-        self, request: Request, onward: Onward
+        self, request: Request, context: ForwardContext
     ) -> list[tuple[bytes, bytes]]:
         """Return the headers of the request to a worker."""
         headers = []
@@ -96,29 +96,29 @@
         ):
             if name.lower() not in _GATEWAY_HEADERS:
                 headers.append((name, text))
-        headers.append((b'Deadline-Ms', b'%d' % onward.time_left))
-        headers.append((b'Expect-Instance', onward.worker_id.encode()))
-        if onward.account is not None:
-            headers.append((b'Tenant', onward.account.encode()))
-        if onward.urgency is not None:
-            headers.append((b'Request-Priority', b'%d' % onward.urgency))
-        if onward.last_event_id is not None:
-            headers.append((b'Last-Event-Id', b'%d' % onward.last_event_id))
-        if onward.holders:
-            headers.append((b'Helpers', _encode_holders(onward)))
+        headers.append((b'Deadline-Ms', b'%d' % context.time_left))
+        headers.append((b'Expect-Instance', context.worker_id.encode()))
+        if context.account is not None:
+            headers.append((b'Tenant', context.account.encode()))
+        if context.priority is not None:
+            headers.append((b'Request-Priority', b'%d' % context.priority))
+        if context.last_event_id is not None:
+            headers.append((b'Last-Event-Id', b'%d' % context.last_event_id))
+        if context.helpers:
+            headers.append((b'Helpers', _encode_helpers(context)))
         return headers
 
-    def read_answer(self, head: ResponseHead) -> WorkerAnswer:
+    def parse_response(self, head: ResponseHead) -> WorkerResponse:
         """Parse a worker's headers."""
         values = head.value_by_name
-        return WorkerAnswer(
+        return WorkerResponse(
             attempt_id=values.get(_ATTEMPT_ID, b'').decode('latin-1'),
             signed=_SIGNATURE in values,
             not_run=_NOT_RUN in values or head.status == _MISDIRECTED,
-            at_fault=values.get(_FAULTY_WORKER, b'').decode('latin-1'),
+            faulty_worker=values.get(_FAULTY_WORKER, b'').decode('latin-1'),
         )
 
-    def read_report(self, body: bytes) -> Report | None:
+    def parse_load_report(self, body: bytes) -> LoadReport | None:
         """Parse the response to a probe; None if it is invalid."""
         try:
             return _decode_report(read_object(body))
@@ -127,15 +127,15 @@
         except MALFORMED_BODY_ERRORS:
             return None
 
-    def probe_call(self, worker_id: str) -> Call:
+    def probe_call(self, worker_id: str) -> WorkerCall:
         """Return a probe that a live worker answers immediately."""
-        return Call(
+        return WorkerCall(
             b'GET', b'/report', ((b'Expect-Instance', worker_id.encode()),), b''
         )
 
     def reserve_call(
         self, worker_id: str, reservation_id: str, tokens: int, lease: Millis
-    ) -> Call:
+    ) -> WorkerCall:
         """Return the call that reserves memory or renews its lease."""
         order = {
             'operation': 'reserve',
@@ -145,15 +145,15 @@
         }
         return _order_call(worker_id, order)
 
-    def release_call(self, worker_id: str, reservation_id: str) -> Call:
+    def release_call(self, worker_id: str, reservation_id: str) -> WorkerCall:
         """Return the call that releases reserved memory."""
         return _order_call(
             worker_id, {'operation': 'release', 'id': reservation_id}
         )
 
-    def read_reservation(self, status: int) -> ReservationAnswer:
+    def parse_reservation_response(self, status: int) -> ReservationResponse:
         """Parse the response to a reserve or release call."""
-        return ReservationAnswer(
+        return ReservationResponse(
             done=status == _OK,
             refused=status in {_CONFLICT, _BAD_REQUEST, _MISDIRECTED},
         )
@@ -175,16 +175,16 @@
         return headers
 
 
-def _order_call(worker_id: str, order: dict[str, object]) -> Call:
+def _order_call(worker_id: str, order: dict[str, object]) -> WorkerCall:
     headers = (
         (b'Content-Type', b'application/json'),
         (b'Expect-Instance', worker_id.encode()),
     )
-    return Call(b'POST', b'/order', headers, json.dumps(order).encode())
+    return WorkerCall(b'POST', b'/order', headers, json.dumps(order).encode())
 
 
-def _decode_report(fields: dict[str, Any]) -> Report:
-    return Report(
+def _decode_report(fields: dict[str, Any]) -> LoadReport:
+    return LoadReport(
         pace=float(fields.get('pace', 1)),
     )
 
@@ -209,13 +209,13 @@
     return Prompt(int(tokens), most, most if expected is None else expected)
 
 
-def _encode_holders(onward: Onward) -> bytes:
+def _encode_helpers(context: ForwardContext) -> bytes:
     parts = []
-    for holder in onward.holders:
-        reservation_id = holder.reservation_id
+    for helper in context.helpers:
+        reservation_id = helper.reservation_id
         parts.append(
-            f'{holder.address}/{reservation_id}'
+            f'{helper.address}/{reservation_id}'
             if reservation_id
-            else f'{holder.address}'
+            else f'{helper.address}'
         )
     return ','.join(parts).encode()
--- a/verbenathread/platform/heartbeats.py
+++ b/verbenathread/platform/heartbeats.py
@@ -56,7 +56,7 @@
     if leaving:
         return Worker(
             worker_id=worker_id,
-            born=born,
+            started_at=born,
             sequence=0,
             state=WorkerState.GONE,
             service=str(fields.get('service') or ''),
@@ -66,7 +66,7 @@
         )
     return Worker(
         worker_id=worker_id,
-        born=born,
+        started_at=born,
         sequence=read_integer(fields['sequence']),
         state=_STATE_BY_NAME[fields['state']],
         service=read_text(fields['service']),
