--- a/tests/test_directory_cluster.py
+++ b/tests/test_directory_cluster.py
@@ -177,23 +177,23 @@
                 f'Content-Length: {len(content)}\r\n\r\n'
             )
             writer.write(head.encode() + content)
-            answered = await read_response(reader)
+            response = await read_response(reader)
             writer.close()
-            if answered.status != 307:
-                return answered
-            location = answered.header_by_name['location']
+            if response.status != 307:
+                return response
+            location = response.header_by_name['location']
             host = location.removeprefix('http://').partition(':')[0]
-        return answered
+        return response
 
     async def put(self, content, expected=200):
         """Send a configuration until the outcome is definite."""
         status = 0
         for _ in range(100):
             for number in tuple(self.daemon_by_number):
-                answered = await self.call(
+                response = await self.call(
                     'POST', '/Config.Put', content, number
                 )
-                status = answered.status
+                status = response.status
                 if status < 500 and status != 307:
                     self.assertEqual(status, expected)
                     return
@@ -203,9 +203,9 @@
     async def read_version(self):
         """Return the version of the configuration that the cluster serves."""
         for _ in range(100):
-            answered = await self.call('GET', '/Config.Get')
-            if answered.status == 200:
-                return json.loads(answered.body)['version']
+            response = await self.call('GET', '/Config.Get')
+            if response.status == 200:
+                return json.loads(response.body)['version']
             await asyncio.sleep(0.1)
         return None
 
@@ -246,10 +246,10 @@
         )
         for method, path, content, status in cases:
             with self.subTest(path=path, content=content):
-                answered = await self.call(method, path, content)
-                self.assertEqual(answered.status, status)
-        answered = await self.call('GET', '/Config.Get')
-        self.assertEqual(answered.body, body(3))
+                response = await self.call(method, path, content)
+                self.assertEqual(response.status, status)
+        response = await self.call('GET', '/Config.Get')
+        self.assertEqual(response.body, body(3))
 
     async def test_a_gateway_follows_the_leader(self):
         await self.start_all()
--- a/tests/test_http1_server.py
+++ b/tests/test_http1_server.py
@@ -70,8 +70,8 @@
         statuses = []
         try:
             while True:
-                answered = await asyncio.wait_for(read_response(reader), 0.7)
-                statuses.append(answered.status)
+                response = await asyncio.wait_for(read_response(reader), 0.7)
+                statuses.append(response.status)
         except (asyncio.IncompleteReadError, TimeoutError, ConnectionError):
             writer.close()
         return statuses
@@ -151,8 +151,8 @@
         self.assertEqual(line, b'HTTP/1.1 100 Continue\r\n')
         await reader.readline()
         writer.write(b'abc')
-        answered = await read_response(reader)
-        self.assertEqual(answered.body, b'POST abc')
+        response = await read_response(reader)
+        self.assertEqual(response.body, b'POST abc')
         writer.close()
 
     async def test_an_old_http_response_ends_with_the_close(self):
@@ -180,9 +180,9 @@
         until = self.server.clock.now() + 2000
         drained = asyncio.create_task(self.server.drain(until))
         self.assertEqual(await asyncio.wait_for(idle_reader.read(), 1), b'')
-        answered = await read_response(reader)
-        self.assertEqual(answered.status, 200)
-        self.assertEqual(answered.header_by_name['connection'], 'close')
+        response = await read_response(reader)
+        self.assertEqual(response.status, 200)
+        self.assertEqual(response.header_by_name['connection'], 'close')
         await asyncio.wait_for(drained, 1)
         self.assertFalse(self.server.connections)
         idle_writer.close()
--- a/tests/test_platform_processes.py
+++ b/tests/test_platform_processes.py
@@ -123,22 +123,22 @@
 
     def accepts_config(self, content):
         async def put():
-            answered = await call(
+            response = await call(
                 DIRECTORY_IP, 18060, 'POST', '/Config.Put', content
             )
-            return answered.status == 200
+            return response.status == 200
 
         return put
 
     async def registers_worker(self):
-        answered = await call(
+        response = await call(
             DIRECTORY_IP,
             18060,
             'POST',
             '/Instances.Heartbeat/i-1',
             heartbeat(address=str(self.address)),
         )
-        return answered.status == 200
+        return response.status == 200
 
     async def serves(self):
         return (await self.send_request('probe')).status == 200
