--- a/tests/consensus_network.py
+++ b/tests/consensus_network.py
@@ -51,7 +51,7 @@
             content + self.content.get(name, b'')[len(content) :]
         )
 
-    def cut(self, name, length):
+    def truncate(self, name, length):
         self.content[name] = self.content[name][:length]
 
     def rename(self, name, new_name):
@@ -124,25 +124,25 @@
         self.rng = rng
         self.replica_by_id: dict[str, Replica] = {}
         # Pairs of sender and receiver between which nothing passes.
-        self.cut: set[tuple[str, str]] = set()
-        self.drop = 0.0
-        self.double = 0.0
-        self.slowest_ms = 2.0
+        self.blocked: set[tuple[str, str]] = set()
+        self.drop_rate = 0.0
+        self.duplicate_rate = 0.0
+        self.max_delay_ms = 2.0
         self.calls = 0
         self.bytes = 0
-        self.doubles: list[asyncio.Task[None]] = []
+        self.duplicates: list[asyncio.Task[None]] = []
 
     def isolate(self, node_id):
         for other in self.replica_by_id:
-            self.cut |= {(node_id, other), (other, node_id)}
+            self.blocked |= {(node_id, other), (other, node_id)}
 
     def heal(self):
-        self.cut.clear()
+        self.blocked.clear()
 
-    async def pass_over(self, sender, receiver):
-        await asyncio.sleep(self.rng.uniform(0.2, self.slowest_ms) / 1000)
-        lost = self.rng.random() < self.drop
-        if lost or (sender, receiver) in self.cut:
+    async def deliver(self, sender, receiver):
+        await asyncio.sleep(self.rng.uniform(0.2, self.max_delay_ms) / 1000)
+        lost = self.rng.random() < self.drop_rate
+        if lost or (sender, receiver) in self.blocked:
             # Nothing ever arrives; the caller's limit ends the wait.
             await asyncio.get_running_loop().create_future()
 
@@ -151,16 +151,16 @@
         copy.CopyFrom(request)
         self.calls += 1
         self.bytes += request.ByteSize()
-        await self.pass_over(sender, receiver)
+        await self.deliver(sender, receiver)
         replica = self.replica_by_id.get(receiver)
         if replica is None:
             raise UnavailableError('Nobody listens there; try another one.')
         reply = await getattr(replica, kind)(copy)
-        await self.pass_over(receiver, sender)
+        await self.deliver(receiver, sender)
         self.bytes += reply.ByteSize()
         return reply
 
-    async def repeat(self, kind, sender, receiver, request):
+    async def send_duplicate(self, kind, sender, receiver, request):
         await asyncio.sleep(self.rng.uniform(0, 0.5))
         try:
             await asyncio.wait_for(
@@ -170,7 +170,7 @@
             return
 
 
-class Wire:
+class NetworkTransport:
     """The transport of one replica."""
 
     def __init__(self, network: Network, sender: str) -> None:
@@ -180,9 +180,11 @@
     def __getattr__(self, kind):
         async def call(peer, request, limit):
             network = self.network
-            if network.rng.random() < network.double:
-                again = network.repeat(kind, self.sender, peer.node_id, request)
-                network.doubles.append(asyncio.create_task(again))
+            if network.rng.random() < network.duplicate_rate:
+                again = network.send_duplicate(
+                    kind, self.sender, peer.node_id, request
+                )
+                network.duplicates.append(asyncio.create_task(again))
             try:
                 return await asyncio.wait_for(
                     network.call(kind, self.sender, peer.node_id, request),
@@ -212,12 +214,14 @@
         self.rng = random.Random(seed)
         self.network = Network(self.rng)
         self.settings = settings
-        self.first = tuple(peer(f'n{n + 1}') for n in range(voters))
+        self.initial_peers = tuple(peer(f'n{n + 1}') for n in range(voters))
         self.files_by_id: dict[str, MemoryFiles] = {}
         self.machine_by_id: dict[str, ListMachine] = {}
 
     async def __aenter__(self):
-        await run_in_order(self.start, [one.node_id for one in self.first])
+        await run_in_order(
+            self.start, [one.node_id for one in self.initial_peers]
+        )
         return self
 
     async def __aexit__(self, *_):
@@ -234,13 +238,13 @@
             settings=ReplicaSettings(
                 local_peer=peer(node_id),
                 cluster='test',
-                initial_members=self.first,
+                initial_members=self.initial_peers,
                 join=join,
                 **self.settings,
             ),
             storage=RecordStorage(files),
             machine=machine,
-            transport=Wire(self.network, node_id),
+            transport=NetworkTransport(self.network, node_id),
             clock=LoopClock(),
             random=self.rng,
         )
--- a/tests/consensus_schedule.py
+++ b/tests/consensus_schedule.py
@@ -55,34 +55,37 @@
     """What was seen, and every breach of an invariant."""
 
     def __init__(self) -> None:
-        self.breaches: list[str] = []
+        self.violations: list[str] = []
         self.leader_by_term: dict[int, str] = {}
         self.text_by_index: dict[int, str] = {}
         self.answered: dict[int, str] = {}
-        self.refused: set[str] = set()
+        self.rejected: set[str] = set()
 
-    def see(self, kind, seen, key, found):
+    def record(self, kind, seen, key, found):
         known = seen.setdefault(key, found)
         if known != found:
-            self.breaches.append(f'{kind} {key}: {known}, then {found}')
+            self.violations.append(f'{kind} {key}: {known}, then {found}')
 
-    def see_group(self, group):
+    def check_group(self, group):
         for node_id, replica in group.replicas.items():
-            leading = replica._state.leading
-            if leading is not None:
-                self.see(
-                    'leader of term', self.leader_by_term, leading.term, node_id
+            leadership = replica._state.leadership
+            if leadership is not None:
+                self.record(
+                    'leader of term',
+                    self.leader_by_term,
+                    leadership.term,
+                    node_id,
                 )
             failure = replica.status().failure
             if failure and 'Input/output' not in failure:
-                self.breaches.append(f'{node_id} failed: {failure}')
+                self.violations.append(f'{node_id} failed: {failure}')
 
-    def see_machine(self, node_id, machine):
+    def check_machine(self, node_id, machine):
         indexes = [index for index, _ in machine.applied]
         if indexes != sorted(set(indexes)):
-            self.breaches.append(f'{node_id} applied out of order: {indexes}')
+            self.violations.append(f'{node_id} applied out of order: {indexes}')
         for index, text in machine.applied:
-            self.see('entry', self.text_by_index, index, text)
+            self.record('entry', self.text_by_index, index, text)
 
 
 class Schedule:
@@ -102,59 +105,61 @@
         self.counter = 0
         self.formed = False
         # The node whose disk is gone; it is readmitted at the end.
-        self.wiped = ''
+        self.replaced_id = ''
 
     async def run(self, steps):
         async with self.group as group:
             watcher = asyncio.create_task(self.watch())
             if steps and steps[0].action != 'crash':
                 # Else the group is formed under faults.
-                await self.propose_surely('formed')
+                await self.propose_until_answered('formed')
                 self.formed = True
             await run_in_order(self.step, steps)
             await self.recover()
-            await group.wait_applied(await self.propose_surely('last'))
+            await group.wait_applied(await self.propose_until_answered('last'))
             watcher.cancel()
-            self.checks.see_group(group)
+            self.checks.check_group(group)
             for node_id, machine in group.machine_by_id.items():
-                self.checks.see_machine(node_id, machine)
-            self.check_answers(max(group.machine_by_id.values(), key=len_of))
-            for task in group.network.doubles:
+                self.checks.check_machine(node_id, machine)
+            self.check_answers(
+                max(group.machine_by_id.values(), key=applied_count)
+            )
+            for task in group.network.duplicates:
                 task.cancel()
-        return self.checks.breaches
+        return self.checks.violations
 
     def check_answers(self, machine):
         final = dict(machine.applied)
         for index, text in self.checks.answered.items():
             if final.get(index) != text:
-                self.checks.breaches.append(f'answered {text} was lost')
-        for text in self.checks.refused & set(final.values()):
-            self.checks.breaches.append(f'refused {text} was applied')
+                self.checks.violations.append(f'answered {text} was lost')
+        for text in self.checks.rejected & set(final.values()):
+            self.checks.violations.append(f'refused {text} was applied')
 
     async def watch(self):
         while True:
-            self.checks.see_group(self.group)
+            self.checks.check_group(self.group)
             for node_id, machine in self.group.machine_by_id.items():
-                self.checks.see_machine(node_id, machine)
+                self.checks.check_machine(node_id, machine)
             await asyncio.sleep(0.02)
 
     async def recover(self):
-        await self.calm_down()
+        await self.stop_faults()
         await asyncio.wait(self.calls)
         await run_in_order(
-            self.revive, [one.node_id for one in self.group.first]
+            self.revive, [one.node_id for one in self.group.initial_peers]
         )
-        if self.wiped:
-            await self.readmit(self.wiped)
+        if self.replaced_id:
+            await self.replace_member(self.replaced_id)
 
-    async def calm_down(self):
+    async def stop_faults(self):
         """Bring about no further fault."""
         for files in self.group.files_by_id.values():
             files.before_sync = lambda: None
         network = self.group.network
         network.heal()
-        network.drop = 0
-        network.double = 0
+        network.drop_rate = 0
+        network.duplicate_rate = 0
         self.spawn(asyncio.sleep(0.1))
         await self.calls[-1]
 
@@ -168,12 +173,12 @@
     async def step(self, step):
         if step.node:
             turn = self.group.rng.choice((0, 2))
-            chosen = self.group.first[
-                (step.node + turn) % len(self.group.first)
+            chosen = self.group.initial_peers[
+                (step.node + turn) % len(self.group.initial_peers)
             ]
             node_id = chosen.node_id
         else:
-            node_id = self.leading_id() or 'n1'
+            node_id = self.leader_id() or 'n1'
         await getattr(self, step.action)(node_id)
         await asyncio.sleep(step.pause_ms / 1000)
 
@@ -185,21 +190,21 @@
             self.counter += 1
             self.spawn(self.propose_one(f'c{self.counter}'))
 
-    async def propose_surely(self, text):
+    async def propose_until_answered(self, text):
         """Propose until it is answered, and return its index."""
         try:
             return (await self.group.propose(text)).index
         except UnknownOutcomeError:
-            return await self.propose_surely(text)
+            return await self.propose_until_answered(text)
 
     async def propose_one(self, text):
-        replica = self.leading()
+        replica = self.leader_replica()
         if replica is None:
             return
         try:
             applied = await replica.propose(text.encode(), _CALL_LIMIT)
         except UnavailableError:
-            self.checks.refused.add(text)
+            self.checks.rejected.add(text)
         except UnknownOutcomeError:
             return
         else:
@@ -209,7 +214,7 @@
         self.spawn(self.barrier_once())
 
     async def barrier_once(self):
-        replica = self.leading()
+        replica = self.leader_replica()
         newest = max(self.checks.answered, default=0)
         if replica is None:
             return
@@ -218,18 +223,18 @@
         except UnavailableError:
             return
         if index < newest:
-            self.checks.breaches.append(f'barrier {index} missed {newest}')
+            self.checks.violations.append(f'barrier {index} missed {newest}')
 
-    def leading_id(self):
+    def leader_id(self):
         """Return whoever leads by its own account, deposed or not."""
         found = []
         for node_id, replica in self.group.replicas.items():
-            if replica._state.leading is not None:
+            if replica._state.leadership is not None:
                 found.append(node_id)
         return self.group.rng.choice(found) if found else None
 
-    def leading(self):
-        return self.group.replicas.get(self.leading_id())
+    def leader_replica(self):
+        return self.group.replicas.get(self.leader_id())
 
     async def crash(self, node_id):
         if node_id in self.group.replicas:
@@ -247,7 +252,7 @@
 
     async def restart(self, _):
         gone = []
-        for member in self.group.first:
+        for member in self.group.initial_peers:
             if member.node_id not in self.group.replicas:
                 gone.append(member.node_id)
         await run_in_order(self.group.start, gone)
@@ -260,19 +265,19 @@
         self.group.network.isolate(node_id)
 
     async def one_way(self, node_id):
-        other = self.group.rng.choice(self.group.first).node_id
+        other = self.group.rng.choice(self.group.initial_peers).node_id
         way = [node_id, other]
         self.group.rng.shuffle(way)
-        self.group.network.cut.add(tuple(way))
+        self.group.network.blocked.add(tuple(way))
 
     async def heal(self, _):
         self.group.network.heal()
 
     async def weather(self, _):
         network = self.group.network
-        network.drop = network.rng.choice((0, 0.05, 0.2))
-        network.double = network.rng.choice((0, 0.1))
-        network.slowest_ms = network.rng.choice((2, 20, 60))
+        network.drop_rate = network.rng.choice((0, 0.05, 0.2))
+        network.duplicate_rate = network.rng.choice((0, 0.1))
+        network.max_delay_ms = network.rng.choice((2, 20, 60))
 
     async def slow_disk(self, node_id):
         files = self.group.files_by_id[node_id]
@@ -280,25 +285,29 @@
 
     async def lose_disk(self, node_id):
         """Lose one disk in the midst; the node comes back under its name."""
-        if self.formed and not self.wiped and node_id in self.group.replicas:
-            self.wiped = node_id
+        if (
+            self.formed
+            and not self.replaced_id
+            and node_id in self.group.replicas
+        ):
+            self.replaced_id = node_id
             await self.group.lose_disk(node_id)
             await self.group.start(node_id)
 
     async def replace_disk(self, node_id):
         """Lose one disk while the others are whole, and replace the voter."""
         group = self.group
-        await self.calm_down()
-        if self.wiped or len(group.replicas) < len(group.first):
+        await self.stop_faults()
+        if self.replaced_id or len(group.replicas) < len(group.initial_peers):
             return
         # Without a formed group there is nothing to lose or to replace.
-        await group.wait_applied(await self.propose_surely('whole'))
+        await group.wait_applied(await self.propose_until_answered('whole'))
         await group.lose_disk(node_id)
         await group.start(node_id, join=True)
-        await self.readmit(node_id)
+        await self.replace_member(node_id)
 
-    async def readmit(self, node_id):
-        others = [one.node_id for one in self.group.first]
+    async def replace_member(self, node_id):
+        others = [one.node_id for one in self.group.initial_peers]
         others.remove(node_id)
         actions = ['remove', 'add', 'promote']
         while actions:
@@ -313,7 +322,7 @@
             actions.pop(0)
 
 
-def len_of(machine: ListMachine):
+def applied_count(machine: ListMachine):
     return len(machine.applied)
 
 
--- a/tests/test_consensus_disk.py
+++ b/tests/test_consensus_disk.py
@@ -232,7 +232,7 @@
         )
         for victim, fault, words in table:
             with self.subTest(victim=victim, fault=fault):
-                outcome, failure, syncs, texts = self.run_scene(
+                outcome, failure, syncs, texts = self.run_scenario(
                     partial(self.fail_disk, victim, fault)
                 )
                 unknown = UnknownOutcomeError if victim == 'leader' else None
--- a/tests/test_consensus_members.py
+++ b/tests/test_consensus_members.py
@@ -36,7 +36,7 @@
             await group.wait_applied(kept.index, leader, behind)
             return elected, group.texts(behind)
 
-        elected, texts = self.run_scene(scene)
+        elected, texts = self.run_scenario(scene)
         self.assertEqual(elected, ['', ''])
         self.assertEqual(texts, ['first', 'kept'])
 
@@ -65,7 +65,7 @@
             ]
             return voters, [group.texts(node_id) for node_id in group.replicas]
 
-        voters, applied = self.run_scene(scene)
+        voters, applied = self.run_scenario(scene)
         self.assertEqual(voters, [True, True, True])
         for texts in applied:
             self.assertEqual(texts, ['first', 'kept', 'later', 'last'])
@@ -79,7 +79,7 @@
             with self.assertRaisesRegex(UsageError, 'remove it first'):
                 await change(group, ('add', wiped))
 
-        self.run_scene(scene)
+        self.run_scenario(scene)
 
 
 class ChangeTest(GroupCase):
@@ -89,7 +89,7 @@
             leader = await group.leader()
             await group.start('n4', join=True)
             await change(group, ('add', 'n4'))
-            group.network.cut.add((leader, 'n4'))
+            group.network.blocked.add((leader, 'n4'))
             await group.propose('b')
             with self.assertRaisesRegex(UnavailableError, 'caught up'):
                 await change(group, ('promote', 'n4'))
@@ -98,7 +98,7 @@
             await change(group, ('promote', 'n4'))
             return votes, self.votes(group, leader, 'n4')
 
-        self.assertEqual(self.run_scene(scene), (False, True))
+        self.assertEqual(self.run_scenario(scene), (False, True))
 
     def test_learners_count_for_no_quorum(self):
         async def scene(group):
@@ -108,14 +108,16 @@
             leader = await group.leader()
             old = group.replicas[leader]
             before = old.status().commit_index
-            others = [one for one in group.first if one.node_id != leader]
+            others = [
+                one for one in group.initial_peers if one.node_id != leader
+            ]
             await run_in_order(group.stop, [one.node_id for one in others])
             error = await self.outcome(old.propose(b'lost', 3000))
             await asyncio.sleep(30)
             status = old.status()
             return error, status.commit_index - before, status.is_leader
 
-        error, committed, leads = self.run_scene(scene)
+        error, committed, leads = self.run_scenario(scene)
         self.assertIsNotNone(error)
         self.assertEqual((committed, leads), (0, False))
 
@@ -144,7 +146,7 @@
             with self.assertRaisesRegex(UnavailableError, 'no quorum'):
                 await change(group, ('remove', second))
 
-        self.run_scene(scene)
+        self.run_scenario(scene)
 
     def test_caller_who_hangs_up_leaves_the_log_whole(self):
         async def scene(group):
@@ -163,7 +165,7 @@
             await group.wait_applied(await group.propose_all(['last']))
             return group.texts(leader), old.status().failure
 
-        texts, failure = self.run_scene(scene)
+        texts, failure = self.run_scenario(scene)
         self.assertEqual(texts, ['first', 'after', 'last'])
         self.assertEqual(failure, '')
 
--- a/tests/test_consensus_replica.py
+++ b/tests/test_consensus_replica.py
@@ -6,7 +6,7 @@
 
 from tests.consensus_network import Group, peer
 from tests.virtual_loop import run_virtual
-from verbenathread.consensus.state import Leading, Progress
+from verbenathread.consensus.state import Leadership, Progress
 from verbenathread.exceptions import (
     NotLeaderError,
     UnavailableError,
@@ -23,14 +23,14 @@
 TIMEOUT_S = 1.0
 
 
-def now():
+def loop_time():
     return asyncio.get_running_loop().time()
 
 
 class GroupCase(unittest.TestCase):
     """Runs a scene over a formed group in virtual time."""
 
-    def run_scene(self, scene, **settings):
+    def run_scenario(self, scene, **settings):
         async def whole():
             async with Group(**settings) as group:
                 await group.wait_applied(await group.propose_all(['first']))
@@ -55,9 +55,9 @@
                 leader = next(one for one in group.replicas if one != leader)
             await group.propose_all([f'a{number}' for number in range(10)])
             await group.crash(leader)
-            killed = now()
+            killed = loop_time()
             await group.propose_all(['b'])
-            gap = now() - killed
+            gap = loop_time() - killed
             await group.start(leader)
             await group.wait_applied(await group.propose_all(['c']))
             return gap, [group.texts(node_id) for node_id in group.replicas]
@@ -65,7 +65,7 @@
         wanted = ['first', *(f'a{number}' for number in range(10)), 'b', 'c']
         for victim, longest in (('leader', 4), ('follower', 0.5)):
             with self.subTest(victim=victim):
-                gap, applied = self.run_scene(partial(scene, victim))
+                gap, applied = self.run_scenario(partial(scene, victim))
                 self.assertLess(gap, longest * TIMEOUT_S)
                 for texts in applied:
                     self.assertEqual(texts, wanted)
@@ -76,15 +76,15 @@
             for name in names:
                 await group.crash(name)
             # Long enough that both often stand before they hear the other.
-            group.network.slowest_ms = 40
-            started = now()
+            group.network.max_delay_ms = 40
+            started = loop_time()
             await asyncio.gather(*(group.start(name) for name in names[1:]))
             await group.leader()
-            return now() - started
+            return loop_time() - started
 
         for seed in range(100):
             with self.subTest(seed=seed):
-                took = self.run_scene(scene, seed=seed)
+                took = self.run_scenario(scene, seed=seed)
                 # docs/design/consensus.md states 1.84 after a leader's kill.
                 self.assertLess(took, 2 * TIMEOUT_S)
 
@@ -101,7 +101,7 @@
             statuses = [one.status() for one in group.replicas.values()]
             return (leader, term), {(s.leader, s.term) for s in statuses}
 
-        before, after = self.run_scene(scene)
+        before, after = self.run_scenario(scene)
         self.assertEqual(after, {before})
 
     def test_cut_off_leader_steps_down(self):
@@ -112,7 +112,7 @@
             group.network.isolate(leader)
             lost = asyncio.create_task(old.propose(b'lost', 120_000))
             await asyncio.sleep(2 * TIMEOUT_S)
-            still = old.status().is_leader or old._state.leading is not None
+            still = old.status().is_leader or old._state.leadership is not None
             refused = await self.outcome(old.propose(b'refused', 500))
             await group.leader(among=others)
             await asyncio.sleep(60)
@@ -121,7 +121,7 @@
             first = await self.outcome(lost)
             return still, refused, first, group.texts(leader)
 
-        still, refused, first, texts = self.run_scene(scene)
+        still, refused, first, texts = self.run_scenario(scene)
         self.assertFalse(still)
         self.assertEqual((refused, first), (NotLeaderError, NotLeaderError))
         self.assertEqual(texts, ['first', 'kept'])
@@ -153,7 +153,7 @@
             kept = restarted._state.log.last_index
             return first.granted, second.granted, appended, last, kept
 
-        first, second, appended, last, kept = self.run_scene(scene)
+        first, second, appended, last, kept = self.run_scenario(scene)
         self.assertEqual((first, second), (True, False))
         self.assertTrue(appended.matched)
         self.assertEqual(kept, last + 1)
@@ -163,23 +163,23 @@
             replica = group.replicas['n1']
             state = replica._state
             group.network.isolate('n1')
-            state.follow('')
+            state.become_follower('')
             last = state.log.last_index
             state.log.extend([LogEntry(index=last + 1, term=50)])
             state.log.extend([LogEntry(index=last + 2, term=70)])
-            leading = Leading(70, last + 2)
-            leading.synced = last + 2
-            state.leading = leading
+            leadership = Leadership(70, last + 2)
+            leadership.synced_index = last + 2
+            state.leadership = leadership
             member = LogMember(node_id='n2', voter=True)
-            leading.progress_by_id['n2'] = Progress(member, 1, 0)
+            leadership.progress_by_id['n2'] = Progress(member, 1, 0)
             seen = []
             for match in (last + 1, last + 2):
-                leading.progress_by_id['n2'].match_index = match
-                replica._leader._advance(leading)
+                leadership.progress_by_id['n2'].match_index = match
+                replica._leader._advance_commit_index(leadership)
                 seen.append(state.commit_index - last)
             return seen
 
-        self.assertEqual(self.run_scene(scene), [0, 2])
+        self.assertEqual(self.run_scenario(scene), [0, 2])
 
     def test_entries_after_an_unlike_log_are_refused(self):
         async def scene(group):
@@ -205,7 +205,7 @@
             hints = [reply.next_index - last for reply in replies[1:]]
             return matched, hints, replica._state.log.last_index - last
 
-        matched, hints, length = self.run_scene(scene)
+        matched, hints, length = self.run_scenario(scene)
         self.assertEqual(matched, [True, False, False])
         self.assertEqual((hints, length), ([1, 2], 1))
 
@@ -223,7 +223,7 @@
             await task
             return before == early, group.replicas[leader].status().commit_index
 
-        waited, commit = self.run_scene(scene)
+        waited, commit = self.run_scenario(scene)
         self.assertTrue(waited)
         self.assertEqual(commit, 3)
 
@@ -244,7 +244,7 @@
             await asyncio.sleep(5)
             return [task.done() and task.result() for task in calls]
 
-        outcomes = self.run_scene(scene)
+        outcomes = self.run_scenario(scene)
         self.assertEqual(set(outcomes), {NotLeaderError, UnknownOutcomeError})
 
 
@@ -261,7 +261,7 @@
             error = await self.outcome(old.barrier(500))
             return before, believed, error
 
-        before, believed, error = self.run_scene(scene)
+        before, believed, error = self.run_scenario(scene)
         self.assertGreater(before, 0)
         self.assertTrue(believed)
         self.assertIs(error, UnavailableError)
@@ -274,14 +274,14 @@
             old._elections._check_quorum = lambda: None
             group.network.isolate(leader)
             await asyncio.sleep(20 * TIMEOUT_S)
-            frozen = old._state.leading is not None
+            frozen = old._state.leadership is not None
             calls = (old.propose(b'late', 500), old.barrier(500))
-            woken = now()
+            woken = loop_time()
             errors = await asyncio.gather(*map(self.outcome, calls))
-            at_once = now() == woken
+            at_once = loop_time() == woken
             return frozen and at_once, old.status().is_leader, errors
 
-        frozen, leads, errors = self.run_scene(scene)
+        frozen, leads, errors = self.run_scenario(scene)
         self.assertTrue(frozen)
         self.assertFalse(leads)
         self.assertEqual(errors, [UnavailableError, UnavailableError])
@@ -295,7 +295,7 @@
             await group.propose('slow', 60_000)
             return term, group.replicas[leader].status().term
 
-        before, after = self.run_scene(scene)
+        before, after = self.run_scenario(scene)
         self.assertEqual(before, after)
 
 
@@ -309,15 +309,15 @@
                 call = replica.propose(b'%d' % number, 20_000)
                 calls.append(asyncio.create_task(call))
             await asyncio.sleep(0.001)
-            began = now()
+            began = loop_time()
             await group.stop(leader, transfer_leadership=True)
-            stopped = now()
+            stopped = loop_time()
             await group.propose_all(['next'])
             outcomes = [task.exception() for task in calls]
             texts = group.texts(await group.leader())
-            return stopped - began, now() - stopped, outcomes, len(texts)
+            return stopped - began, loop_time() - stopped, outcomes, len(texts)
 
-        stopping, gap, outcomes, count = self.run_scene(scene)
+        stopping, gap, outcomes, count = self.run_scenario(scene)
         self.assertLess(stopping, TIMEOUT_S)
         self.assertLess(gap, TIMEOUT_S / 2)
         self.assertEqual(set(outcomes), {None})
@@ -337,5 +337,5 @@
                 return error.leader, follower.status().leader
             return None
 
-        address, leader = self.run_scene(scene)
+        address, leader = self.run_scenario(scene)
         self.assertEqual(address, str(peer(leader).address))
--- a/tests/test_consensus_snapshots.py
+++ b/tests/test_consensus_snapshots.py
@@ -32,7 +32,7 @@
             kept = log.last_index - log.base_index
             return missing, kept, group.texts(behind)
 
-        missing, kept, texts = self.run_scene(
+        missing, kept, texts = self.run_scenario(
             scene, snapshot_records=50, chunk_bytes=1000
         )
         # The log no longer held what the member missed.
@@ -64,9 +64,9 @@
             )
             await group.wait_applied(await group.propose_all(['third']))
             await asyncio.sleep(1)
-            node_id = replica._state.my_id
+            node_id = replica._state.node_id
             return reply.installed, group.texts(node_id)
 
-        installed, texts = self.run_scene(scene, snapshot_records=2)
+        installed, texts = self.run_scenario(scene, snapshot_records=2)
         self.assertTrue(installed)
         self.assertEqual(texts, ['first', *'bcdefghi', 'third'])
--- a/verbenathread/consensus/applier.py
+++ b/verbenathread/consensus/applier.py
@@ -19,18 +19,18 @@
         self._machine = machine
         self.applied_index = 0
         # The proposals put on the log here, with the term they were put in.
-        self._expected_by_index: dict[int, tuple[int, Proposal]] = {}
+        self._pending_by_index: dict[int, tuple[int, Proposal]] = {}
 
-    def expect(self, index: int, term: int, proposal: Proposal) -> None:
+    def register(self, index: int, term: int, proposal: Proposal) -> None:
         """Answer ``proposal`` when its index is applied."""
-        _, replaced = self._expected_by_index.pop(index, (0, None))
+        _, replaced = self._pending_by_index.pop(index, (0, None))
         if replaced is not None:
-            replaced.fail(_unknown())
-        self._expected_by_index[index] = (term, proposal)
+            replaced.fail(_unknown_outcome())
+        self._pending_by_index[index] = (term, proposal)
 
     def is_idle(self) -> bool:
-        """Tell whether nobody waits for an answer."""
-        return not self._expected_by_index
+        """Return whether nobody waits for an answer."""
+        return not self._pending_by_index
 
     def make_snapshot(self) -> LogSnapshot:
         """Return the state as applied now."""
@@ -47,7 +47,7 @@
         """Take over a snapshot that replaces the whole log."""
         self._machine.restore(snapshot.image)
         self.applied_index = snapshot.index
-        self.abandon_from(0)
+        self.fail_pending_from(0)
         self._state.changed.notify_all()
 
     async def run(self) -> None:
@@ -59,17 +59,17 @@
             while self._has_work():
                 self._apply_next()
             state.changed.notify_all()
-            await self._take_snapshot()
+            await self._compact_log()
 
-    def abandon_from(self, first: int) -> None:
+    def fail_pending_from(self, first: int) -> None:
         """Tell whoever waits for ``first`` or later: the outcome is unknown.
 
         Their entries left this log; another replica may still hold them.
         """
-        for index in tuple(self._expected_by_index):
+        for index in tuple(self._pending_by_index):
             if index >= first:
-                _, proposal = self._expected_by_index.pop(index)
-                proposal.fail(_unknown())
+                _, proposal = self._pending_by_index.pop(index)
+                proposal.fail(_unknown_outcome())
 
     def _has_work(self) -> bool:
         return self._state.commit_index > self.applied_index
@@ -81,20 +81,20 @@
         if entry.kind == ENTRY_COMMAND:
             result = self._machine.apply(index, entry.command)
         self.applied_index = index
-        self._answer(entry, result)
+        self._complete_proposal(entry, result)
 
-    def _answer(self, entry: LogEntry, result: bytes) -> None:
-        term, proposal = self._expected_by_index.pop(entry.index, (0, None))
+    def _complete_proposal(self, entry: LogEntry, result: bytes) -> None:
+        term, proposal = self._pending_by_index.pop(entry.index, (0, None))
         if proposal is None:
             return
         if term != entry.term:
             # Another leader's entry took the place: ours is gone for good.
-            proposal.fail(self._state.not_leader())
+            proposal.fail(self._state.not_leader_error())
             return
         if not proposal.future.done():
             proposal.future.set_result(Applied(entry.index, result))
 
-    async def _take_snapshot(self) -> None:
+    async def _compact_log(self) -> None:
         """Snapshot once enough was applied; keep some entries behind it."""
         state = self._state
         wanted = state.settings.snapshot_records
@@ -104,11 +104,11 @@
             snapshot = self.make_snapshot()
             keep_after = snapshot.index - wanted
             await state.storage.compact(snapshot, keep_after)
-            state.log.forget_members_before(snapshot.index)
-            state.log.drop_to(keep_after)
+            state.log.prune_members(snapshot.index)
+            state.log.truncate_prefix(keep_after)
 
 
-def _unknown() -> UnknownOutcomeError:
+def _unknown_outcome() -> UnknownOutcomeError:
     return UnknownOutcomeError(
         'The change may or may not have been accepted; read it back, or send '
         'it again under the same operation identifier.'
--- a/verbenathread/consensus/changes.py
+++ b/verbenathread/consensus/changes.py
@@ -6,7 +6,7 @@
 
 from verbenathread.consensus import members as membership
 from verbenathread.consensus.leader import Leader
-from verbenathread.consensus.state import Leading, Progress, ReplicaState
+from verbenathread.consensus.state import Leadership, Progress, ReplicaState
 from verbenathread.consensus.transport import Transport
 from verbenathread.exceptions import (
     UnavailableError,
@@ -24,7 +24,7 @@
 _log = get_logger('consensus')
 
 
-class MemberChanges:
+class MembershipChanges:
     """Adds learners, makes them voters, and removes members."""
 
     def __init__(
@@ -39,15 +39,17 @@
         """Add, promote or remove one member; return once it is committed."""
         state = self._state
         deadline = state.clock.now() + limit
-        leading = state.require_leading()
-        await self._commit_own_term(leading, limit)
+        leadership = state.require_leadership()
+        await self._wait_for_term_commit(leadership, limit)
         expected = state.log.members_index()
-        changed = await self._changed(action, leading, peer, deadline)
+        changed = await self._target_members(action, leadership, peer, deadline)
         if changed is None:
             return
-        index = await self._leader.write_members(leading, changed, expected)
+        index = await self._leader.write_members(leadership, changed, expected)
         committed = await state.changed.wait_for(
-            lambda: state.commit_index >= index or not state.leads(leading),
+            lambda: (
+                state.commit_index >= index or not state.still_leads(leadership)
+            ),
             deadline - state.clock.now(),
         )
         if not committed or state.commit_index < index:
@@ -57,33 +59,39 @@
             )
         _log.info('A member was changed.', action=action, node=peer.node_id)
 
-    async def hand_over(self, limit: Millis) -> bool:
+    async def transfer_leadership(self, limit: Millis) -> bool:
         """Let the most advanced voter lead; False when none took over."""
         state = self._state
-        leading = state.leading
-        if leading is None:
+        leadership = state.leadership
+        if leadership is None:
             return True
-        target = self._successor(leading)
+        target = self._choose_successor(leadership)
         if target is None:
             return False
-        leading.handing_over = True
+        leadership.transferring = True
         deadline = state.clock.now() + limit
         await state.changed.wait_for(
-            lambda: not state.leads(leading) or _is_ready(state, target),
+            lambda: (
+                not state.still_leads(leadership)
+                or _is_caught_up(state, target)
+            ),
             limit,
         )
-        if state.leads(leading) and _is_ready(state, target):
-            await self._ask_to_lead(leading, target)
+        if state.still_leads(leadership) and _is_caught_up(state, target):
+            await self._request_transfer(leadership, target)
         handed = await state.changed.wait_for(
-            lambda: not state.leads(leading), deadline - state.clock.now()
+            lambda: not state.still_leads(leadership),
+            deadline - state.clock.now(),
         )
-        leading.handing_over = False
+        leadership.transferring = False
         return handed
 
-    async def _ask_to_lead(self, leading: Leading, target: Progress) -> None:
+    async def _request_transfer(
+        self, leadership: Leadership, target: Progress
+    ) -> None:
         state = self._state
-        head = state.head(target.member.store_id)
-        head.term = leading.term
+        head = state.envelope(target.member.store_id)
+        head.term = leadership.term
         try:
             await self._transport.transfer(
                 membership.peer_of(target.member),
@@ -93,53 +101,55 @@
         except UnavailableError:
             _log.warning('The successor does not answer.')
 
-    def _successor(self, leading: Leading) -> Progress | None:
+    def _choose_successor(self, leadership: Leadership) -> Progress | None:
         best = None
         oldest = self._state.clock.now() - self._state.settings.election_timeout
-        for progress in leading.progress_by_id.values():
-            if not progress.member.voter or progress.heard < oldest:
+        for progress in leadership.progress_by_id.values():
+            if not progress.member.voter or progress.last_contact < oldest:
                 continue
             if best is None or progress.match_index > best.match_index:
                 best = progress
         return best
 
-    async def _commit_own_term(self, leading: Leading, limit: Millis) -> None:
+    async def _wait_for_term_commit(
+        self, leadership: Leadership, limit: Millis
+    ) -> None:
         state = self._state
         await state.changed.wait_for(
             lambda: (
-                state.commit_index >= leading.first_index
-                or not state.leads(leading)
+                state.commit_index >= leadership.first_index
+                or not state.still_leads(leadership)
             ),
             limit,
         )
-        if not state.leads(leading):
-            raise state.not_leader()
-        if state.commit_index < leading.first_index:
+        if not state.still_leads(leadership):
+            raise state.not_leader_error()
+        if state.commit_index < leadership.first_index:
             raise UnavailableError(
                 'The leader has not committed its own term; check that a '
                 'quorum of the members runs.'
             )
 
-    async def _changed(
-        self, action: str, leading: Leading, peer: Peer, deadline: Millis
+    async def _target_members(
+        self, action: str, leadership: Leadership, peer: Peer, deadline: Millis
     ) -> LogMembers | None:
         """Return the members as wanted; None when they already are so."""
         if action == 'add':
-            return await self._added(peer)
+            return await self._members_with_learner(peer)
         if action == 'promote':
-            return await self._promoted(leading, peer, deadline)
+            return await self._members_with_voter(leadership, peer, deadline)
         if action == 'remove':
-            return await self._removed(leading, peer, deadline)
+            return await self._members_without(leadership, peer, deadline)
         raise UsageError(
             f'No such change of members: {action}. Use add, promote or remove.'
         )
 
-    async def _added(self, peer: Peer) -> LogMembers | None:
+    async def _members_with_learner(self, peer: Peer) -> LogMembers | None:
         state = self._state
         members = state.log.members()
         reply = await self._transport.beat(
             peer,
-            BeatRequest(head=state.head()),
+            BeatRequest(head=state.envelope()),
             state.settings.election_timeout,
         )
         store_id = reply.head.sender_store
@@ -159,13 +169,13 @@
         learner = membership.member_of(peer, voter=False, store_id=store_id)
         return membership.with_learner(members, learner)
 
-    async def _promoted(
-        self, leading: Leading, peer: Peer, deadline: Millis
+    async def _members_with_voter(
+        self, leadership: Leadership, peer: Peer, deadline: Millis
     ) -> LogMembers | None:
         state = self._state
         members = state.log.members()
         known = membership.find(members, peer.node_id)
-        progress = leading.progress_by_id.get(peer.node_id)
+        progress = leadership.progress_by_id.get(peer.node_id)
         if known is None or progress is None:
             if known is not None and known.voter:
                 return None
@@ -186,27 +196,29 @@
             )
         return membership.with_voter(members, peer.node_id)
 
-    async def _removed(
-        self, leading: Leading, peer: Peer, deadline: Millis
+    async def _members_without(
+        self, leadership: Leadership, peer: Peer, deadline: Millis
     ) -> LogMembers | None:
         state = self._state
         members = state.log.members()
         if membership.find(members, peer.node_id) is None:
             return None
-        if peer.node_id == state.my_id:
-            await self.hand_over(deadline - state.clock.now())
-            raise state.not_leader()
+        if peer.node_id == state.node_id:
+            await self.transfer_leadership(deadline - state.clock.now())
+            raise state.not_leader_error()
         rest = membership.without(members, peer.node_id)
-        self._require_quorum(leading, rest)
+        self._check_remaining_quorum(leadership, rest)
         return rest
 
-    def _require_quorum(self, leading: Leading, members: LogMembers) -> None:
+    def _check_remaining_quorum(
+        self, leadership: Leadership, members: LogMembers
+    ) -> None:
         """Refuse a removal after which nothing could be committed."""
         state = self._state
         oldest = state.clock.now() - state.settings.election_timeout
-        heard = {state.my_id}
-        for node_id, progress in leading.progress_by_id.items():
-            if progress.heard > oldest:
+        heard = {state.node_id}
+        for node_id, progress in leadership.progress_by_id.items():
+            if progress.last_contact > oldest:
                 heard.add(node_id)
         if not membership.is_quorum(members, heard):
             raise UnavailableError(
@@ -215,8 +227,8 @@
             )
 
 
-def _is_ready(state: ReplicaState, target: Progress) -> bool:
-    leading = state.leading
-    if leading is None or leading.queue:
+def _is_caught_up(state: ReplicaState, target: Progress) -> bool:
+    leadership = state.leadership
+    if leadership is None or leadership.queue:
         return False
     return target.match_index >= state.log.last_index
--- a/verbenathread/consensus/disk.py
+++ b/verbenathread/consensus/disk.py
@@ -5,9 +5,9 @@
 from pathlib import Path
 
 from verbenathread.consensus.files import DiskFiles, Files
-from verbenathread.consensus.folder import REPLACE, Folder
+from verbenathread.consensus.folder import REPLACE_MEMBER, DataFolder
 from verbenathread.consensus.segments import SegmentLog, saved_ballot
-from verbenathread.consensus.storage import Ballot, Saved
+from verbenathread.consensus.storage import Ballot, SavedState
 from verbenathread.exceptions import StorageError
 from verbenathread.schema.consensus_pb2 import (
     DiskRecord,
@@ -16,8 +16,8 @@
     StoreIdentity,
 )
 
-_IDENTITY = 'identity'
-_SNAPSHOT = 'snapshot-'
+_IDENTITY_NAME = 'identity'
+_SNAPSHOT_PREFIX = 'snapshot-'
 
 
 class RecordStorage:
@@ -25,21 +25,21 @@
 
     def __init__(self, files: Files) -> None:
         """Touch nothing before :meth:`load`."""
-        self._folder = Folder(files)
+        self._folder = DataFolder(files)
         self._segments = SegmentLog(self._folder)
 
-    async def load(self, cluster: str, node_id: str) -> Saved:
+    async def load(self, cluster: str, node_id: str) -> SavedState:
         """Read the folder, or make a new store in an empty one."""
         self._folder.lock()
-        names = self._folder.clean()
+        names = self._folder.remove_temporary_files()
         snapshot = self._read_snapshot(names)
         await self._segments.read(names)
-        if _IDENTITY not in names:
-            await self._make_identity(cluster, node_id, snapshot)
+        if _IDENTITY_NAME not in names:
+            await self._create_identity(cluster, node_id, snapshot)
         identity = self._check_identity(cluster, node_id)
-        await self._join_snapshot(snapshot)
+        await self._align_log_with_snapshot(snapshot)
         replay = self._segments.replay
-        saved = Saved(
+        saved = SavedState(
             store_id=identity.store_id,
             ballot=replay.ballot,
             base_index=replay.base_index,
@@ -64,39 +64,43 @@
         """Save a snapshot, begin a segment, drop those not needed."""
         await self._write_snapshot(snapshot)
         await self._segments.begin_segment()
-        await self._segments.drop(keep_after)
+        await self._segments.remove_oldest(keep_after)
 
     async def reset(self, snapshot: LogSnapshot) -> None:
         """Save a snapshot and begin an empty log after it."""
         await self._write_snapshot(snapshot)
-        await self._segments.begin_empty(snapshot.index, snapshot.term)
+        await self._segments.reset(snapshot.index, snapshot.term)
 
     def sync_count(self) -> int:
         """Return how many syncs were made since the start."""
-        return self._folder.syncs
+        return self._folder.sync_count
 
     def close(self) -> None:
         """Let go of the files."""
         self._folder.close()
 
-    async def _make_identity(
+    async def _create_identity(
         self, cluster: str, node_id: str, snapshot: LogSnapshot | None
     ) -> None:
-        if snapshot is not None or self._segments.replay.is_used():
+        if snapshot is not None or self._segments.replay.has_content():
             raise StorageError(
-                f'{self._folder.path(_IDENTITY)} is missing though the folder '
-                f'holds a log. {REPLACE}'
+                f'{self._folder.path(_IDENTITY_NAME)} is missing though the folder '
+                f'holds a log. {REPLACE_MEMBER}'
             )
         if self._segments.is_empty():
             await self._segments.begin_segment()
         identity = StoreIdentity(
             cluster=cluster, node_id=node_id, store_id=uuid.uuid4().hex
         )
-        await self._folder.write_whole(_IDENTITY, identity.SerializeToString())
+        await self._folder.write_record(
+            _IDENTITY_NAME, identity.SerializeToString()
+        )
 
     def _check_identity(self, cluster: str, node_id: str) -> StoreIdentity:
-        identity = StoreIdentity.FromString(self._folder.read_whole(_IDENTITY))
-        path = self._folder.path(_IDENTITY)
+        identity = StoreIdentity.FromString(
+            self._folder.read_record(_IDENTITY_NAME)
+        )
+        path = self._folder.path(_IDENTITY_NAME)
         if identity.cluster != cluster:
             raise StorageError(
                 f'{path} belongs to cluster {identity.cluster}, not to '
@@ -109,35 +113,37 @@
             )
         if self._segments.is_empty():
             raise StorageError(
-                f'All segments of the log beside {path} are missing. {REPLACE}'
+                f'All segments of the log beside {path} are missing. {REPLACE_MEMBER}'
             )
         return identity
 
-    async def _join_snapshot(self, snapshot: LogSnapshot | None) -> None:
+    async def _align_log_with_snapshot(
+        self, snapshot: LogSnapshot | None
+    ) -> None:
         """Make the log follow on the snapshot, as a crash may have left it."""
         replay = self._segments.replay
         index = 0 if snapshot is None else snapshot.index
         if replay.base_index > index:
             raise StorageError(
-                f'{self._folder.path(_SNAPSHOT)}* up to {replay.base_index} '
-                f'is missing; the log begins after it. {REPLACE}'
+                f'{self._folder.path(_SNAPSHOT_PREFIX)}* up to {replay.base_index} '
+                f'is missing; the log begins after it. {REPLACE_MEMBER}'
             )
         if snapshot is None:
             return
         if replay.term_at(snapshot.index) != snapshot.term:
-            await self._segments.begin_empty(snapshot.index, snapshot.term)
+            await self._segments.reset(snapshot.index, snapshot.term)
 
     def _read_snapshot(self, names: list[str]) -> LogSnapshot | None:
-        found = [name for name in names if name.startswith(_SNAPSHOT)]
+        found = [name for name in names if name.startswith(_SNAPSHOT_PREFIX)]
         if not found:
             return None
-        return LogSnapshot.FromString(self._folder.read_whole(found[-1]))
+        return LogSnapshot.FromString(self._folder.read_record(found[-1]))
 
     async def _write_snapshot(self, snapshot: LogSnapshot) -> None:
-        name = f'{_SNAPSHOT}{snapshot.index:016d}'
-        await self._folder.write_whole(name, snapshot.SerializeToString())
+        name = f'{_SNAPSHOT_PREFIX}{snapshot.index:016d}'
+        await self._folder.write_record(name, snapshot.SerializeToString())
         for other in self._folder.names():
-            if other.startswith(_SNAPSHOT) and other < name:
+            if other.startswith(_SNAPSHOT_PREFIX) and other < name:
                 self._folder.remove(other)
 
 
--- a/verbenathread/consensus/election.py
+++ b/verbenathread/consensus/election.py
@@ -26,7 +26,7 @@
 _log = get_logger('consensus')
 
 # Called with the term that was won and the stores of those who voted.
-Won = Callable[[int, dict[str, str]], Awaitable[None]]
+OnElected = Callable[[int, dict[str, str]], Awaitable[None]]
 
 
 class Elections:
@@ -37,13 +37,13 @@
         state: ReplicaState,
         transport: Transport,
         tasks: TaskSet,
-        won: Won,
+        on_elected: OnElected,
     ) -> None:
         """Call ``won`` whenever this replica wins a term."""
         self._state = state
         self._transport = transport
         self._tasks = tasks
-        self._won = won
+        self._on_elected = on_elected
 
     async def run(self) -> None:
         """Watch the leader, or the quorum while leading, for ever."""
@@ -51,80 +51,82 @@
         state.election.restart()
         running = True
         while running:
-            await asyncio.sleep(seconds(self._pause()))
-            if state.leading is not None:
+            await asyncio.sleep(seconds(self._next_check()))
+            if state.leadership is not None:
                 self._check_quorum()
                 continue
             if state.clock.now() < state.election.deadline:
                 continue
             state.election.restart()
             if state.is_voter():
-                await self._stand()
+                await self._run_pre_vote()
 
     async def vote(self, request: VoteRequest) -> VoteReply:
         """Give or refuse a vote; a vote is synced before it is told."""
         state = self._state
         granted = False
-        if state.is_meant(request.head) and self._may_listen(request):
+        if state.is_addressed_here(request.head) and self._allows_election(
+            request
+        ):
             if request.trial:
-                granted = self._would_vote(request)
+                granted = self._grants_pre_vote(request)
             else:
                 async with state.lock:
-                    granted = await self._vote_once(request)
-        return VoteReply(head=state.head(), granted=granted)
+                    granted = await self._grant_vote(request)
+        return VoteReply(head=state.envelope(), granted=granted)
 
     async def transfer(self, request: TransferRequest) -> TransferReply:
         """Stand for election at once, since the leader asks for it."""
         state = self._state
         head = request.head
-        asked = state.is_meant(head) and head.term == state.term
+        asked = state.is_addressed_here(head) and head.term == state.term
         if asked and head.sender == state.leader_id and state.is_voter():
             _log.info('Leadership is handed to this replica.', term=state.term)
             self._tasks.spawn(self._campaign(handed_over=True))
-        return TransferReply(head=state.head())
+        return TransferReply(head=state.envelope())
 
-    def _pause(self) -> int:
+    def _next_check(self) -> int:
         state = self._state
-        if state.leading is not None:
+        if state.leadership is not None:
             return state.settings.heartbeat
         return max(1, state.election.deadline - state.clock.now())
 
     def _check_quorum(self) -> None:
         state = self._state
-        leading = state.leading
-        if leading is None or state.is_confirmed(leading):
+        leadership = state.leadership
+        if leadership is None or state.has_quorum_contact(leadership):
             return
         _log.warning('No quorum answers; this replica leads no more.')
-        state.follow('')
+        state.become_follower('')
         state.election.restart()
 
-    async def _stand(self) -> None:
+    async def _run_pre_vote(self) -> None:
         state = self._state
         heard_before = state.term
-        granted = await self._ask(
-            VoteRequest(head=state.head(), trial=True), state.term + 1
+        granted = await self._request_votes(
+            VoteRequest(head=state.envelope(), trial=True), state.term + 1
         )
         if granted is None or state.term != heard_before:
             return
-        if not state.election.leader_is_fresh():
+        if not state.election.has_recent_leader():
             await self._campaign(handed_over=False)
 
     async def _campaign(self, *, handed_over: bool) -> None:
         state = self._state
         async with state.lock:
-            if state.leading is not None or not state.is_voter():
+            if state.leadership is not None or not state.is_voter():
                 return
-            state.follow('')
-            await state.save_ballot(Ballot(state.term + 1, state.my_id))
+            state.become_follower('')
+            await state.save_ballot(Ballot(state.term + 1, state.node_id))
             state.role = Role.CANDIDATE
             term = state.term
         state.election.restart()
-        request = VoteRequest(head=state.head(), handed_over=handed_over)
-        granted = await self._ask(request, term)
+        request = VoteRequest(head=state.envelope(), handed_over=handed_over)
+        granted = await self._request_votes(request, term)
         if granted is not None:
-            await self._won(term, granted)
+            await self._on_elected(term, granted)
 
-    async def _ask(
+    async def _request_votes(
         self, request: VoteRequest, term: int
     ) -> dict[str, str] | None:
         """Return the stores of those who voted, or None without a quorum."""
@@ -132,16 +134,16 @@
         request.head.term = term
         request.last_index = state.log.last_index
         request.last_term = state.log.last_term
-        store_by_id = {state.my_id: state.store_id}
+        store_by_id = {state.node_id: state.store_id}
         members = state.log.members()
         asked = set()
         for member in membership.voters(members):
-            if member.node_id == state.my_id:
+            if member.node_id == state.node_id:
                 continue
             asked.add(member.node_id)
             # Never cancelled: it may be syncing a newer term.
             self._tasks.spawn(
-                self._ask_one(member, request, store_by_id, asked)
+                self._request_vote(member, request, store_by_id, asked)
             )
         await state.changed.wait_for(
             lambda: not asked or membership.is_quorum(members, store_by_id),
@@ -154,7 +156,7 @@
         state.election.restart()
         return None
 
-    async def _ask_one(
+    async def _request_vote(
         self,
         member: LogMember,
         wanted: VoteRequest,
@@ -176,7 +178,7 @@
             asked.discard(member.node_id)
             state.changed.notify_all()
             return
-        await state.saw_term(reply.head.term)
+        await state.observe_term(reply.head.term)
         store = reply.head.sender_store
         # A vote out of another store is not the member's vote.
         if reply.granted and store and member.store_id in {'', store}:
@@ -184,21 +186,21 @@
         asked.discard(member.node_id)
         state.changed.notify_all()
 
-    def _may_listen(self, request: VoteRequest) -> bool:
-        """Tell whether an election may disturb the leader."""
+    def _allows_election(self, request: VoteRequest) -> bool:
+        """Return whether an election may disturb the leader."""
         state = self._state
         if request.handed_over:
             return True
-        if state.leading is not None:
-            return not state.is_confirmed(state.leading)
-        return not state.election.leader_is_fresh()
+        if state.leadership is not None:
+            return not state.has_quorum_contact(state.leadership)
+        return not state.election.has_recent_leader()
 
-    def _would_vote(self, request: VoteRequest) -> bool:
+    def _grants_pre_vote(self, request: VoteRequest) -> bool:
         if request.head.term <= self._state.term:
             return False
         return self._is_up_to_date(request)
 
-    async def _vote_once(self, request: VoteRequest) -> bool:
+    async def _grant_vote(self, request: VoteRequest) -> bool:
         state = self._state
         candidate = request.head.sender
         term = request.head.term
@@ -209,7 +211,7 @@
             await state.enter_term(term)
             return False
         if term > state.term:
-            state.follow('')
+            state.become_follower('')
         ballot = Ballot(term, candidate)
         if ballot != state.ballot:
             await state.save_ballot(ballot)
--- a/verbenathread/consensus/files.py
+++ b/verbenathread/consensus/files.py
@@ -34,7 +34,7 @@
     def overwrite(self, name: str, content: bytes) -> None:
         """Write at the start of a file, which is made if missing."""
 
-    def cut(self, name: str, length: int) -> None:
+    def truncate(self, name: str, length: int) -> None:
         """Shorten a file."""
 
     def rename(self, name: str, new_name: str) -> None:
@@ -104,7 +104,7 @@
         """Write at the start of a file."""
         self._write(self._open(name), content, 0)
 
-    def cut(self, name: str, length: int) -> None:
+    def truncate(self, name: str, length: int) -> None:
         """Shorten a file."""
         os.ftruncate(self._open(name), length)
 
--- a/verbenathread/consensus/folder.py
+++ b/verbenathread/consensus/folder.py
@@ -7,8 +7,8 @@
 from verbenathread.consensus.files import Files
 from verbenathread.exceptions import StorageError
 
-TEMPORARY = '.tmp'
-REPLACE = (
+TEMPORARY_SUFFIX = '.tmp'
+REPLACE_MEMBER = (
     'Keep the folder for inspection, give this node an empty one with '
     '"join = yes", and replace the member in the group.'
 )
@@ -17,17 +17,17 @@
 _Result = TypeVar('_Result')
 
 
-class Folder:
+class DataFolder:
     """Files of one replica; any error names the file and the remedy."""
 
     def __init__(self, files: Files) -> None:
         """Use ``files``."""
         self._files = files
-        self.syncs = 0
+        self.sync_count = 0
 
     def lock(self) -> None:
         """Keep other processes out."""
-        self._guard('', self._files.lock)
+        self._wrap_errors('', self._files.lock)
 
     def close(self) -> None:
         """Let go of the files."""
@@ -35,33 +35,33 @@
 
     def names(self) -> list[str]:
         """Return the names of all files, sorted."""
-        return self._guard('', self._files.names)
+        return self._wrap_errors('', self._files.names)
 
     def read(self, name: str) -> bytes:
         """Return the whole content of a file."""
-        return self._guard(name, lambda: self._files.read(name))
+        return self._wrap_errors(name, lambda: self._files.read(name))
 
     def append(self, name: str, content: bytes) -> None:
         """Add to the end of a file."""
-        self._guard(name, lambda: self._files.append(name, content))
+        self._wrap_errors(name, lambda: self._files.append(name, content))
 
     def overwrite(self, name: str, content: bytes) -> None:
         """Write at the start of a file."""
-        self._guard(name, lambda: self._files.overwrite(name, content))
+        self._wrap_errors(name, lambda: self._files.overwrite(name, content))
 
-    def cut(self, name: str, length: int) -> None:
+    def truncate(self, name: str, length: int) -> None:
         """Shorten a file."""
-        self._guard(name, lambda: self._files.cut(name, length))
+        self._wrap_errors(name, lambda: self._files.truncate(name, length))
 
     def remove(self, name: str) -> None:
         """Remove a file."""
-        self._guard(name, lambda: self._files.remove(name))
+        self._wrap_errors(name, lambda: self._files.remove(name))
 
-    def clean(self) -> list[str]:
+    def remove_temporary_files(self) -> list[str]:
         """Remove files that a crash left half made; return the others."""
         kept = []
         for name in self.names():
-            if name.endswith(TEMPORARY):
+            if name.endswith(TEMPORARY_SUFFIX):
                 self.remove(name)
                 continue
             kept.append(name)
@@ -71,44 +71,44 @@
         """Return the path of a file for messages."""
         return self._files.path(name)
 
-    def read_whole(self, name: str) -> bytes:
+    def read_record(self, name: str) -> bytes:
         """Return the one record of a file."""
         payload = records.unpack(self.read(name), 0, 0)
         if payload is None:
             raise StorageError(
-                f'{self.path(name)} is damaged at offset 0. {REPLACE}'
+                f'{self.path(name)} is damaged at offset 0. {REPLACE_MEMBER}'
             )
         return payload
 
-    async def write_whole(self, name: str, payload: bytes) -> None:
+    async def write_record(self, name: str, payload: bytes) -> None:
         """Make a file of one record, synced."""
-        await self.write_file(name, records.pack(payload, 0, 0))
+        await self.write_atomic(name, records.pack(payload, 0, 0))
 
-    async def write_file(self, name: str, content: bytes) -> None:
+    async def write_atomic(self, name: str, content: bytes) -> None:
         """Make a file that is there whole or not at all, synced."""
-        temporary = name + TEMPORARY
+        temporary = name + TEMPORARY_SUFFIX
         self.append(temporary, content)
         await self.sync(temporary)
-        self._guard(name, lambda: self._files.rename(temporary, name))
+        self._wrap_errors(name, lambda: self._files.rename(temporary, name))
         await self.sync_folder()
 
     async def sync(self, name: str) -> None:
         """Sync the content of a file."""
-        self.syncs += 1
+        self.sync_count += 1
         try:
             await self._files.sync(name)
         except OSError as error:
-            raise self._sync_failed(name, error) from error
+            raise self._sync_error(name, error) from error
 
     async def sync_folder(self) -> None:
         """Sync the names in the folder."""
-        self.syncs += 1
+        self.sync_count += 1
         try:
             await self._files.sync_folder()
         except OSError as error:
-            raise self._sync_failed('', error) from error
+            raise self._sync_error('', error) from error
 
-    def _guard(self, name: str, work: Callable[[], _Result]) -> _Result:
+    def _wrap_errors(self, name: str, work: Callable[[], _Result]) -> _Result:
         try:
             return work()
         except OSError as error:
@@ -118,8 +118,8 @@
                 'replica again.'
             ) from error
 
-    def _sync_failed(self, name: str, error: OSError) -> StorageError:
+    def _sync_error(self, name: str, error: OSError) -> StorageError:
         return StorageError(
             f'{self.path(name)} could not be synced: {error}. Its content is '
-            f'unknown now. Check the disk. {REPLACE}'
+            f'unknown now. Check the disk. {REPLACE_MEMBER}'
         )
--- a/verbenathread/consensus/follower.py
+++ b/verbenathread/consensus/follower.py
@@ -23,40 +23,42 @@
 class Follower:
     """Answers the leader; what it confirms is synced."""
 
-    def __init__(self, state: ReplicaState, cut: Callable[[int], None]) -> None:
+    def __init__(
+        self, state: ReplicaState, on_replaced: Callable[[int], None]
+    ) -> None:
         """Call ``cut`` with the index from which entries were replaced."""
         self._state = state
-        self._cut = cut
+        self._on_replaced = on_replaced
         self._warned = False
 
     async def append(self, request: AppendRequest) -> AppendReply:
         """Take entries that follow on what this log holds."""
         state = self._state
-        if not self.listens(request.head):
-            return AppendReply(head=state.head())
+        if not self.accepts(request.head):
+            return AppendReply(head=state.envelope())
         async with state.lock:
-            if not await self.follow(request.head):
-                return AppendReply(head=state.head())
+            if not await self.follow_sender(request.head):
+                return AppendReply(head=state.envelope())
             return await self._append(request)
 
     async def beat(self, request: BeatRequest) -> BeatReply:
         """Take a heartbeat; in a known term without waiting for a sync."""
         state = self._state
         head = request.head
-        if not self.listens(head):
-            return BeatReply(head=state.head())
+        if not self.accepts(head):
+            return BeatReply(head=state.envelope())
         if head.term > state.term:
             async with state.lock:
-                await self.follow(head)
+                await self.follow_sender(head)
         if head.term == state.term:
-            self._note_leader(head)
+            self._record_leader(head)
             state.commit_to(min(request.commit_index, state.log.last_index))
-        return BeatReply(head=state.head(), round=request.round)
+        return BeatReply(head=state.envelope(), round=request.round)
 
-    def listens(self, head: Envelope) -> bool:
-        """Tell whether a message is for this store, and keep the leader."""
+    def accepts(self, head: Envelope) -> bool:
+        """Return whether a message is for this store, and keep the leader."""
         state = self._state
-        if not state.is_meant(head):
+        if not state.is_addressed_here(head):
             if not self._warned:
                 _log.error(
                     'The group knows this node by another data folder. Put '
@@ -66,54 +68,54 @@
             self._warned = True
             return False
         if head.term == state.term:
-            self._note_leader(head)
+            self._record_leader(head)
         return True
 
-    async def follow(self, head: Envelope) -> bool:
+    async def follow_sender(self, head: Envelope) -> bool:
         """Follow the sender unless its term is over. The lock is held."""
         state = self._state
         await state.enter_term(head.term)
         if head.term < state.term:
             return False
-        self._note_leader(head)
+        self._record_leader(head)
         return True
 
-    def _note_leader(self, head: Envelope) -> None:
+    def _record_leader(self, head: Envelope) -> None:
         state = self._state
-        if state.leading is not None:
+        if state.leadership is not None:
             return
         if state.leader_id != head.sender:
-            state.follow(head.sender)
-        state.election.heard_leader()
+            state.become_follower(head.sender)
+        state.election.record_leader_contact()
 
     async def _append(self, request: AppendRequest) -> AppendReply:
         state = self._state
         previous = request.previous_index
-        if not self._is_joined(request):
+        if not self._matches_previous(request):
             return AppendReply(
-                head=state.head(), next_index=self._look_next(previous)
+                head=state.envelope(), next_index=self._conflict_index(previous)
             )
-        fresh = self._fresh_entries(request)
+        fresh = self._missing_entries(request)
         if fresh:
             await state.storage.append(fresh)
             # The new entry's own index is answered when it is applied.
-            self._cut(fresh[0].index + len(fresh))
+            self._on_replaced(fresh[0].index + len(fresh))
             state.log.extend(fresh)
         match_index = previous + len(request.entries)
         state.commit_to(min(request.commit_index, match_index))
         return AppendReply(
-            head=state.head(), matched=True, match_index=match_index
+            head=state.envelope(), matched=True, match_index=match_index
         )
 
-    def _is_joined(self, request: AppendRequest) -> bool:
-        """Tell whether this log holds the entry before the new ones."""
+    def _matches_previous(self, request: AppendRequest) -> bool:
+        """Return whether this log holds the entry before the new ones."""
         log = self._state.log
         if request.previous_index < log.base_index:
             # All before the base is committed, and so equal everywhere.
             return True
         return log.term_at(request.previous_index) == request.previous_term
 
-    def _look_next(self, previous: int) -> int:
+    def _conflict_index(self, previous: int) -> int:
         """Return the first index of the term that did not agree."""
         log = self._state.log
         if previous > log.last_index:
@@ -126,7 +128,7 @@
             index -= 1
         return index
 
-    def _fresh_entries(self, request: AppendRequest) -> list[LogEntry]:
+    def _missing_entries(self, request: AppendRequest) -> list[LogEntry]:
         """Return the entries from the first one that this log lacks on."""
         state = self._state
         entries = list(request.entries)
--- a/verbenathread/consensus/leader.py
+++ b/verbenathread/consensus/leader.py
@@ -11,7 +11,7 @@
 from verbenathread.consensus.applier import Applier
 from verbenathread.consensus.snapshots import SnapshotSender
 from verbenathread.consensus.state import (
-    Leading,
+    Leadership,
     Progress,
     Proposal,
     ReplicaState,
@@ -35,7 +35,7 @@
 
 # A lost batch is sent again after this many election timeouts. A member that
 # is still syncing it then finds that it holds the entries already.
-_APPEND_TIMEOUTS = 2
+_APPEND_ELECTION_TIMEOUTS = 2
 
 
 class Leader:
@@ -67,16 +67,16 @@
                 entry = _members_entry(
                     membership.with_stores(members, store_by_id)
                 )
-            leading = Leading(term, state.log.last_index + 1)
+            leadership = Leadership(term, state.log.last_index + 1)
             state.role = Role.LEADER
-            state.leading = leading
-            state.leader_id = state.my_id
+            state.leadership = leadership
+            state.leader_id = state.node_id
             _log.info('This replica leads.', term=term)
-            await self._write(leading, [entry])
-        self._tasks.spawn(self._write_batches(leading))
+            await self._write(leadership, [entry])
+        self._tasks.spawn(self._write_batches(leadership))
 
     async def write_members(
-        self, leading: Leading, members: LogMembers, expected: int
+        self, leadership: Leadership, members: LogMembers, expected: int
     ) -> int:
         """Put a change of members on the log and return its index.
 
@@ -85,7 +85,7 @@
         """
         # In a task of its own: a caller who hangs up must not cancel a sync.
         task = self._tasks.spawn(
-            self._write_members(leading, members, expected)
+            self._write_members(leadership, members, expected)
         )
         await asyncio.wait((task,))
         if task.cancelled() or task.exception() is not None:
@@ -99,108 +99,114 @@
         return outcome
 
     async def _write_members(
-        self, leading: Leading, members: LogMembers, expected: int
+        self, leadership: Leadership, members: LogMembers, expected: int
     ) -> int | UnavailableError:
         state = self._state
         async with state.lock:
-            if not state.leads(leading):
-                return state.not_leader()
+            if not state.still_leads(leadership):
+                return state.not_leader_error()
             current = state.log.members_index()
             if current != expected or current > state.commit_index:
                 return UnavailableError(
                     'Another change of members is in progress; try again '
                     'once it is done.'
                 )
-            await self._write(leading, [_members_entry(members)])
+            await self._write(leadership, [_members_entry(members)])
             return state.log.members_index()
 
-    async def _write_batches(self, leading: Leading) -> None:
+    async def _write_batches(self, leadership: Leadership) -> None:
         """Sync all proposals that wait together in one append."""
         state = self._state
-        while state.leads(leading):
-            if not leading.queue:
-                await leading.work.wait()
-                leading.work.clear()
+        while state.still_leads(leadership):
+            if not leadership.queue:
+                await leadership.queue_ready.wait()
+                leadership.queue_ready.clear()
                 continue
             async with state.lock:
-                if state.leads(leading):
-                    await self._write_queue(leading)
+                if state.still_leads(leadership):
+                    await self._write_queue(leadership)
 
-    async def _write_queue(self, leading: Leading) -> None:
+    async def _write_queue(self, leadership: Leadership) -> None:
         entries: list[LogEntry] = []
         size = 0
         index = self._state.log.last_index
-        while leading.queue and size < self._state.settings.batch_bytes:
-            proposal = leading.queue.popleft()
+        while leadership.queue and size < self._state.settings.batch_bytes:
+            proposal = leadership.queue.popleft()
             if proposal.future.done():
                 continue
             index += 1
             proposal.appended = True
-            self._applier.expect(index, leading.term, proposal)
+            self._applier.register(index, leadership.term, proposal)
             entries.append(LogEntry(command=proposal.command))
             size += len(proposal.command)
         if entries:
-            await self._write(leading, entries)
+            await self._write(leadership, entries)
 
-    async def _write(self, leading: Leading, entries: list[LogEntry]) -> None:
+    async def _write(
+        self, leadership: Leadership, entries: list[LogEntry]
+    ) -> None:
         """Append in memory, tell the members, sync. The lock is held."""
         state = self._state
         index = state.log.last_index
         for entry in entries:
             index += 1
             entry.index = index
-            entry.term = leading.term
+            entry.term = leadership.term
         state.log.extend(entries)
-        self._follow_members(leading)
-        leading.wake()
+        self._update_progress(leadership)
+        leadership.wake_replication()
         await state.storage.append(entries)
-        leading.synced = max(leading.synced, index)
-        self._advance(leading)
+        leadership.synced_index = max(leadership.synced_index, index)
+        self._advance_commit_index(leadership)
 
-    def _follow_members(self, leading: Leading) -> None:
+    def _update_progress(self, leadership: Leadership) -> None:
         """Run tasks for exactly the members that the log names."""
         state = self._state
         kept: dict[str, Progress] = {}
         for member in state.log.members().members:
-            if member.node_id == state.my_id:
+            if member.node_id == state.node_id:
                 continue
-            progress = leading.progress_by_id.get(member.node_id)
+            progress = leadership.progress_by_id.get(member.node_id)
             if progress is None:
                 progress = Progress(
-                    member, leading.first_index, state.clock.now()
+                    member, leadership.first_index, state.clock.now()
                 )
-                self._tasks.spawn(self._replicate(leading, progress))
-                self._tasks.spawn(self._beat(leading, progress))
+                self._tasks.spawn(self._replicate(leadership, progress))
+                self._tasks.spawn(self._run_heartbeats(leadership, progress))
             progress.member = member
             kept[member.node_id] = progress
-        leading.progress_by_id = kept
+        leadership.progress_by_id = kept
 
-    def _is_followed(self, leading: Leading, progress: Progress) -> bool:
-        if not self._state.leads(leading):
+    def _is_replicating_to(
+        self, leadership: Leadership, progress: Progress
+    ) -> bool:
+        if not self._state.still_leads(leadership):
             return False
         node_id = progress.member.node_id
-        return leading.progress_by_id.get(node_id) is progress
+        return leadership.progress_by_id.get(node_id) is progress
 
-    async def _beat(self, leading: Leading, progress: Progress) -> None:
+    async def _run_heartbeats(
+        self, leadership: Leadership, progress: Progress
+    ) -> None:
         """Send heartbeats to one member for as long as the term lasts."""
         state = self._state
-        while self._is_followed(leading, progress):
+        while self._is_replicating_to(leadership, progress):
             sent = state.clock.now()
             try:
-                await self._beat_once(leading, progress, sent)
+                await self._send_heartbeat(leadership, progress, sent)
             except UnavailableError:
                 await asyncio.sleep(seconds(state.settings.heartbeat) / 2)
             rest = sent + state.settings.heartbeat - state.clock.now()
-            await wait_event(progress.beat, max(1, rest))
+            await wait_event(progress.heartbeat_due, max(1, rest))
 
-    async def _beat_once(
-        self, leading: Leading, progress: Progress, sent: int
+    async def _send_heartbeat(
+        self, leadership: Leadership, progress: Progress, sent: int
     ) -> None:
         state = self._state
         commit = min(state.commit_index, progress.match_index)
         request = BeatRequest(
-            head=self._head(leading, progress),
-            round=leading.round,
+            head=self._envelope(leadership, progress),
+            round=leadership.round,
             commit_index=commit,
         )
         reply = await self._transport.beat(
@@ -208,46 +214,48 @@
             request,
             state.settings.election_timeout // 2,
         )
-        if not await self._is_current(leading, progress, reply.head):
+        if not await self._accept_reply(leadership, progress, reply.head):
             return
-        progress.heard = max(progress.heard, sent)
+        progress.last_contact = max(progress.last_contact, sent)
         progress.round = max(progress.round, reply.round)
         state.changed.notify_all()
 
-    async def _replicate(self, leading: Leading, progress: Progress) -> None:
+    async def _replicate(
+        self, leadership: Leadership, progress: Progress
+    ) -> None:
         """Send entries to one member for as long as the term lasts."""
         state = self._state
-        while self._is_followed(leading, progress):
+        while self._is_replicating_to(leadership, progress):
             if not self._has_work(progress):
-                await progress.work.wait()
-                progress.work.clear()
+                await progress.work_ready.wait()
+                progress.work_ready.clear()
                 continue
             try:
-                sent = await self._replicate_once(leading, progress)
+                sent = await self._send_next(leadership, progress)
             except UnavailableError:
                 sent = False
             if not sent:
-                await wait_event(progress.work, state.settings.heartbeat)
+                await wait_event(progress.work_ready, state.settings.heartbeat)
 
     def _has_work(self, progress: Progress) -> bool:
         state = self._state
         if progress.next_index <= state.log.last_index:
             return True
-        return progress.sent_commit < state.commit_index
+        return progress.sent_commit_index < state.commit_index
 
-    async def _replicate_once(
-        self, leading: Leading, progress: Progress
+    async def _send_next(
+        self, leadership: Leadership, progress: Progress
     ) -> bool:
         """Send one batch or one snapshot; return False to wait a little."""
         state = self._state
         previous = progress.next_index - 1
         term = state.log.term_at(previous)
         if term is None:
-            return await self._install(leading, progress)
-        entries = state.log.after(previous, state.settings.batch_bytes)
+            return await self._send_snapshot(leadership, progress)
+        entries = state.log.entries_after(previous, state.settings.batch_bytes)
         commit = state.commit_index
         request = AppendRequest(
-            head=self._head(leading, progress),
+            head=self._envelope(leadership, progress),
             previous_index=previous,
             previous_term=term,
             entries=entries,
@@ -256,71 +264,73 @@
         reply = await self._transport.append(
             membership.peer_of(progress.member),
             request,
-            state.settings.election_timeout * _APPEND_TIMEOUTS,
+            state.settings.election_timeout * _APPEND_ELECTION_TIMEOUTS,
         )
-        if not await self._is_current(leading, progress, reply.head):
+        if not await self._accept_reply(leadership, progress, reply.head):
             return False
         if not reply.matched:
             # The hint never helps a member that is asked in vain again.
             progress.next_index = max(1, min(previous, reply.next_index))
             return True
-        progress.sent_commit = max(progress.sent_commit, commit)
+        progress.sent_commit_index = max(progress.sent_commit_index, commit)
         progress.next_index = reply.match_index + 1
         if reply.match_index > progress.match_index:
             progress.match_index = reply.match_index
-            self._advance(leading)
+            self._advance_commit_index(leadership)
         return True
 
-    async def _install(self, leading: Leading, progress: Progress) -> bool:
-        head = self._head(leading, progress)
+    async def _send_snapshot(
+        self, leadership: Leadership, progress: Progress
+    ) -> bool:
+        head = self._envelope(leadership, progress)
         sent = await self._snapshots.send(progress, head)
-        if not await self._is_current(leading, progress, sent.reply.head):
+        if not await self._accept_reply(leadership, progress, sent.reply.head):
             return False
         if not sent.reply.installed:
             return False
         progress.next_index = sent.snapshot_index + 1
         progress.match_index = max(progress.match_index, sent.snapshot_index)
-        self._advance(leading)
+        self._advance_commit_index(leadership)
         return True
 
-    def _head(self, leading: Leading, progress: Progress) -> Envelope:
-        head = self._state.head(progress.member.store_id)
-        head.term = leading.term
+    def _envelope(self, leadership: Leadership, progress: Progress) -> Envelope:
+        head = self._state.envelope(progress.member.store_id)
+        head.term = leadership.term
         return head
 
-    async def _is_current(
-        self, leading: Leading, progress: Progress, head: Envelope
+    async def _accept_reply(
+        self, leadership: Leadership, progress: Progress, head: Envelope
     ) -> bool:
-        """Tell whether an answer counts for this term and this store."""
+        """Return whether an answer counts for this term and this store."""
         state = self._state
-        await state.saw_term(head.term)
-        if not self._is_followed(leading, progress):
+        await state.observe_term(head.term)
+        if not self._is_replicating_to(leadership, progress):
             return False
         if head.sender_store == progress.member.store_id:
-            progress.replaced = False
-            return head.term == leading.term
-        if not progress.replaced:
+            progress.store_mismatch = False
+            return head.term == leadership.term
+        if not progress.store_mismatch:
             _log.error(
                 'A member answers from another data folder; remove it and '
                 'add it again as a new member.',
                 member=progress.member.node_id,
             )
-        progress.replaced = True
+        progress.store_mismatch = True
         return False
 
-    def _advance(self, leading: Leading) -> None:
+    def _advance_commit_index(self, leadership: Leadership) -> None:
         """Commit what a quorum has synced, in this leader's own term."""
         state = self._state
-        if not state.leads(leading):
+        if not state.still_leads(leadership):
             return
-        synced_by_id = {state.my_id: leading.synced}
-        for node_id, progress in leading.progress_by_id.items():
+        synced_by_id = {state.node_id: leadership.synced_index}
+        for node_id, progress in leadership.progress_by_id.items():
             synced_by_id[node_id] = progress.match_index
         index = _quorum_index(state.log.members(), synced_by_id)
         # An older term's entry is never committed by counting copies (5.4.2).
-        if state.log.term_at(index) == leading.term:
+        if state.log.term_at(index) == leadership.term:
             state.commit_to(index)
-            leading.wake()
+            leadership.wake_replication()
         state.changed.notify_all()
 
 
@@ -338,14 +348,14 @@
 
 
 def queue_proposal(
-    state: ReplicaState, leading: Leading, command: bytes
+    state: ReplicaState, leadership: Leadership, command: bytes
 ) -> Proposal:
     """Put a command into the queue for the log, or refuse it."""
-    if len(leading.queue) >= state.settings.queue_limit:
+    if len(leadership.queue) >= state.settings.queue_limit:
         raise UnavailableError(
             'Too many changes wait for the log; try again in a moment.'
         )
     proposal = Proposal(command)
-    leading.queue.append(proposal)
-    leading.work.set()
+    leadership.queue.append(proposal)
+    leadership.queue_ready.set()
     return proposal
--- a/verbenathread/consensus/log.py
+++ b/verbenathread/consensus/log.py
@@ -41,8 +41,8 @@
     def load_members(self, index: int, members: LogMembers) -> None:
         """Set the members at ``index`` and read later ones off the log."""
         self._members = [(index, members)]
-        for entry in self.after(index):
-            self._note_members(entry)
+        for entry in self.entries_after(index):
+            self._record_members(entry)
 
     def term_at(self, index: int) -> int | None:
         """Return the term at an index; None when it is not held here."""
@@ -56,7 +56,7 @@
         """Return the entry at an index that is held here."""
         return self._entries[index - self.base_index - 1]
 
-    def after(
+    def entries_after(
         self, index: int, most_bytes: int | None = None
     ) -> list[LogEntry]:
         """Return entries after ``index``, at least one of them if any."""
@@ -76,12 +76,12 @@
         """Add entries, which replace whatever stood from the first one on."""
         if not entries:
             return
-        self._cut_from(entries[0].index)
+        self._truncate_suffix(entries[0].index)
         for entry in entries:
             self._entries.append(entry)
-            self._note_members(entry)
+            self._record_members(entry)
 
-    def drop_to(self, index: int) -> None:
+    def truncate_prefix(self, index: int) -> None:
         """Forget entries up to ``index``."""
         if index <= self.base_index:
             return
@@ -107,28 +107,28 @@
 
     def members_at(self, index: int) -> LogMembers:
         """Return the members in force at an index."""
-        return self._pair_at(index)[1]
+        return self._members_set_by(index)[1]
 
-    def forget_members_before(self, index: int) -> None:
+    def prune_members(self, index: int) -> None:
         """Keep only the members in force from ``index`` on."""
-        current = self._pair_at(index)
+        current = self._members_set_by(index)
         later = [pair for pair in self._members if pair[0] > index]
         self._members = [current, *later]
 
-    def _pair_at(self, index: int) -> tuple[int, LogMembers]:
+    def _members_set_by(self, index: int) -> tuple[int, LogMembers]:
         found = self._members[0]
         for pair in self._members:
             if pair[0] <= index:
                 found = pair
         return found
 
-    def _cut_from(self, index: int) -> None:
+    def _truncate_suffix(self, index: int) -> None:
         keep = max(0, index - self.base_index - 1)
         if keep < len(self._entries):
             self._entries = self._entries[:keep]
         while len(self._members) > 1 and self.members_index() >= index:
             self._members.pop()
 
-    def _note_members(self, entry: LogEntry) -> None:
+    def _record_members(self, entry: LogEntry) -> None:
         if entry.kind == ENTRY_MEMBERS:
             self._members.append((entry.index, entry.members))
--- a/verbenathread/consensus/members.py
+++ b/verbenathread/consensus/members.py
@@ -49,7 +49,7 @@
 
 
 def is_formed(members: LogMembers) -> bool:
-    """Tell whether the store of every voter is on record."""
+    """Return whether the store of every voter is on record."""
     return all(member.store_id for member in voters(members))
 
 
@@ -66,7 +66,7 @@
 
 
 def is_quorum(members: LogMembers, node_ids: Collection[str]) -> bool:
-    """Tell whether ``node_ids`` hold enough voters."""
+    """Return whether ``node_ids`` hold enough voters."""
     agreed = 0
     for member in voters(members):
         if member.node_id in node_ids:
--- a/verbenathread/consensus/records.py
+++ b/verbenathread/consensus/records.py
@@ -6,33 +6,33 @@
 
 _MAGIC = b'VTR1'
 # Magic bytes, length of the payload, checksum.
-_HEAD = struct.Struct('<4sII')
+_HEADER = struct.Struct('<4sII')
 # Number of the file and offset in it, which the checksum covers too.
-_PLACE = struct.Struct('<QQI')
+_POSITION = struct.Struct('<QQI')
 
 
-class Scan(NamedTuple):
+class ScanResult(NamedTuple):
     """What a file of records holds."""
 
     payloads: list[bytes]
     # Records are whole up to here.
     valid_length: int
     # Offset of a whole record after the first that is not; -1 for none.
-    resumes_at: int
+    resync_offset: int
 
 
 def pack(payload: bytes, file_number: int, offset: int) -> bytes:
     """Return a record for one place in one file."""
     checksum = _checksum(payload, file_number, offset)
-    return _HEAD.pack(_MAGIC, len(payload), checksum) + payload
+    return _HEADER.pack(_MAGIC, len(payload), checksum) + payload
 
 
 def unpack(content: bytes, file_number: int, offset: int) -> bytes | None:
     """Return the payload of the record at ``offset``, None if not whole."""
-    start = offset + _HEAD.size
+    start = offset + _HEADER.size
     if start > len(content):
         return None
-    magic, length, checksum = _HEAD.unpack_from(content, offset)
+    magic, length, checksum = _HEADER.unpack_from(content, offset)
     payload = content[start : start + length]
     if magic != _MAGIC or len(payload) != length:
         return None
@@ -41,19 +41,21 @@
     return payload
 
 
-def scan(content: bytes, file_number: int) -> Scan:
+def scan(content: bytes, file_number: int) -> ScanResult:
     """Read records until one is not whole, then look for any after it."""
     payloads = []
     offset = 0
     payload = unpack(content, file_number, offset)
     while payload is not None:
         payloads.append(payload)
-        offset += _HEAD.size + len(payload)
+        offset += _HEADER.size + len(payload)
         payload = unpack(content, file_number, offset)
-    return Scan(payloads, offset, _resumes_at(content, file_number, offset))
+    return ScanResult(
+        payloads, offset, _find_resync_offset(content, file_number, offset)
+    )
 
 
-def _resumes_at(content: bytes, file_number: int, after: int) -> int:
+def _find_resync_offset(content: bytes, file_number: int, after: int) -> int:
     place = content.find(_MAGIC, after + 1)
     while place >= 0:
         if unpack(content, file_number, place) is not None:
@@ -64,5 +66,5 @@
 
 def _checksum(payload: bytes, file_number: int, offset: int) -> int:
     # A command may itself hold the bytes of a record, from another place.
-    place = _PLACE.pack(file_number, offset, len(payload))
+    place = _POSITION.pack(file_number, offset, len(payload))
     return zlib.crc32(payload, zlib.crc32(place))
--- a/verbenathread/consensus/replay.py
+++ b/verbenathread/consensus/replay.py
@@ -31,21 +31,21 @@
         self.last_index = 0
         self.last_term = 0
 
-    def take(self, record: DiskRecord, segment: Segment) -> bool:
+    def apply(self, record: DiskRecord, segment: Segment) -> bool:
         """Take one record; False when entries before it are missing."""
         if record.HasField('ballot'):
             self.ballot = Ballot(record.ballot.term, record.ballot.vote)
         if record.HasField('segment'):
-            self._take_head(record.segment)
+            self._apply_head(record.segment)
         for entry in record.entries:
             if not self.base_index < entry.index <= self.last_index + 1:
                 return False
             self._replace_from(entry)
-            self.end(entry.index, entry.term)
+            self.set_end(entry.index, entry.term)
             segment.last_index = max(segment.last_index, entry.index)
         return True
 
-    def end(self, index: int, term: int) -> None:
+    def set_end(self, index: int, term: int) -> None:
         """Note where the log ends."""
         self.last_index = index
         self.last_term = term
@@ -55,7 +55,7 @@
         self.base_index = index
         self.base_term = term
         self.entries.clear()
-        self.end(index, term)
+        self.set_end(index, term)
 
     def term_at(self, index: int) -> int | None:
         """Return the term at an index, None when it is not held."""
@@ -65,11 +65,11 @@
             return self.entries[index - self.base_index - 1].term
         return None
 
-    def is_used(self) -> bool:
-        """Tell whether anything was saved."""
+    def has_content(self) -> bool:
+        """Return whether anything was saved."""
         return self.last_index > 0 or self.ballot.term > 0
 
-    def _take_head(self, head: SegmentHead) -> None:
+    def _apply_head(self, head: SegmentHead) -> None:
         """Go on where the segment begins, else begin an empty log there."""
         if (head.base_index, head.base_term) != (
             self.last_index,
--- a/verbenathread/consensus/replica.py
+++ b/verbenathread/consensus/replica.py
@@ -12,7 +12,7 @@
 from verbenathread.clock import Clock, seconds
 from verbenathread.consensus import members as membership
 from verbenathread.consensus.applier import Applier
-from verbenathread.consensus.changes import MemberChanges
+from verbenathread.consensus.changes import MembershipChanges
 from verbenathread.consensus.election import Elections
 from verbenathread.consensus.follower import Follower
 from verbenathread.consensus.leader import Leader, queue_proposal
@@ -23,7 +23,7 @@
     ReplicaStatus,
 )
 from verbenathread.consensus.snapshots import SnapshotReceiver
-from verbenathread.consensus.state import Leading, ReplicaState
+from verbenathread.consensus.state import Leadership, ReplicaState
 from verbenathread.consensus.storage import Storage
 from verbenathread.consensus.transport import Transport
 from verbenathread.consensus.waiting import TaskSet
@@ -67,8 +67,8 @@
         self._elections = Elections(
             state, transport, self._tasks, self._leader.lead
         )
-        self._changes = MemberChanges(state, transport, self._leader)
-        follower = Follower(state, self._applier.abandon_from)
+        self._changes = MembershipChanges(state, transport, self._leader)
+        follower = Follower(state, self._applier.fail_pending_from)
         self._follower = follower
         self._receiver = SnapshotReceiver(state, follower, self._applier)
         self._running = False
@@ -93,8 +93,14 @@
     async def stop(self, *, transfer_leadership: bool = True) -> None:
         """Stop; a leader first hands over and answers what is in progress."""
         state = self._state
-        if self._running and transfer_leadership and state.leading is not None:
-            await self._changes.hand_over(2 * state.settings.election_timeout)
+        if (
+            self._running
+            and transfer_leadership
+            and state.leadership is not None
+        ):
+            await self._changes.transfer_leadership(
+                2 * state.settings.election_timeout
+            )
             await state.changed.wait_for(
                 self._applier.is_idle, state.settings.election_timeout
             )
@@ -109,8 +115,8 @@
         taken; UnknownOutcomeError that it may or may not be committed.
         """
         self._require_running()
-        leading = self._state.require_leading()
-        proposal = queue_proposal(self._state, leading, command)
+        leadership = self._state.require_leadership()
+        proposal = queue_proposal(self._state, leadership, command)
         try:
             return await asyncio.wait_for(proposal.future, seconds(limit))
         except TimeoutError:
@@ -132,21 +138,23 @@
         self._require_running()
         state = self._state
         deadline = state.clock.now() + limit
-        leading = state.require_leading()
-        await self._wait_leading(
-            leading,
-            lambda: state.commit_index >= leading.first_index,
+        leadership = state.require_leadership()
+        await self._wait_while_leader(
+            leadership,
+            lambda: state.commit_index >= leadership.first_index,
             deadline,
         )
         index = state.commit_index
-        leading.round += 1
-        wanted = leading.round
-        leading.wake_beats()
-        await self._wait_leading(
-            leading, lambda: self._is_confirmed(leading, wanted), deadline
+        leadership.round += 1
+        wanted = leadership.round
+        leadership.wake_heartbeats()
+        await self._wait_while_leader(
+            leadership,
+            lambda: self._is_round_confirmed(leadership, wanted),
+            deadline,
         )
-        await self._wait_leading(
-            leading, lambda: self._applier.applied_index >= index, deadline
+        await self._wait_while_leader(
+            leadership, lambda: self._applier.applied_index >= index, deadline
         )
         return index
 
@@ -196,48 +204,50 @@
             members=tuple(members),
             sync_count=state.storage.sync_count(),
             failure=self._failure,
-            node_id=state.my_id,
+            node_id=state.node_id,
             store_id=state.store_id,
         )
 
     def silent_for(self) -> dict[str, Millis]:
         """Return ms since each other member answered; empty if not leading."""
         state = self._state
-        if state.leading is None:
+        if state.leadership is None:
             return {}
         now = state.clock.now()
         return {
-            node_id: now - progress.heard
-            for node_id, progress in state.leading.progress_by_id.items()
+            node_id: now - progress.last_contact
+            for node_id, progress in state.leadership.progress_by_id.items()
         }
 
     async def vote(self, request: messages.VoteRequest) -> messages.VoteReply:
         """Answer a candidate."""
-        return await self._serve(self._elections.vote(request))
+        return await self._run_uncancelled(self._elections.vote(request))
 
     async def append(
         self, request: messages.AppendRequest
     ) -> messages.AppendReply:
         """Answer the leader's entries."""
-        return await self._serve(self._follower.append(request))
+        return await self._run_uncancelled(self._follower.append(request))
 
     async def beat(self, request: messages.BeatRequest) -> messages.BeatReply:
         """Answer a heartbeat."""
-        return await self._serve(self._follower.beat(request))
+        return await self._run_uncancelled(self._follower.beat(request))
 
     async def install(
         self, request: messages.InstallRequest
     ) -> messages.InstallReply:
         """Answer a part of a snapshot."""
-        return await self._serve(self._receiver.install(request))
+        return await self._run_uncancelled(self._receiver.install(request))
 
     async def transfer(
         self, request: messages.TransferRequest
     ) -> messages.TransferReply:
         """Answer the leader that hands over."""
-        return await self._serve(self._elections.transfer(request))
+        return await self._run_uncancelled(self._elections.transfer(request))
 
-    async def _serve(self, answer: Coroutine[Any, Any, _Reply]) -> _Reply:
+    async def _run_uncancelled(
+        self, answer: Coroutine[Any, Any, _Reply]
+    ) -> _Reply:
         """Answer in a task that a caller who hangs up can't cancel.
 
         Half of an append would leave the disk ahead of the memory.
@@ -253,26 +263,26 @@
             raise UnavailableError('This replica stopped; ask another one.')
         return task.result()
 
-    async def _wait_leading(
-        self, leading: Leading, condition: Any, deadline: Millis
+    async def _wait_while_leader(
+        self, leadership: Leadership, condition: Any, deadline: Millis
     ) -> None:
         state = self._state
         done = await state.changed.wait_for(
-            lambda: condition() or not state.leads(leading),
+            lambda: condition() or not state.still_leads(leadership),
             deadline - state.clock.now(),
         )
-        if not state.leads(leading):
-            raise state.not_leader()
+        if not state.still_leads(leadership):
+            raise state.not_leader_error()
         if not done:
             raise UnavailableError(
                 'No quorum confirmed this leader in time; try again, or ask '
                 'another control process.'
             )
 
-    def _is_confirmed(self, leading: Leading, wanted: int) -> bool:
-        """Tell whether a quorum answered a heartbeat sent since then."""
-        confirmed = {self._state.my_id}
-        for node_id, progress in leading.progress_by_id.items():
+    def _is_round_confirmed(self, leadership: Leadership, wanted: int) -> bool:
+        """Return whether a quorum answered a heartbeat sent since then."""
+        confirmed = {self._state.node_id}
+        for node_id, progress in leadership.progress_by_id.items():
             if progress.round >= wanted:
                 confirmed.add(node_id)
         return membership.is_quorum(self._state.log.members(), confirmed)
@@ -280,10 +290,10 @@
     def _member_state(self, member: messages.LogMember) -> MemberState:
         state = self._state
         match_index = 0
-        if member.node_id == state.my_id:
+        if member.node_id == state.node_id:
             match_index = state.log.last_index
-        elif state.leading is not None:
-            progress = state.leading.progress_by_id.get(member.node_id)
+        elif state.leadership is not None:
+            progress = state.leadership.progress_by_id.get(member.node_id)
             match_index = progress.match_index if progress else 0
         return MemberState(
             node_id=member.node_id,
@@ -321,5 +331,5 @@
     def _halt(self) -> None:
         self._running = False
         self._tasks.cancel()
-        self._state.follow('')
-        self._applier.abandon_from(0)
+        self._state.become_follower('')
+        self._applier.fail_pending_from(0)
--- a/verbenathread/consensus/rpc.py
+++ b/verbenathread/consensus/rpc.py
@@ -44,7 +44,7 @@
         try:
             return await self._call(peer, stub.Vote, request, limit)
         except UnavailableError:
-            self._drop(peer)
+            self._discard_channel(peer)
             raise
 
     async def append(
@@ -62,7 +62,7 @@
         try:
             return await self._call(peer, stub.Beat, request, limit)
         except UnavailableError:
-            self._drop(peer)
+            self._discard_channel(peer)
             raise
 
     async def install(
@@ -92,7 +92,7 @@
             self._channel_by_peer[peer] = channel
         return ConsensusStub(channel)
 
-    def _drop(self, peer: Peer) -> None:
+    def _discard_channel(self, peer: Peer) -> None:
         """Connect anew at the next call.
 
         After a long cut the old connection would wait for minutes before it
@@ -134,33 +134,33 @@
         self, stream: Stream[messages.VoteRequest, messages.VoteReply]
     ) -> None:
         """Answer a candidate."""
-        await self._answer(stream, self._handler.vote)
+        await self._serve(stream, self._handler.vote)
 
     async def Append(  # noqa: N802  the generated base sets the name
         self, stream: Stream[messages.AppendRequest, messages.AppendReply]
     ) -> None:
         """Answer the leader's entries."""
-        await self._answer(stream, self._handler.append)
+        await self._serve(stream, self._handler.append)
 
     async def Beat(  # noqa: N802  the generated base sets the name
         self, stream: Stream[messages.BeatRequest, messages.BeatReply]
     ) -> None:
         """Answer a heartbeat."""
-        await self._answer(stream, self._handler.beat)
+        await self._serve(stream, self._handler.beat)
 
     async def Install(  # noqa: N802  the generated base sets the name
         self, stream: Stream[messages.InstallRequest, messages.InstallReply]
     ) -> None:
         """Answer a part of a snapshot."""
-        await self._answer(stream, self._handler.install)
+        await self._serve(stream, self._handler.install)
 
     async def Transfer(  # noqa: N802  the generated base sets the name
         self, stream: Stream[messages.TransferRequest, messages.TransferReply]
     ) -> None:
         """Answer the leader that hands over."""
-        await self._answer(stream, self._handler.transfer)
+        await self._serve(stream, self._handler.transfer)
 
-    async def _answer(
+    async def _serve(
         self,
         stream: Stream[_Request, _Reply],
         handle: Callable[[_Request], Awaitable[_Reply]],
--- a/verbenathread/consensus/segments.py
+++ b/verbenathread/consensus/segments.py
@@ -6,7 +6,7 @@
 """
 
 from verbenathread.consensus import records
-from verbenathread.consensus.folder import REPLACE, Folder
+from verbenathread.consensus.folder import REPLACE_MEMBER, DataFolder
 from verbenathread.consensus.replay import Replay, Segment
 from verbenathread.consensus.storage import Ballot
 from verbenathread.exceptions import StorageError
@@ -17,25 +17,25 @@
     SyncedMark,
 )
 
-_PREFIX = 'segment-'
-_MARK = 'mark'
+_SEGMENT_PREFIX = 'segment-'
+_MARK_NAME = 'mark'
 # A segment is closed once it is this long.
-_SEGMENT_BYTES = 0x1000000
+_MAX_SEGMENT_BYTES = 0x1000000
 
 
 class SegmentLog:
     """Appends records and reads them back after a restart."""
 
-    def __init__(self, folder: Folder) -> None:
+    def __init__(self, folder: DataFolder) -> None:
         """Touch nothing before :meth:`read`."""
         self._folder = folder
         self._segments: list[Segment] = []
         # True from the start of an append until it is synced.
-        self._interrupted = False
+        self._append_pending = False
         self.replay = Replay()
 
     def is_empty(self) -> bool:
-        """Tell whether there is no segment at all."""
+        """Return whether there is no segment at all."""
         return not self._segments
 
     async def read(self, names: list[str]) -> None:
@@ -43,10 +43,12 @@
         numbers = _segment_numbers(names)
         mark = self._read_mark(names)
         if numbers and mark.segment > numbers[-1]:
-            raise self._damage(mark.segment, 0, 'the segment is missing')
+            raise self._damage_error(mark.segment, 0, 'the segment is missing')
         for number in numbers:
             if self._segments and number != self._segments[-1].number + 1:
-                raise self._damage(number - 1, 0, 'the segment is missing')
+                raise self._damage_error(
+                    number - 1, 0, 'the segment is missing'
+                )
             synced = mark.length if mark.segment == number else 0
             self._read_segment(number, synced, is_last=number == numbers[-1])
         if numbers:
@@ -55,14 +57,14 @@
 
     async def append(self, record: DiskRecord) -> None:
         """Add one record with one sync."""
-        if self._interrupted:
+        if self._append_pending:
             raise StorageError(
                 'An earlier append was interrupted, and where the log ends '
                 'is unknown; start this replica again.'
             )
-        self._interrupted = True
+        self._append_pending = True
         await self._append(record)
-        self._interrupted = False
+        self._append_pending = False
 
     async def begin_segment(self) -> None:
         """Make a file that says where the log stands."""
@@ -75,19 +77,19 @@
         )
         record = DiskRecord(segment=head, ballot=saved_ballot(replay.ballot))
         packed = records.pack(record.SerializeToString(), number, 0)
-        await self._folder.write_file(_segment_name(number), packed)
+        await self._folder.write_atomic(_segment_name(number), packed)
         self._segments.append(Segment(number, len(packed)))
-        self._note_synced()
+        self._write_mark()
 
-    async def begin_empty(self, index: int, term: int) -> None:
+    async def reset(self, index: int, term: int) -> None:
         """Begin an empty log after an index, and drop what was before."""
         self.replay.reset(index, term)
         await self.begin_segment()
         for segment in self._segments[:-1]:
             segment.last_index = 0
-        await self.drop(index)
+        await self.remove_oldest(index)
 
-    async def drop(self, keep_after: int) -> None:
+    async def remove_oldest(self, keep_after: int) -> None:
         """Remove the oldest segments, one by one, so that none is missed."""
         while len(self._segments) > 1:
             oldest = self._segments[0]
@@ -109,9 +111,9 @@
         if record.entries:
             last = record.entries[-1]
             segment.last_index = max(segment.last_index, last.index)
-            self.replay.end(last.index, last.term)
-        self._note_synced()
-        if segment.length >= _SEGMENT_BYTES:
+            self.replay.set_end(last.index, last.term)
+        self._write_mark()
+        if segment.length >= _MAX_SEGMENT_BYTES:
             await self.begin_segment()
 
     def _read_segment(self, number: int, synced: int, *, is_last: bool) -> None:
@@ -119,49 +121,59 @@
         content = self._folder.read(name)
         found = records.scan(content, number)
         whole = found.valid_length
-        if found.resumes_at >= 0:
-            raise self._damage(
-                number, whole, f'a whole record follows at {found.resumes_at}'
+        if found.resync_offset >= 0:
+            raise self._damage_error(
+                number,
+                whole,
+                f'a whole record follows at {found.resync_offset}',
             )
         if whole < synced:
-            raise self._damage(number, whole, f'{synced} bytes were synced')
+            raise self._damage_error(
+                number, whole, f'{synced} bytes were synced'
+            )
         if not found.payloads:
-            raise self._damage(number, whole, 'its first record is not whole')
+            raise self._damage_error(
+                number, whole, 'its first record is not whole'
+            )
         if whole < len(content):
             if not is_last:
-                raise self._damage(number, whole, 'a later segment follows')
+                raise self._damage_error(
+                    number, whole, 'a later segment follows'
+                )
             # The last append was torn by a crash; nobody was told of it.
-            self._folder.cut(name, whole)
-        self._take(Segment(number, whole), found.payloads)
+            self._folder.truncate(name, whole)
+        self._replay_records(Segment(number, whole), found.payloads)
 
-    def _take(self, segment: Segment, payloads: list[bytes]) -> None:
+    def _replay_records(self, segment: Segment, payloads: list[bytes]) -> None:
         self._segments.append(segment)
         for payload in payloads:
-            if not self.replay.take(DiskRecord.FromString(payload), segment):
-                raise self._damage(
+            if not self.replay.apply(DiskRecord.FromString(payload), segment):
+                raise self._damage_error(
                     segment.number, 0, 'it lacks entries of the log'
                 )
 
     def _read_mark(self, names: list[str]) -> SyncedMark:
         mark = SyncedMark()
-        if _MARK not in names:
+        if _MARK_NAME not in names:
             return mark
-        payload = records.unpack(self._folder.read(_MARK), 0, 0)
+        payload = records.unpack(self._folder.read(_MARK_NAME), 0, 0)
         if payload is not None:
             mark.ParseFromString(payload)
         return mark
 
-    def _note_synced(self) -> None:
+    def _write_mark(self) -> None:
         """Note the synced length, itself unsynced: it may only be too low."""
         segment = self._segments[-1]
         mark = SyncedMark(segment=segment.number, length=segment.length)
         packed = records.pack(mark.SerializeToString(), 0, 0)
-        self._folder.overwrite(_MARK, packed)
+        self._folder.overwrite(_MARK_NAME, packed)
 
-    def _damage(self, number: int, offset: int, reason: str) -> StorageError:
+    def _damage_error(
+        self, number: int, offset: int, reason: str
+    ) -> StorageError:
         path = self._folder.path(_segment_name(number))
         return StorageError(
-            f'{path} is damaged at offset {offset}: {reason}. {REPLACE}'
+            f'{path} is damaged at offset {offset}: {reason}. {REPLACE_MEMBER}'
         )
 
 
@@ -173,10 +185,10 @@
 def _segment_numbers(names: list[str]) -> list[int]:
     numbers = []
     for name in names:
-        if name.startswith(_PREFIX):
-            numbers.append(int(name.removeprefix(_PREFIX)))
+        if name.startswith(_SEGMENT_PREFIX):
+            numbers.append(int(name.removeprefix(_SEGMENT_PREFIX)))
     return numbers
 
 
 def _segment_name(number: int) -> str:
-    return f'{_PREFIX}{number:016d}'
+    return f'{_SEGMENT_PREFIX}{number:016d}'
--- a/verbenathread/consensus/snapshots.py
+++ b/verbenathread/consensus/snapshots.py
@@ -22,7 +22,7 @@
 _log = get_logger('consensus')
 
 # A member may need longer than an election timeout to sync a snapshot.
-_INSTALL_TIMEOUTS = 5
+_INSTALL_ELECTION_TIMEOUTS = 5
 
 
 class SentSnapshot(NamedTuple):
@@ -69,7 +69,7 @@
             reply = await self._transport.install(
                 membership.peer_of(progress.member),
                 request,
-                settings.election_timeout * _INSTALL_TIMEOUTS,
+                settings.election_timeout * _INSTALL_ELECTION_TIMEOUTS,
             )
             going = not reply.installed and reply.offset > offset
             offset = reply.offset
@@ -93,22 +93,22 @@
     async def install(self, request: InstallRequest) -> InstallReply:
         """Take one chunk; with the last one, the snapshot."""
         state = self._state
-        if not self._follower.listens(request.head):
-            return InstallReply(head=state.head())
+        if not self._follower.accepts(request.head):
+            return InstallReply(head=state.envelope())
         async with state.lock:
-            if not await self._follower.follow(request.head):
-                return InstallReply(head=state.head())
-            self._gather(request)
+            if not await self._follower.follow_sender(request.head):
+                return InstallReply(head=state.envelope())
+            self._add_chunk(request)
             installed = False
             if len(self._received) == request.total:
-                installed = await self._finish(request)
+                installed = await self._complete(request)
         return InstallReply(
-            head=state.head(),
+            head=state.envelope(),
             offset=len(self._received),
             installed=installed,
         )
 
-    def _gather(self, request: InstallRequest) -> None:
+    def _add_chunk(self, request: InstallRequest) -> None:
         head = request.head
         key = (head.sender, head.term, request.index, request.checksum)
         if key != self._key:
@@ -117,17 +117,17 @@
         if request.offset == len(self._received):
             self._received.extend(request.chunk)
 
-    async def _finish(self, request: InstallRequest) -> bool:
+    async def _complete(self, request: InstallRequest) -> bool:
         image = bytes(self._received)
         self._key = ('', 0, 0, 0)
         if zlib.crc32(image) != request.checksum:
             _log.error('A snapshot arrived damaged; it will be sent again.')
             self._received.clear()
             return False
-        await self._put_in_force(LogSnapshot.FromString(image))
+        await self._install_snapshot(LogSnapshot.FromString(image))
         return True
 
-    async def _put_in_force(self, snapshot: LogSnapshot) -> None:
+    async def _install_snapshot(self, snapshot: LogSnapshot) -> None:
         state = self._state
         if snapshot.index <= state.commit_index:
             # What stands here is as new or newer, and equal up to there.
--- a/verbenathread/consensus/state.py
+++ b/verbenathread/consensus/state.py
@@ -14,7 +14,7 @@
 from verbenathread.consensus.log import Log
 from verbenathread.consensus.machine import Applied
 from verbenathread.consensus.settings import ReplicaSettings
-from verbenathread.consensus.storage import Ballot, Saved, Storage
+from verbenathread.consensus.storage import Ballot, SavedState, Storage
 from verbenathread.consensus.waiting import Signal
 from verbenathread.exceptions import NotLeaderError, UnavailableError
 from verbenathread.schema.consensus_pb2 import Envelope, LogMember
@@ -56,16 +56,16 @@
         self.next_index = next_index
         self.match_index = 0
         # When the latest heartbeat that it answered was sent.
-        self.heard = now
+        self.last_contact = now
         self.round = 0
-        self.sent_commit = 0
+        self.sent_commit_index = 0
         # The member answers from another store than the one on record.
-        self.replaced = False
-        self.beat = asyncio.Event()
-        self.work = asyncio.Event()
+        self.store_mismatch = False
+        self.heartbeat_due = asyncio.Event()
+        self.work_ready = asyncio.Event()
 
 
-class Leading:
+class Leadership:
     """One term in which this replica leads."""
 
     def __init__(self, term: int, first_index: int) -> None:
@@ -73,23 +73,23 @@
         self.term = term
         self.first_index = first_index
         # The leader's own log is synced up to here.
-        self.synced = 0
+        self.synced_index = 0
         # Counts the barriers; each heartbeat carries the latest.
         self.round = 0
-        self.handing_over = False
+        self.transferring = False
         self.progress_by_id: dict[str, Progress] = {}
         self.queue: collections.deque[Proposal] = collections.deque()
-        self.work = asyncio.Event()
+        self.queue_ready = asyncio.Event()
 
-    def wake(self) -> None:
+    def wake_replication(self) -> None:
         """Let the tasks of every member look for work."""
         for progress in self.progress_by_id.values():
-            progress.work.set()
+            progress.work_ready.set()
 
-    def wake_beats(self) -> None:
+    def wake_heartbeats(self) -> None:
         """Send a heartbeat to every member now."""
         for progress in self.progress_by_id.values():
-            progress.beat.set()
+            progress.heartbeat_due.set()
 
 
 class ReplicaState:
@@ -111,13 +111,13 @@
         self.changed = Signal(clock)
         self.ballot = Ballot()
         self.store_id = ''
-        self.leading: Leading | None = None
+        self.leadership: Leadership | None = None
         self.role = Role.FOLLOWER
         self.leader_id = ''
         self.commit_index = 0
         self.election = ElectionTimer(settings, clock, random)
 
-    def load(self, saved: Saved) -> None:
+    def load(self, saved: SavedState) -> None:
         """Take over what the disk holds."""
         self.store_id = saved.store_id
         self.ballot = saved.ballot
@@ -130,11 +130,11 @@
             self.log.load_members(saved.snapshot.index, saved.snapshot.members)
         voters = membership.voters(self.log.members())
         names = sorted(member.node_id for member in voters)
-        if self.my_id in names:
-            self.election.turn = names.index(self.my_id)
+        if self.node_id in names:
+            self.election.voter_rank = names.index(self.node_id)
 
     @property
-    def my_id(self) -> str:
+    def node_id(self) -> str:
         """Return the node id of this replica."""
         return self.settings.local_peer.node_id
 
@@ -143,66 +143,66 @@
         """Return the current term."""
         return self.ballot.term
 
-    def head(self, target_store: str = '') -> Envelope:
+    def envelope(self, target_store: str = '') -> Envelope:
         """Return the head of a message of the current term."""
         return Envelope(
-            sender=self.my_id,
+            sender=self.node_id,
             sender_store=self.store_id,
             target_store=target_store,
             term=self.term,
         )
 
-    def is_meant(self, head: Envelope) -> bool:
-        """Tell whether a message is for this store or for any."""
+    def is_addressed_here(self, head: Envelope) -> bool:
+        """Return whether a message is for this store or for any."""
         return head.target_store in {'', self.store_id}
 
     def is_voter(self) -> bool:
-        """Tell whether this replica votes, by its own log."""
-        member = membership.find(self.log.members(), self.my_id)
+        """Return whether this replica votes, by its own log."""
+        member = membership.find(self.log.members(), self.node_id)
         if member is None or not member.voter:
             return False
         return member.store_id in {'', self.store_id}
 
-    def leads(self, leading: Leading) -> bool:
-        """Tell whether the term of ``leading`` goes on here."""
-        return self.leading is leading
+    def still_leads(self, leadership: Leadership) -> bool:
+        """Return whether the term of ``leadership`` goes on here."""
+        return self.leadership is leadership
 
     def is_leader(self) -> bool:
-        """Tell whether this replica leads and a quorum was heard lately.
+        """Return whether this replica leads and a quorum was heard lately.
 
         A process that froze sees at once that its time has run out.
         """
-        leading = self.leading
-        if leading is None:
+        leadership = self.leadership
+        if leadership is None:
             return False
-        return self.is_confirmed(leading)
+        return self.has_quorum_contact(leadership)
 
-    def is_confirmed(self, leading: Leading) -> bool:
-        """Tell whether a quorum answered within an election timeout."""
+    def has_quorum_contact(self, leadership: Leadership) -> bool:
+        """Return whether a quorum answered within an election timeout."""
         oldest = self.clock.now() - self.settings.election_timeout
-        heard = {self.my_id}
-        for node_id, progress in leading.progress_by_id.items():
-            if progress.heard > oldest:
+        heard = {self.node_id}
+        for node_id, progress in leadership.progress_by_id.items():
+            if progress.last_contact > oldest:
                 heard.add(node_id)
         return membership.is_quorum(self.log.members(), heard)
 
-    def require_leading(self) -> Leading:
+    def require_leadership(self) -> Leadership:
         """Return the term led here, or raise before anything is taken."""
-        leading = self.leading
-        if leading is None:
-            raise self.not_leader()
-        if leading.handing_over:
+        leadership = self.leadership
+        if leadership is None:
+            raise self.not_leader_error()
+        if leadership.transferring:
             raise UnavailableError(
                 'Leadership is being handed over; try again in a moment.'
             )
-        if not self.is_confirmed(leading):
+        if not self.has_quorum_contact(leadership):
             raise UnavailableError(
                 'No quorum answers this replica; check the network and the '
                 'other control processes, then try again.'
             )
-        return leading
+        return leadership
 
-    def not_leader(self) -> NotLeaderError:
+    def not_leader_error(self) -> NotLeaderError:
         """Return the error that names the leader, if one is known."""
         leader = self.leader_address()
         if not leader:
@@ -227,29 +227,29 @@
         """Follow in a newer term. The caller holds the lock."""
         if term <= self.term:
             return
-        self.follow('')
+        self.become_follower('')
         await self.save_ballot(Ballot(term))
 
-    async def saw_term(self, term: int) -> None:
+    async def observe_term(self, term: int) -> None:
         """Follow when an answer names a newer term."""
         if term <= self.term:
             return
         async with self.lock:
             await self.enter_term(term)
 
-    def follow(self, leader_id: str) -> None:
+    def become_follower(self, leader_id: str) -> None:
         """Lead no longer; proposals that were not taken are refused."""
-        leading = self.leading
-        self.leading = None
+        leadership = self.leadership
+        self.leadership = None
         self.role = Role.FOLLOWER
         self.leader_id = leader_id
-        if leading is not None:
-            error = self.not_leader()
-            while leading.queue:
-                leading.queue.popleft().fail(error)
-            leading.work.set()
-            leading.wake()
-            leading.wake_beats()
+        if leadership is not None:
+            error = self.not_leader_error()
+            while leadership.queue:
+                leadership.queue.popleft().fail(error)
+            leadership.queue_ready.set()
+            leadership.wake_replication()
+            leadership.wake_heartbeats()
         self.changed.notify_all()
 
     def commit_to(self, index: int) -> None:
@@ -260,7 +260,7 @@
 
 
 # A replica that never heard a leader waits for this part of the usual time.
-_EAGER_START = 8
+_STARTUP_WAIT_DIVISOR = 8
 
 
 class ElectionTimer:
@@ -274,28 +274,28 @@
         self._clock = clock
         self._random = random
         # Long ago: a replica that just started has heard no leader.
-        self._heard = -self._timeout
-        self._heard_any = False
+        self._last_contact = -self._timeout
+        self._has_seen_leader = False
         # The place among the voters: they stand one after the other.
-        self.turn = 0
+        self.voter_rank = 0
         self.deadline = 0
 
     def restart(self) -> None:
         """Draw a new wait before this replica stands for election."""
         wait = self._timeout + self._random.randrange(self._timeout)
-        if not self._heard_any:
+        if not self._has_seen_leader:
             # After a restart of the whole group nobody leads. If somebody
             # does, its heartbeat comes first or the others refuse.
-            step = self._timeout // _EAGER_START
-            wait = step * (1 + self.turn) + self._random.randrange(step)
+            step = self._timeout // _STARTUP_WAIT_DIVISOR
+            wait = step * (1 + self.voter_rank) + self._random.randrange(step)
         self.deadline = self._clock.now() + wait
 
-    def heard_leader(self) -> None:
+    def record_leader_contact(self) -> None:
         """Note that the leader of the term spoke."""
-        self._heard = self._clock.now()
-        self._heard_any = True
+        self._last_contact = self._clock.now()
+        self._has_seen_leader = True
         self.restart()
 
-    def leader_is_fresh(self) -> bool:
-        """Tell whether the leader spoke within an election timeout."""
-        return self._clock.now() - self._heard < self._timeout
+    def has_recent_leader(self) -> bool:
+        """Return whether the leader spoke within an election timeout."""
+        return self._clock.now() - self._last_contact < self._timeout
--- a/verbenathread/consensus/storage.py
+++ b/verbenathread/consensus/storage.py
@@ -13,7 +13,7 @@
     vote: str = ''
 
 
-class Saved(NamedTuple):
+class SavedState(NamedTuple):
     """What a replica finds on its disk when it starts."""
 
     store_id: str
@@ -32,7 +32,7 @@
     the content is unknown, and the replica that sees one stops.
     """
 
-    async def load(self, cluster: str, node_id: str) -> Saved:
+    async def load(self, cluster: str, node_id: str) -> SavedState:
         """Return what was saved, or a new store with a random store id."""
 
     async def save_ballot(self, ballot: Ballot) -> None:
--- a/verbenathread/consensus/waiting.py
+++ b/verbenathread/consensus/waiting.py
@@ -64,7 +64,7 @@
 
     def __init__(self, report: Callable[[BaseException], None]) -> None:
         """Call ``report`` with the error of any task that fails."""
-        self._report = report
+        self._on_error = report
         # A mapping keeps the order of starting, which a set would not.
         self._by_task: dict[asyncio.Task[Any], None] = {}
         self._closed = False
@@ -75,7 +75,7 @@
         """Run a coroutine until it ends or the set is cancelled."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self._by_task[task] = None
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_done)
         if self._closed:
             task.cancel()
         return task
@@ -93,10 +93,10 @@
         if others:
             await asyncio.wait(others)
 
-    def _ended(self, task: asyncio.Task[Any]) -> None:
+    def _on_done(self, task: asyncio.Task[Any]) -> None:
         self._by_task.pop(task, None)
         if task.cancelled():
             return
         error = task.exception()
         if error is not None:
-            self._report(error)
+            self._on_error(error)
