--- a/verbenathread/consensus/applier.py
+++ b/verbenathread/consensus/applier.py
@@ -1,4 +1,4 @@
-"""Applies what is committed, in order, and answers those who wait for it."""
+"""Applies committed entries in order and completes their proposals."""
 
 from verbenathread.consensus.machine import Applied, StateMachine
 from verbenathread.consensus.state import Proposal, ReplicaState
@@ -11,29 +11,29 @@
 
 
 class Applier:
-    """Drives the state machine up to the commit index."""
+    """Advances the state machine to the commit index."""
 
     def __init__(self, state: ReplicaState, machine: StateMachine) -> None:
         """Apply to ``machine``, which is empty or restored."""
         self._state = state
         self._machine = machine
         self.applied_index = 0
-        # The proposals put on the log here, with the term they were put in.
+        # Proposals appended by this replica, with the term of their entry.
         self._pending_by_index: dict[int, tuple[int, Proposal]] = {}
 
     def register(self, index: int, term: int, proposal: Proposal) -> None:
-        """Answer ``proposal`` when its index is applied."""
+        """Complete ``proposal`` when its index is applied."""
         _, replaced = self._pending_by_index.pop(index, (0, None))
         if replaced is not None:
             replaced.fail(_unknown_outcome())
         self._pending_by_index[index] = (term, proposal)
 
     def is_idle(self) -> bool:
-        """Return whether nobody waits for an answer."""
+        """Return whether no proposal is pending."""
         return not self._pending_by_index
 
     def make_snapshot(self) -> LogSnapshot:
-        """Return the state as applied now."""
+        """Return a snapshot at the current applied index."""
         log = self._state.log
         index = self.applied_index
         return LogSnapshot(
@@ -44,14 +44,14 @@
         )
 
     def restore(self, snapshot: LogSnapshot) -> None:
-        """Take over a snapshot that replaces the whole log."""
+        """Restore a snapshot that replaces the whole log."""
         self._machine.restore(snapshot.image)
         self.applied_index = snapshot.index
         self.fail_pending_from(0)
         self._state.changed.notify_all()
 
     async def run(self) -> None:
-        """Apply whatever becomes committed, for ever."""
+        """Apply entries as they become committed, forever."""
         state = self._state
         running = True
         while running:
@@ -62,9 +62,9 @@
             await self._compact_log()
 
     def fail_pending_from(self, first: int) -> None:
-        """Tell whoever waits for ``first`` or later: the outcome is unknown.
+        """Fail proposals at index ``first`` and later with an unknown outcome.
 
-        Their entries left this log; another replica may still hold them.
+        Their entries left this log, but another replica may still have them.
         """
         for index in tuple(self._pending_by_index):
             if index >= first:
@@ -88,14 +88,15 @@
         if proposal is None:
             return
         if term != entry.term:
-            # Another leader's entry took the place: ours is gone for good.
+            # Another leader's entry was committed at this index, so the
+            # proposal can no longer be.
             proposal.fail(self._state.not_leader_error())
             return
         if not proposal.future.done():
             proposal.future.set_result(Applied(entry.index, result))
 
     async def _compact_log(self) -> None:
-        """Snapshot once enough was applied; keep some entries behind it."""
+        """Take a snapshot when due, keeping some entries before it."""
         state = self._state
         wanted = state.settings.snapshot_records
         if self.applied_index - state.log.base_index < 2 * wanted:
--- a/verbenathread/consensus/changes.py
+++ b/verbenathread/consensus/changes.py
@@ -1,7 +1,8 @@
-"""Changes of members and the handing over of leadership.
+"""Membership changes and leadership transfer.
 
-One member is changed at a time (Ongaro's thesis 2014, section 4.1, with the
-leader's own term committed first, as its author's correction of 2015 asks).
+One member is changed at a time (Ongaro's thesis 2014, section 4.1). The leader
+first commits an entry of its own term, as the author's correction of 2015
+requires.
 """
 
 from verbenathread.consensus import members as membership
@@ -25,18 +26,18 @@
 
 
 class MembershipChanges:
-    """Adds learners, makes them voters, and removes members."""
+    """Adds learners, promotes them to voters, and removes members."""
 
     def __init__(
         self, state: ReplicaState, transport: Transport, leader: Leader
     ) -> None:
-        """Write changes through ``leader``."""
+        """Append changes through ``leader``."""
         self._state = state
         self._transport = transport
         self._leader = leader
 
     async def change(self, action: str, peer: Peer, limit: Millis) -> None:
-        """Add, promote or remove one member; return once it is committed."""
+        """Add, promote or remove one member; return once committed."""
         state = self._state
         deadline = state.clock.now() + limit
         leadership = state.require_leadership()
@@ -54,13 +55,18 @@
         )
         if not committed or state.commit_index < index:
             raise UnknownOutcomeError(
-                'The change of members may or may not be accepted; read the '
-                'status, then repeat it if it is missing.'
+                'The membership change may or may not be committed; read the '
+                'status, and repeat the change if it is missing.'
             )
-        _log.info('A member was changed.', action=action, node=peer.node_id)
+        _log.info(
+            'The membership was changed.', action=action, node=peer.node_id
+        )
 
     async def transfer_leadership(self, limit: Millis) -> bool:
-        """Let the most advanced voter lead; False when none took over."""
+        """Transfer leadership to the most up-to-date voter.
+
+        Returns False if no voter took over before the timeout.
+        """
         state = self._state
         leadership = state.leadership
         if leadership is None:
@@ -79,12 +85,12 @@
         )
         if state.still_leads(leadership) and _is_caught_up(state, target):
             await self._request_transfer(leadership, target)
-        handed = await state.changed.wait_for(
+        transferred = await state.changed.wait_for(
             lambda: not state.still_leads(leadership),
             deadline - state.clock.now(),
         )
         leadership.transferring = False
-        return handed
+        return transferred
 
     async def _request_transfer(
         self, leadership: Leadership, target: Progress
@@ -99,7 +105,7 @@
                 state.settings.election_timeout,
             )
         except UnavailableError:
-            _log.warning('The successor does not answer.')
+            _log.warning('The leadership successor does not answer.')
 
     def _choose_successor(self, leadership: Leadership) -> Progress | None:
         best = None
@@ -126,14 +132,14 @@
             raise state.not_leader_error()
         if state.commit_index < leadership.first_index:
             raise UnavailableError(
-                'The leader has not committed its own term; check that a '
-                'quorum of the members runs.'
+                'The leader has not committed an entry of its own term; check '
+                'that a quorum of the voters is running.'
             )
 
     async def _target_members(
         self, action: str, leadership: Leadership, peer: Peer, deadline: Millis
     ) -> LogMembers | None:
-        """Return the members as wanted; None when they already are so."""
+        """Return the members after the change, or None if nothing changes."""
         if action == 'add':
             return await self._members_with_learner(peer)
         if action == 'promote':
@@ -141,7 +147,7 @@
         if action == 'remove':
             return await self._members_without(leadership, peer, deadline)
         raise UsageError(
-            f'No such change of members: {action}. Use add, promote or remove.'
+            f'Unknown membership change: {action}. Use add, promote or remove.'
         )
 
     async def _members_with_learner(self, peer: Peer) -> LogMembers | None:
@@ -153,10 +159,10 @@
             state.settings.election_timeout,
         )
         store_id = reply.head.sender_store
-        known = membership.find(members, peer.node_id)
-        if known is not None and known.store_id == store_id:
+        member = membership.find(members, peer.node_id)
+        if member is not None and member.store_id == store_id:
             return None
-        if known is not None:
+        if member is not None:
             raise UsageError(
                 f'{peer.node_id} is a member with another data folder; '
                 'remove it first, then add it.'
@@ -164,7 +170,7 @@
         if reply.head.sender != peer.node_id:
             raise UsageError(
                 f'{peer.address} is {reply.head.sender}, not {peer.node_id}; '
-                'name the node as its settings do.'
+                'use the node id from its settings.'
             )
         learner = membership.member_of(peer, voter=False, store_id=store_id)
         return membership.with_learner(members, learner)
@@ -174,25 +180,26 @@
     ) -> LogMembers | None:
         state = self._state
         members = state.log.members()
-        known = membership.find(members, peer.node_id)
+        member = membership.find(members, peer.node_id)
         progress = leadership.progress_by_id.get(peer.node_id)
-        if known is None or progress is None:
-            if known is not None and known.voter:
+        if member is None or progress is None:
+            if member is not None and member.voter:
                 return None
             raise UsageError(
-                f'{peer.node_id} is no member; add it first, then promote it.'
+                f'{peer.node_id} is not a member; add it first, then '
+                'promote it.'
             )
-        if known.voter:
+        if member.voter:
             return None
-        wanted = state.commit_index
+        target_index = state.commit_index
         caught_up = await state.changed.wait_for(
-            lambda: progress.match_index >= wanted,
+            lambda: progress.match_index >= target_index,
             deadline - state.clock.now(),
         )
         if not caught_up:
             raise UnavailableError(
-                f'{peer.node_id} holds {progress.match_index} of {wanted} '
-                'records; promote it once it has caught up.'
+                f'{peer.node_id} has {progress.match_index} of {target_index} '
+                'entries; promote it once it has caught up.'
             )
         return membership.with_voter(members, peer.node_id)
 
@@ -206,24 +213,24 @@
         if peer.node_id == state.node_id:
             await self.transfer_leadership(deadline - state.clock.now())
             raise state.not_leader_error()
-        rest = membership.without(members, peer.node_id)
-        self._check_remaining_quorum(leadership, rest)
-        return rest
+        remaining = membership.without(members, peer.node_id)
+        self._check_remaining_quorum(leadership, remaining)
+        return remaining
 
     def _check_remaining_quorum(
         self, leadership: Leadership, members: LogMembers
     ) -> None:
-        """Refuse a removal after which nothing could be committed."""
+        """Refuse a removal that would leave no responsive quorum."""
         state = self._state
         oldest = state.clock.now() - state.settings.election_timeout
-        heard = {state.node_id}
+        responsive = {state.node_id}
         for node_id, progress in leadership.progress_by_id.items():
             if progress.last_contact > oldest:
-                heard.add(node_id)
-        if not membership.is_quorum(members, heard):
+                responsive.add(node_id)
+        if not membership.is_quorum(members, responsive):
             raise UnavailableError(
-                'Without this member no quorum would answer; bring another '
-                'voter back or add one first.'
+                'Without this member no quorum would answer; restore another '
+                'voter or add one first.'
             )
 
 
--- a/verbenathread/consensus/disk.py
+++ b/verbenathread/consensus/disk.py
@@ -1,4 +1,4 @@
-"""Durable state of a replica in one data folder."""
+"""Durable storage of a replica in one data folder."""
 
 import uuid
 from collections.abc import Sequence
@@ -21,15 +21,15 @@
 
 
 class RecordStorage:
-    """Durable state over any :class:`Files`."""
+    """Storage on top of any :class:`Files`."""
 
     def __init__(self, files: Files) -> None:
-        """Touch nothing before :meth:`load`."""
+        """Use ``files``; none is accessed before :meth:`load`."""
         self._folder = DataFolder(files)
         self._segments = SegmentLog(self._folder)
 
     async def load(self, cluster: str, node_id: str) -> SavedState:
-        """Read the folder, or make a new store in an empty one."""
+        """Load the folder, or create a new store in an empty one."""
         self._folder.lock()
         names = self._folder.remove_temporary_files()
         snapshot = self._read_snapshot(names)
@@ -47,7 +47,7 @@
             entries=replay.entries,
             snapshot=snapshot,
         )
-        # The replica keeps the entries; here only the end of the log counts.
+        # The replica keeps the entries; only the end of the log is needed here.
         replay.entries = []
         return saved
 
@@ -57,26 +57,26 @@
         await self._segments.append(DiskRecord(ballot=saved_ballot(ballot)))
 
     async def append(self, entries: Sequence[LogEntry]) -> None:
-        """Add entries with one sync."""
+        """Append entries with one sync."""
         await self._segments.append(DiskRecord(entries=entries))
 
     async def compact(self, snapshot: LogSnapshot, keep_after: int) -> None:
-        """Save a snapshot, begin a segment, drop those not needed."""
+        """Save a snapshot, start a segment and remove obsolete ones."""
         await self._write_snapshot(snapshot)
         await self._segments.begin_segment()
         await self._segments.remove_oldest(keep_after)
 
     async def reset(self, snapshot: LogSnapshot) -> None:
-        """Save a snapshot and begin an empty log after it."""
+        """Save a snapshot and start an empty log after it."""
         await self._write_snapshot(snapshot)
         await self._segments.reset(snapshot.index, snapshot.term)
 
     def sync_count(self) -> int:
-        """Return how many syncs were made since the start."""
+        """Return the number of syncs since the start."""
         return self._folder.sync_count
 
     def close(self) -> None:
-        """Let go of the files."""
+        """Close the files."""
         self._folder.close()
 
     async def _create_identity(
@@ -84,8 +84,8 @@
     ) -> None:
         if snapshot is not None or self._segments.replay.has_content():
             raise StorageError(
-                f'{self._folder.path(_IDENTITY_NAME)} is missing though the folder '
-                f'holds a log. {REPLACE_MEMBER}'
+                f'{self._folder.path(_IDENTITY_NAME)} is missing although the '
+                f'folder has a log. {REPLACE_MEMBER}'
             )
         if self._segments.is_empty():
             await self._segments.begin_segment()
@@ -113,20 +113,22 @@
             )
         if self._segments.is_empty():
             raise StorageError(
-                f'All segments of the log beside {path} are missing. {REPLACE_MEMBER}'
+                f'All segments of the log beside {path} are missing. '
+                f'{REPLACE_MEMBER}'
             )
         return identity
 
     async def _align_log_with_snapshot(
         self, snapshot: LogSnapshot | None
     ) -> None:
-        """Make the log follow on the snapshot, as a crash may have left it."""
+        """Reset a log that a crash left inconsistent with the snapshot."""
         replay = self._segments.replay
         index = 0 if snapshot is None else snapshot.index
         if replay.base_index > index:
             raise StorageError(
-                f'{self._folder.path(_SNAPSHOT_PREFIX)}* up to {replay.base_index} '
-                f'is missing; the log begins after it. {REPLACE_MEMBER}'
+                f'{self._folder.path(_SNAPSHOT_PREFIX)}* up to '
+                f'{replay.base_index} is missing; the log begins after it. '
+                f'{REPLACE_MEMBER}'
             )
         if snapshot is None:
             return
@@ -148,8 +150,8 @@
 
 
 class FileStorage(RecordStorage):
-    """Durable state in one data folder on a disk."""
+    """Storage in one data folder on disk."""
 
     def __init__(self, data_folder: str | Path) -> None:
-        """Use ``data_folder``, which is made if missing."""
+        """Use ``data_folder``, which is created if missing."""
         super().__init__(DiskFiles(Path(data_folder)))
--- a/verbenathread/consensus/election.py
+++ b/verbenathread/consensus/election.py
@@ -1,6 +1,6 @@
 """Elections: pre-vote, vote, check-quorum and leadership transfer.
 
-After Raft (Ongaro and Ousterhout 2014, section 5.2) and Ongaro's thesis
+Follows Raft (Ongaro and Ousterhout 2014, section 5.2) and Ongaro's thesis
 (2014): pre-vote in 9.6, check-quorum in 6.2, transfer in 3.10.
 """
 
@@ -25,12 +25,12 @@
 
 _log = get_logger('consensus')
 
-# Called with the term that was won and the stores of those who voted.
+# Called with the term that was won and the stores of the voters by node id.
 OnElected = Callable[[int, dict[str, str]], Awaitable[None]]
 
 
 class Elections:
-    """Stands for election, and gives or refuses votes."""
+    """Runs elections, and grants or refuses votes."""
 
     def __init__(
         self,
@@ -39,14 +39,14 @@
         tasks: TaskSet,
         on_elected: OnElected,
     ) -> None:
-        """Call ``won`` whenever this replica wins a term."""
+        """Call ``on_elected`` whenever this replica wins an election."""
         self._state = state
         self._transport = transport
         self._tasks = tasks
         self._on_elected = on_elected
 
     async def run(self) -> None:
-        """Watch the leader, or the quorum while leading, for ever."""
+        """Check the election deadline, or the quorum while leading, forever."""
         state = self._state
         state.election.restart()
         running = True
@@ -62,7 +62,7 @@
                 await self._run_pre_vote()
 
     async def vote(self, request: VoteRequest) -> VoteReply:
-        """Give or refuse a vote; a vote is synced before it is told."""
+        """Grant or refuse a vote; a granted vote is synced before the reply."""
         state = self._state
         granted = False
         if state.is_addressed_here(request.head) and self._allows_election(
@@ -76,12 +76,15 @@
         return VoteReply(head=state.envelope(), granted=granted)
 
     async def transfer(self, request: TransferRequest) -> TransferReply:
-        """Stand for election at once, since the leader asks for it."""
+        """Start an election immediately at the leader's request."""
         state = self._state
         head = request.head
-        asked = state.is_addressed_here(head) and head.term == state.term
-        if asked and head.sender == state.leader_id and state.is_voter():
-            _log.info('Leadership is handed to this replica.', term=state.term)
+        is_current = state.is_addressed_here(head) and head.term == state.term
+        if is_current and head.sender == state.leader_id and state.is_voter():
+            _log.info(
+                'Leadership is being transferred to this replica.',
+                term=state.term,
+            )
             self._tasks.spawn(self._campaign(handed_over=True))
         return TransferReply(head=state.envelope())
 
@@ -96,17 +99,17 @@
         leadership = state.leadership
         if leadership is None or state.has_quorum_contact(leadership):
             return
-        _log.warning('No quorum answers; this replica leads no more.')
+        _log.warning('No quorum answers; this replica steps down as leader.')
         state.become_follower('')
         state.election.restart()
 
     async def _run_pre_vote(self) -> None:
         state = self._state
-        heard_before = state.term
+        term_before = state.term
         granted = await self._request_votes(
             VoteRequest(head=state.envelope(), trial=True), state.term + 1
         )
-        if granted is None or state.term != heard_before:
+        if granted is None or state.term != term_before:
             return
         if not state.election.has_recent_leader():
             await self._campaign(handed_over=False)
@@ -129,44 +132,44 @@
     async def _request_votes(
         self, request: VoteRequest, term: int
     ) -> dict[str, str] | None:
-        """Return the stores of those who voted, or None without a quorum."""
+        """Return the stores of granting voters, or None without a quorum."""
         state = self._state
         request.head.term = term
         request.last_index = state.log.last_index
         request.last_term = state.log.last_term
         store_by_id = {state.node_id: state.store_id}
         members = state.log.members()
-        asked = set()
+        pending = set()
         for member in membership.voters(members):
             if member.node_id == state.node_id:
                 continue
-            asked.add(member.node_id)
-            # Never cancelled: it may be syncing a newer term.
+            pending.add(member.node_id)
+            # Not cancelled after the wait: it may be syncing a newer term.
             self._tasks.spawn(
-                self._request_vote(member, request, store_by_id, asked)
+                self._request_vote(member, request, store_by_id, pending)
             )
         await state.changed.wait_for(
-            lambda: not asked or membership.is_quorum(members, store_by_id),
+            lambda: not pending or membership.is_quorum(members, store_by_id),
             state.settings.election_timeout,
         )
         if membership.is_quorum(members, store_by_id):
             return store_by_id
-        # Drawn anew only now: two candidates that waited here for the same
-        # time would otherwise stand again at the same moment, for ever.
+        # Randomize the deadline again. Otherwise two candidates that waited
+        # equally long would keep starting elections at the same time.
         state.election.restart()
         return None
 
     async def _request_vote(
         self,
         member: LogMember,
-        wanted: VoteRequest,
+        template: VoteRequest,
         store_by_id: dict[str, str],
-        asked: set[str],
+        pending: set[str],
     ) -> None:
-        """Ask one voter, and take it off ``asked`` once it answered."""
+        """Request one vote, and remove the voter from ``pending`` when done."""
         state = self._state
         request = VoteRequest()
-        request.CopyFrom(wanted)
+        request.CopyFrom(template)
         request.head.target_store = member.store_id
         try:
             reply = await self._transport.vote(
@@ -175,19 +178,19 @@
                 state.settings.election_timeout,
             )
         except UnavailableError:
-            asked.discard(member.node_id)
+            pending.discard(member.node_id)
             state.changed.notify_all()
             return
         await state.observe_term(reply.head.term)
         store = reply.head.sender_store
-        # A vote out of another store is not the member's vote.
+        # A vote from another store is not a vote of this member.
         if reply.granted and store and member.store_id in {'', store}:
             store_by_id[member.node_id] = store
-        asked.discard(member.node_id)
+        pending.discard(member.node_id)
         state.changed.notify_all()
 
     def _allows_election(self, request: VoteRequest) -> bool:
-        """Return whether an election may disturb the leader."""
+        """Return whether an election may disrupt the current leader."""
         state = self._state
         if request.handed_over:
             return True
@@ -206,8 +209,8 @@
         term = request.head.term
         if term < state.term:
             return False
-        taken = term == state.term and state.ballot.vote not in {'', candidate}
-        if taken or not self._is_up_to_date(request):
+        voted = term == state.term and state.ballot.vote not in {'', candidate}
+        if voted or not self._is_up_to_date(request):
             await state.enter_term(term)
             return False
         if term > state.term:
--- a/verbenathread/consensus/files.py
+++ b/verbenathread/consensus/files.py
@@ -1,4 +1,4 @@
-"""The files of one data folder, and when they are synced."""
+"""File access and syncing in one data folder."""
 
 import asyncio
 import fcntl
@@ -14,13 +14,13 @@
 
 
 class Files(Protocol):
-    """Files in one folder. What was not synced may be lost in a crash.
+    """Files in one folder. Unsynced changes may be lost in a crash.
 
-    Errors of the system are raised as OSError.
+    Errors of the operating system are raised as OSError.
     """
 
     def lock(self) -> None:
-        """Keep other processes out, or raise StorageError."""
+        """Lock the folder against other processes, or raise StorageError."""
 
     def names(self) -> list[str]:
         """Return the names of all files, sorted."""
@@ -29,16 +29,16 @@
         """Return the whole content of a file."""
 
     def append(self, name: str, content: bytes) -> None:
-        """Add to the end of a file, which is made if missing."""
+        """Append to a file, creating it if missing."""
 
     def overwrite(self, name: str, content: bytes) -> None:
-        """Write at the start of a file, which is made if missing."""
+        """Write at the start of a file, creating it if missing."""
 
     def truncate(self, name: str, length: int) -> None:
         """Shorten a file."""
 
     def rename(self, name: str, new_name: str) -> None:
-        """Rename a file, replacing any that stands there."""
+        """Rename a file, replacing any file with the new name."""
 
     def remove(self, name: str) -> None:
         """Remove a file."""
@@ -47,23 +47,23 @@
         """Return once the content of a file is durable."""
 
     async def sync_folder(self) -> None:
-        """Return once names made, changed and removed are durable."""
+        """Return once created, renamed and removed names are durable."""
 
     def path(self, name: str) -> str:
-        """Return the path of a file for messages."""
+        """Return the path of a file, for messages."""
 
     def close(self) -> None:
-        """Let go of all files and of the lock."""
+        """Close all files and release the lock."""
 
 
 class DiskFiles:
-    """Files on a disk; syncs run in a thread, so heartbeats go on.
+    """Files on disk; syncs run in a thread so that they don't delay heartbeats.
 
-    The thread is its own: no other work can keep a sync waiting.
+    The thread is dedicated to syncs, so other work can't delay them.
     """
 
     def __init__(self, folder: Path) -> None:
-        """Use ``folder``, which is made if missing."""
+        """Use ``folder``, which :meth:`lock` creates if missing."""
         self._folder = folder
         self._descriptor_by_name: dict[str, int] = {}
         self._thread = ThreadPoolExecutor(1, 'consensus-sync')
@@ -79,8 +79,8 @@
         except OSError:
             self.close()
             raise StorageError(
-                f'{self._folder} is in use by another process; stop that one '
-                'or give this one a data folder of its own.'
+                f'{self._folder} is in use by another process; stop that '
+                'process or configure a separate data folder.'
             ) from None
 
     def names(self) -> list[str]:
@@ -96,7 +96,7 @@
         return (self._folder / name).read_bytes()
 
     def append(self, name: str, content: bytes) -> None:
-        """Add to the end of a file."""
+        """Append to a file."""
         descriptor = self._open(name)
         self._write(descriptor, content, os.lseek(descriptor, 0, os.SEEK_END))
 
@@ -109,7 +109,7 @@
         os.ftruncate(self._open(name), length)
 
     def rename(self, name: str, new_name: str) -> None:
-        """Rename a file, replacing any that stands there."""
+        """Rename a file, replacing any file with the new name."""
         self._close(name)
         self._close(new_name)
         (self._folder / name).replace(self._folder / new_name)
@@ -125,7 +125,7 @@
         await loop.run_in_executor(self._thread, os.fsync, self._open(name))
 
     async def sync_folder(self) -> None:
-        """Sync the names in the folder."""
+        """Sync the directory entries of the folder."""
         loop = asyncio.get_running_loop()
         await loop.run_in_executor(self._thread, _sync_folder, self._folder)
 
@@ -134,7 +134,7 @@
         return str(self._folder / name)
 
     def close(self) -> None:
-        """Close every file, and with them the lock."""
+        """Close every file, which also releases the lock."""
         self._thread.shutdown(wait=False, cancel_futures=True)
         for name in tuple(self._descriptor_by_name):
             self._close(name)
--- a/verbenathread/consensus/folder.py
+++ b/verbenathread/consensus/folder.py
@@ -1,4 +1,4 @@
-"""A data folder in which whole files appear at once, and syncs are counted."""
+"""Data folder with atomic file creation and a count of syncs."""
 
 from collections.abc import Callable
 from typing import TypeVar
@@ -18,7 +18,7 @@
 
 
 class DataFolder:
-    """Files of one replica; any error names the file and the remedy."""
+    """Files of one replica; errors name the file and the remedy."""
 
     def __init__(self, files: Files) -> None:
         """Use ``files``."""
@@ -26,11 +26,11 @@
         self.sync_count = 0
 
     def lock(self) -> None:
-        """Keep other processes out."""
+        """Lock the folder against other processes."""
         self._wrap_errors('', self._files.lock)
 
     def close(self) -> None:
-        """Let go of the files."""
+        """Close the files."""
         self._files.close()
 
     def names(self) -> list[str]:
@@ -42,7 +42,7 @@
         return self._wrap_errors(name, lambda: self._files.read(name))
 
     def append(self, name: str, content: bytes) -> None:
-        """Add to the end of a file."""
+        """Append to a file."""
         self._wrap_errors(name, lambda: self._files.append(name, content))
 
     def overwrite(self, name: str, content: bytes) -> None:
@@ -58,7 +58,7 @@
         self._wrap_errors(name, lambda: self._files.remove(name))
 
     def remove_temporary_files(self) -> list[str]:
-        """Remove files that a crash left half made; return the others."""
+        """Remove files left incomplete by a crash; return the other names."""
         kept = []
         for name in self.names():
             if name.endswith(TEMPORARY_SUFFIX):
@@ -68,11 +68,11 @@
         return kept
 
     def path(self, name: str) -> str:
-        """Return the path of a file for messages."""
+        """Return the path of a file, for messages."""
         return self._files.path(name)
 
     def read_record(self, name: str) -> bytes:
-        """Return the one record of a file."""
+        """Return the payload of a file with a single record."""
         payload = records.unpack(self.read(name), 0, 0)
         if payload is None:
             raise StorageError(
@@ -81,11 +81,11 @@
         return payload
 
     async def write_record(self, name: str, payload: bytes) -> None:
-        """Make a file of one record, synced."""
+        """Atomically create and sync a file with a single record."""
         await self.write_atomic(name, records.pack(payload, 0, 0))
 
     async def write_atomic(self, name: str, content: bytes) -> None:
-        """Make a file that is there whole or not at all, synced."""
+        """Atomically create and sync a file."""
         temporary = name + TEMPORARY_SUFFIX
         self.append(temporary, content)
         await self.sync(temporary)
@@ -101,7 +101,7 @@
             raise self._sync_error(name, error) from error
 
     async def sync_folder(self) -> None:
-        """Sync the names in the folder."""
+        """Sync the directory entries of the folder."""
         self.sync_count += 1
         try:
             await self._files.sync_folder()
@@ -114,12 +114,12 @@
         except OSError as error:
             raise StorageError(
                 f'{self.path(name)} can not be read or written: {error}. '
-                'Check the rights and the space on the disk, then start this '
+                'Check the permissions and the disk space, then start this '
                 'replica again.'
             ) from error
 
     def _sync_error(self, name: str, error: OSError) -> StorageError:
         return StorageError(
             f'{self.path(name)} could not be synced: {error}. Its content is '
-            f'unknown now. Check the disk. {REPLACE_MEMBER}'
+            f'now unknown. Check the disk. {REPLACE_MEMBER}'
         )
--- a/verbenathread/consensus/follower.py
+++ b/verbenathread/consensus/follower.py
@@ -1,6 +1,6 @@
-"""The following side: takes entries and heartbeats of the leader.
+"""The follower: handles entries and heartbeats from the leader.
 
-After Raft (Ongaro and Ousterhout 2014, section 5.3).
+Follows Raft (Ongaro and Ousterhout 2014, section 5.3).
 """
 
 from collections.abc import Callable
@@ -21,18 +21,18 @@
 
 
 class Follower:
-    """Answers the leader; what it confirms is synced."""
+    """Handles messages of the leader, and syncs entries before confirming."""
 
     def __init__(
         self, state: ReplicaState, on_replaced: Callable[[int], None]
     ) -> None:
-        """Call ``cut`` with the index from which entries were replaced."""
+        """Call ``on_replaced`` with the index after each append."""
         self._state = state
         self._on_replaced = on_replaced
         self._warned = False
 
     async def append(self, request: AppendRequest) -> AppendReply:
-        """Take entries that follow on what this log holds."""
+        """Append entries that match the end of this log."""
         state = self._state
         if not self.accepts(request.head):
             return AppendReply(head=state.envelope())
@@ -42,7 +42,7 @@
             return await self._append(request)
 
     async def beat(self, request: BeatRequest) -> BeatReply:
-        """Take a heartbeat; in a known term without waiting for a sync."""
+        """Handle a heartbeat; only a newer term requires a sync."""
         state = self._state
         head = request.head
         if not self.accepts(head):
@@ -56,14 +56,14 @@
         return BeatReply(head=state.envelope(), round=request.round)
 
     def accepts(self, head: Envelope) -> bool:
-        """Return whether a message is for this store, and keep the leader."""
+        """Return whether to process a message, recording leader contact."""
         state = self._state
         if not state.is_addressed_here(head):
             if not self._warned:
                 _log.error(
-                    'The group knows this node by another data folder. Put '
-                    'that folder back, or remove the node from the group '
-                    'and add it again as a new member.'
+                    'The group has this node on record with another data '
+                    'folder. Restore that folder, or remove the node from '
+                    'the group and add it again as a new member.'
                 )
             self._warned = True
             return False
@@ -72,7 +72,7 @@
         return True
 
     async def follow_sender(self, head: Envelope) -> bool:
-        """Follow the sender unless its term is over. The lock is held."""
+        """Follow the sender unless its term is stale. Needs the lock."""
         state = self._state
         await state.enter_term(head.term)
         if head.term < state.term:
@@ -95,12 +95,13 @@
             return AppendReply(
                 head=state.envelope(), next_index=self._conflict_index(previous)
             )
-        fresh = self._missing_entries(request)
-        if fresh:
-            await state.storage.append(fresh)
-            # The new entry's own index is answered when it is applied.
-            self._on_replaced(fresh[0].index + len(fresh))
-            state.log.extend(fresh)
+        missing = self._missing_entries(request)
+        if missing:
+            await state.storage.append(missing)
+            # Fail proposals behind the new entries. Those at the new indexes
+            # are completed when the entries are applied.
+            self._on_replaced(missing[0].index + len(missing))
+            state.log.extend(missing)
         match_index = previous + len(request.entries)
         state.commit_to(min(request.commit_index, match_index))
         return AppendReply(
@@ -108,15 +109,15 @@
         )
 
     def _matches_previous(self, request: AppendRequest) -> bool:
-        """Return whether this log holds the entry before the new ones."""
+        """Return whether this log has the entry that precedes the new ones."""
         log = self._state.log
         if request.previous_index < log.base_index:
-            # All before the base is committed, and so equal everywhere.
+            # Entries before the base are committed, so they match everywhere.
             return True
         return log.term_at(request.previous_index) == request.previous_term
 
     def _conflict_index(self, previous: int) -> int:
-        """Return the first index of the term that did not agree."""
+        """Return the first index of the conflicting term, as a hint."""
         log = self._state.log
         if previous > log.last_index:
             return log.last_index + 1
@@ -129,7 +130,7 @@
         return index
 
     def _missing_entries(self, request: AppendRequest) -> list[LogEntry]:
-        """Return the entries from the first one that this log lacks on."""
+        """Return the entries from the first missing or conflicting one on."""
         state = self._state
         entries = list(request.entries)
         for position, entry in enumerate(entries):
@@ -139,9 +140,9 @@
                 continue
             if entry.index <= state.commit_index:
                 raise StorageError(
-                    f'Entry {entry.index} is committed here and the leader '
-                    'holds another; stop this replica, keep its data folder '
-                    'and replace it by a new member.'
+                    f'Entry {entry.index} is committed here, but the leader '
+                    'has a different one; stop this replica, keep its data '
+                    'folder and replace it with a new member.'
                 )
             return entries[position:]
         return []
--- a/verbenathread/consensus/leader.py
+++ b/verbenathread/consensus/leader.py
@@ -1,7 +1,8 @@
-"""The leading side: the log's writer and one pair of tasks per member.
+"""The leader: appends to the log and replicates it to the other members.
 
-After Raft (Ongaro and Ousterhout 2014, section 5.3). Heartbeats have a task
-of their own, so that a slow sync or a large batch never silences them.
+Follows Raft (Ongaro and Ousterhout 2014, section 5.3). Each member has one
+task for replication and one for heartbeats, so that a slow sync or a large
+batch does not delay heartbeats.
 """
 
 import asyncio
@@ -33,13 +34,13 @@
 
 _log = get_logger('consensus')
 
-# A lost batch is sent again after this many election timeouts. A member that
-# is still syncing it then finds that it holds the entries already.
+# Timeout of an append, in election timeouts, before it is sent again. A member
+# that was still syncing the batch then finds that it has the entries already.
 _APPEND_ELECTION_TIMEOUTS = 2
 
 
 class Leader:
-    """Puts proposals on the log and brings every member up to it."""
+    """Appends proposals and replicates the log to every member."""
 
     def __init__(
         self,
@@ -48,7 +49,7 @@
         tasks: TaskSet,
         applier: Applier,
     ) -> None:
-        """Lead nothing until :meth:`lead` is called."""
+        """Create the leader role; :meth:`lead` starts a term."""
         self._state = state
         self._transport = transport
         self._tasks = tasks
@@ -71,27 +72,28 @@
             state.role = Role.LEADER
             state.leadership = leadership
             state.leader_id = state.node_id
-            _log.info('This replica leads.', term=term)
+            _log.info('This replica is now the leader.', term=term)
             await self._write(leadership, [entry])
         self._tasks.spawn(self._write_batches(leadership))
 
     async def write_members(
         self, leadership: Leadership, members: LogMembers, expected: int
     ) -> int:
-        """Put a change of members on the log and return its index.
+        """Append a membership change and return its index.
 
-        ``expected`` is the index of the members that ``members`` was made
-        from, which must be committed: one change at a time.
+        ``expected`` is the log index of the members that ``members`` is based
+        on. It must be committed, as only one change at a time is allowed.
         """
-        # In a task of its own: a caller who hangs up must not cancel a sync.
+        # A separate task, since a caller that disconnects must not cancel a
+        # sync.
         task = self._tasks.spawn(
             self._write_members(leadership, members, expected)
         )
         await asyncio.wait((task,))
         if task.cancelled() or task.exception() is not None:
             raise UnknownOutcomeError(
-                'This replica stopped during the change of members; read the '
-                'status at another one.'
+                'This replica stopped during the membership change; read the '
+                'status from another one.'
             )
         outcome = task.result()
         if isinstance(outcome, UnavailableError):
@@ -108,14 +110,14 @@
             current = state.log.members_index()
             if current != expected or current > state.commit_index:
                 return UnavailableError(
-                    'Another change of members is in progress; try again '
+                    'Another membership change is in progress; try again '
                     'once it is done.'
                 )
             await self._write(leadership, [_members_entry(members)])
             return state.log.members_index()
 
     async def _write_batches(self, leadership: Leadership) -> None:
-        """Sync all proposals that wait together in one append."""
+        """Append all queued proposals as one batch with one sync."""
         state = self._state
         while state.still_leads(leadership):
             if not leadership.queue:
@@ -145,7 +147,7 @@
     async def _write(
         self, leadership: Leadership, entries: list[LogEntry]
     ) -> None:
-        """Append in memory, tell the members, sync. The lock is held."""
+        """Append in memory, start replication, then sync. Needs the lock."""
         state = self._state
         index = state.log.last_index
         for entry in entries:
@@ -160,7 +162,7 @@
         self._advance_commit_index(leadership)
 
     def _update_progress(self, leadership: Leadership) -> None:
-        """Run tasks for exactly the members that the log names."""
+        """Match progress and tasks to the latest members in the log."""
         state = self._state
         kept: dict[str, Progress] = {}
         for member in state.log.members().members:
@@ -188,7 +190,7 @@
     async def _run_heartbeats(
         self, leadership: Leadership, progress: Progress
     ) -> None:
-        """Send heartbeats to one member for as long as the term lasts."""
+        """Send heartbeats to one member until the term ends."""
         state = self._state
         while self._is_replicating_to(leadership, progress):
             sent = state.clock.now()
@@ -223,7 +225,7 @@
     async def _replicate(
         self, leadership: Leadership, progress: Progress
     ) -> None:
-        """Send entries to one member for as long as the term lasts."""
+        """Replicate entries to one member until the term ends."""
         state = self._state
         while self._is_replicating_to(leadership, progress):
             if not self._has_work(progress):
@@ -246,7 +248,7 @@
     async def _send_next(
         self, leadership: Leadership, progress: Progress
     ) -> bool:
-        """Send one batch or one snapshot; return False to wait a little."""
+        """Send one batch or snapshot; return False to pause before the next."""
         state = self._state
         previous = progress.next_index - 1
         term = state.log.term_at(previous)
@@ -269,7 +271,7 @@
         if not await self._accept_reply(leadership, progress, reply.head):
             return False
         if not reply.matched:
-            # The hint never helps a member that is asked in vain again.
+            # Always decrease next_index, even if the hint does not.
             progress.next_index = max(1, min(previous, reply.next_index))
             return True
         progress.sent_commit_index = max(progress.sent_commit_index, commit)
@@ -301,7 +303,10 @@
     async def _accept_reply(
         self, leadership: Leadership, progress: Progress, head: Envelope
     ) -> bool:
-        """Return whether an answer counts for this term and this store."""
+        """Return whether a reply is valid for this term and this store.
+
+        Also steps down on a newer term and logs a changed store.
+        """
         state = self._state
         await state.observe_term(head.term)
         if not self._is_replicating_to(leadership, progress):
@@ -311,7 +316,7 @@
             return head.term == leadership.term
         if not progress.store_mismatch:
             _log.error(
-                'A member answers from another data folder; remove it and '
+                'A member replied from another data folder; remove it and '
                 'add it again as a new member.',
                 member=progress.member.node_id,
             )
@@ -319,7 +324,7 @@
         return False
 
     def _advance_commit_index(self, leadership: Leadership) -> None:
-        """Commit what a quorum has synced, in this leader's own term."""
+        """Commit entries of the current term that a quorum has synced."""
         state = self._state
         if not state.still_leads(leadership):
             return
@@ -327,7 +332,7 @@
         for node_id, progress in leadership.progress_by_id.items():
             synced_by_id[node_id] = progress.match_index
         index = _quorum_index(state.log.members(), synced_by_id)
-        # An older term's entry is never committed by counting copies (5.4.2).
+        # Entries of older terms are not committed by counting replicas (5.4.2).
         if state.log.term_at(index) == leadership.term:
             state.commit_to(index)
             leadership.wake_replication()
@@ -350,10 +355,10 @@
 def queue_proposal(
     state: ReplicaState, leadership: Leadership, command: bytes
 ) -> Proposal:
-    """Put a command into the queue for the log, or refuse it."""
+    """Queue a command for appending; raise if the queue is full."""
     if len(leadership.queue) >= state.settings.queue_limit:
         raise UnavailableError(
-            'Too many changes wait for the log; try again in a moment.'
+            'Too many changes are waiting for the log; try again in a moment.'
         )
     proposal = Proposal(command)
     leadership.queue.append(proposal)
--- a/verbenathread/consensus/log.py
+++ b/verbenathread/consensus/log.py
@@ -1,4 +1,4 @@
-"""The log in memory: entries after a base, and the members they set."""
+"""In-memory log: entries after a base index, and membership changes."""
 
 from collections.abc import Sequence
 
@@ -11,14 +11,14 @@
 
 
 class Log:
-    """Entries from ``base_index + 1`` on, and who is a member when."""
+    """Entries from ``base_index + 1`` on, and the members at each index."""
 
     def __init__(self) -> None:
         """Start empty."""
         self.base_index = 0
         self.base_term = 0
         self._entries: list[LogEntry] = []
-        # Indexes at which members were set, ascending, with what was set.
+        # Pairs of index and the members set there, in ascending order.
         self._members: list[tuple[int, LogMembers]] = [(0, LogMembers())]
 
     @property
@@ -32,20 +32,20 @@
         return self._entries[-1].term if self._entries else self.base_term
 
     def load(self, base: tuple[int, int], entries: Sequence[LogEntry]) -> None:
-        """Replace the entries by those after ``base``, an index and term."""
+        """Replace all entries; ``base`` is the index and term before them."""
         index, term = base
         self.base_index = index
         self.base_term = term
         self._entries = list(entries)
 
     def load_members(self, index: int, members: LogMembers) -> None:
-        """Set the members at ``index`` and read later ones off the log."""
+        """Set the members at ``index`` and collect later changes."""
         self._members = [(index, members)]
         for entry in self.entries_after(index):
             self._record_members(entry)
 
     def term_at(self, index: int) -> int | None:
-        """Return the term at an index; None when it is not held here."""
+        """Return the term at an index, or None if it is not in the log."""
         if index == self.base_index:
             return self.base_term
         if self.base_index < index <= self.last_index:
@@ -53,13 +53,16 @@
         return None
 
     def entry(self, index: int) -> LogEntry:
-        """Return the entry at an index that is held here."""
+        """Return the entry at an index, which must be in the log."""
         return self._entries[index - self.base_index - 1]
 
     def entries_after(
         self, index: int, most_bytes: int | None = None
     ) -> list[LogEntry]:
-        """Return entries after ``index``, at least one of them if any."""
+        """Return entries after ``index``, up to ``most_bytes``.
+
+        At least one entry is returned if there is any.
+        """
         start = max(0, index - self.base_index)
         if most_bytes is None:
             return self._entries[start:]
@@ -73,7 +76,7 @@
         return self._entries[start:stop]
 
     def extend(self, entries: Sequence[LogEntry]) -> None:
-        """Add entries, which replace whatever stood from the first one on."""
+        """Append entries, replacing all from the first new index on."""
         if not entries:
             return
         self._truncate_suffix(entries[0].index)
@@ -82,7 +85,7 @@
             self._record_members(entry)
 
     def truncate_prefix(self, index: int) -> None:
-        """Forget entries up to ``index``."""
+        """Discard entries up to and including ``index``."""
         if index <= self.base_index:
             return
         term = self.term_at(index)
@@ -93,12 +96,12 @@
         self.base_term = term
 
     def reset(self, snapshot: LogSnapshot) -> None:
-        """Begin empty after a snapshot."""
+        """Start an empty log after a snapshot."""
         self.load((snapshot.index, snapshot.term), ())
         self.load_members(snapshot.index, snapshot.members)
 
     def members(self) -> LogMembers:
-        """Return the latest members, committed or not."""
+        """Return the latest members, whether or not they are committed."""
         return self._members[-1][1]
 
     def members_index(self) -> int:
@@ -110,7 +113,7 @@
         return self._members_set_by(index)[1]
 
     def prune_members(self, index: int) -> None:
-        """Keep only the members in force from ``index`` on."""
+        """Discard changes that were superseded before ``index``."""
         current = self._members_set_by(index)
         later = [pair for pair in self._members if pair[0] > index]
         self._members = [current, *later]
--- a/verbenathread/consensus/machine.py
+++ b/verbenathread/consensus/machine.py
@@ -1,30 +1,31 @@
-"""What a replicated log drives."""
+"""Interface of the state machine driven by a replicated log."""
 
 from typing import NamedTuple, Protocol
 
 
 class Applied(NamedTuple):
-    """Where a command stands on the log, and what it gave."""
+    """Index and result of an applied command."""
 
-    # The name hides a method of tuples that nobody calls on it.
+    # Shadows tuple.index, which is never called on this type.
     index: int  # type: ignore[assignment]
     result: bytes
 
 
 class StateMachine(Protocol):
-    """State that is built from the log alone.
+    """State that is derived only from the log.
 
-    Equal commands in equal order must give equal state and results on each
-    replica, so nothing here may read a clock or draw a random number. An
-    error raised here stops the replica, and stops it again at each restart:
-    check a command before it is proposed, and return refusals as results.
+    Implementations must be deterministic: the same commands in the same order
+    give the same state and results on each replica, so they must not read a
+    clock or use random numbers. An exception raised here stops the replica,
+    and stops it again at each restart. Validate commands before proposing
+    them, and return rejections as results.
     """
 
     def apply(self, index: int, command: bytes) -> bytes:
         """Apply one committed command and return its result."""
 
     def snapshot(self) -> bytes:
-        """Return the whole state as bytes."""
+        """Return the whole state, serialized."""
 
     def restore(self, image: bytes) -> None:
-        """Replace the whole state by what :meth:`snapshot` returned."""
+        """Replace the whole state with the result of :meth:`snapshot`."""
--- a/verbenathread/consensus/members.py
+++ b/verbenathread/consensus/members.py
@@ -1,8 +1,8 @@
-"""Who belongs to a group, and what counts as a quorum of it.
+"""Group membership and quorums.
 
-A member is a node id together with the store (the data folder) that it had
-when it was added. A node that lost its disk has another store, so its votes
-and its log count for nothing until it is added anew.
+A member is identified by its node id and by the store (the data folder) that
+it had when it was added. A node that lost its disk has a new store, so its
+votes and its log are ignored until it is added again.
 """
 
 from collections.abc import Collection, Iterable
@@ -12,7 +12,7 @@
 
 
 def members_of(peers: Iterable[Peer]) -> LogMembers:
-    """Return first members, whose stores are not known yet."""
+    """Return initial members, whose stores are not yet known."""
     members = LogMembers()
     for peer in peers:
         members.members.append(member_of(peer, voter=True, store_id=''))
@@ -31,12 +31,12 @@
 
 
 def peer_of(member: LogMember) -> Peer:
-    """Return where a member is reached."""
+    """Return the peer for a member."""
     return Peer(member.node_id, Address(member.host, member.port))
 
 
 def find(members: LogMembers, node_id: str) -> LogMember | None:
-    """Return one member, or None."""
+    """Return the member with ``node_id``, or None."""
     for member in members.members:
         if member.node_id == node_id:
             return member
@@ -44,20 +44,21 @@
 
 
 def voters(members: LogMembers) -> list[LogMember]:
-    """Return the members that vote."""
+    """Return the voting members."""
     return [member for member in members.members if member.voter]
 
 
 def is_formed(members: LogMembers) -> bool:
-    """Return whether the store of every voter is on record."""
+    """Return whether every voter's store is recorded."""
     return all(member.store_id for member in voters(members))
 
 
 def quorum_size(members: LogMembers) -> int:
     """Return how many voters must agree.
 
-    A group is formed by all of its first voters, once: only then is it known
-    which stores are theirs, and a disk lost later can't pass for the old one.
+    Forming a group requires all of its initial voters. This records the store
+    of each one, so that a voter that loses its disk later can't take part
+    with a new store under its old name.
     """
     count = len(voters(members))
     if not is_formed(members):
@@ -66,7 +67,7 @@
 
 
 def is_quorum(members: LogMembers, node_ids: Collection[str]) -> bool:
-    """Return whether ``node_ids`` hold enough voters."""
+    """Return whether ``node_ids`` contain a quorum of the voters."""
     agreed = 0
     for member in voters(members):
         if member.node_id in node_ids:
@@ -75,7 +76,7 @@
 
 
 def with_stores(members: LogMembers, store_by_id: dict[str, str]) -> LogMembers:
-    """Return the members with their stores on record."""
+    """Return the members with their stores recorded."""
     changed = LogMembers()
     changed.CopyFrom(members)
     for member in changed.members:
@@ -84,7 +85,7 @@
 
 
 def with_learner(members: LogMembers, learner: LogMember) -> LogMembers:
-    """Return the members and a new one that does not vote."""
+    """Return the members plus a non-voting one."""
     changed = LogMembers()
     changed.CopyFrom(members)
     changed.members.append(learner)
@@ -92,7 +93,7 @@
 
 
 def with_voter(members: LogMembers, node_id: str) -> LogMembers:
-    """Return the members of which ``node_id`` votes too."""
+    """Return the members with ``node_id`` made a voter."""
     changed = LogMembers()
     changed.CopyFrom(members)
     for member in changed.members:
@@ -102,7 +103,7 @@
 
 
 def without(members: LogMembers, node_id: str) -> LogMembers:
-    """Return the members but one."""
+    """Return the members except ``node_id``."""
     changed = LogMembers()
     for member in members.members:
         if member.node_id != node_id:
--- a/verbenathread/consensus/records.py
+++ b/verbenathread/consensus/records.py
@@ -1,34 +1,34 @@
-"""Records with a length and a checksum, one after another in a file."""
+"""Files of consecutive records with a length and a checksum."""
 
 import struct
 import zlib
 from typing import NamedTuple
 
 _MAGIC = b'VTR1'
-# Magic bytes, length of the payload, checksum.
+# Magic bytes, payload length, checksum.
 _HEADER = struct.Struct('<4sII')
-# Number of the file and offset in it, which the checksum covers too.
+# File number, offset in the file and payload length. The checksum covers them.
 _POSITION = struct.Struct('<QQI')
 
 
 class ScanResult(NamedTuple):
-    """What a file of records holds."""
+    """Result of scanning a file of records."""
 
     payloads: list[bytes]
-    # Records are whole up to here.
+    # Length of the valid records at the start of the file.
     valid_length: int
-    # Offset of a whole record after the first that is not; -1 for none.
+    # Offset of the first valid record after the first invalid one, or -1.
     resync_offset: int
 
 
 def pack(payload: bytes, file_number: int, offset: int) -> bytes:
-    """Return a record for one place in one file."""
+    """Return the record of ``payload`` for one offset of one file."""
     checksum = _checksum(payload, file_number, offset)
     return _HEADER.pack(_MAGIC, len(payload), checksum) + payload
 
 
 def unpack(content: bytes, file_number: int, offset: int) -> bytes | None:
-    """Return the payload of the record at ``offset``, None if not whole."""
+    """Return the payload of the record at ``offset``, or None if invalid."""
     start = offset + _HEADER.size
     if start > len(content):
         return None
@@ -42,7 +42,7 @@
 
 
 def scan(content: bytes, file_number: int) -> ScanResult:
-    """Read records until one is not whole, then look for any after it."""
+    """Read records up to an invalid one, then look for a valid one after."""
     payloads = []
     offset = 0
     payload = unpack(content, file_number, offset)
@@ -56,15 +56,16 @@
 
 
 def _find_resync_offset(content: bytes, file_number: int, after: int) -> int:
-    place = content.find(_MAGIC, after + 1)
-    while place >= 0:
-        if unpack(content, file_number, place) is not None:
-            return place
-        place = content.find(_MAGIC, place + 1)
+    offset = content.find(_MAGIC, after + 1)
+    while offset >= 0:
+        if unpack(content, file_number, offset) is not None:
+            return offset
+        offset = content.find(_MAGIC, offset + 1)
     return -1
 
 
 def _checksum(payload: bytes, file_number: int, offset: int) -> int:
-    # A command may itself hold the bytes of a record, from another place.
-    place = _POSITION.pack(file_number, offset, len(payload))
-    return zlib.crc32(payload, zlib.crc32(place))
+    # Including the position ensures that record bytes inside a command are
+    # not taken for a record at their offset.
+    position = _POSITION.pack(file_number, offset, len(payload))
+    return zlib.crc32(payload, zlib.crc32(position))
--- a/verbenathread/consensus/replay.py
+++ b/verbenathread/consensus/replay.py
@@ -1,4 +1,4 @@
-"""The log as the records of its segment files tell it."""
+"""Reconstruction of the log from the records of its segment files."""
 
 from verbenathread.consensus.storage import Ballot
 from verbenathread.schema.consensus_pb2 import (
@@ -9,18 +9,18 @@
 
 
 class Segment:
-    """One segment file."""
+    """Metadata of one segment file."""
 
     def __init__(self, number: int, length: int) -> None:
-        """Hold ``length`` bytes of whole records."""
+        """Describe a segment with ``length`` bytes of valid records."""
         self.number = number
         self.length = length
-        # Highest index of any entry in it.
+        # Highest index of any entry in the segment.
         self.last_index = 0
 
 
 class Replay:
-    """The log that results from records taken one after another."""
+    """The log that results from applying records in order."""
 
     def __init__(self) -> None:
         """Start with an empty log and no vote."""
@@ -32,7 +32,7 @@
         self.last_term = 0
 
     def apply(self, record: DiskRecord, segment: Segment) -> bool:
-        """Take one record; False when entries before it are missing."""
+        """Apply one record; return False if entries before it are missing."""
         if record.HasField('ballot'):
             self.ballot = Ballot(record.ballot.term, record.ballot.vote)
         if record.HasField('segment'):
@@ -46,19 +46,19 @@
         return True
 
     def set_end(self, index: int, term: int) -> None:
-        """Note where the log ends."""
+        """Set the index and term of the last entry."""
         self.last_index = index
         self.last_term = term
 
     def reset(self, index: int, term: int) -> None:
-        """Begin an empty log after ``index``."""
+        """Start an empty log after ``index``."""
         self.base_index = index
         self.base_term = term
         self.entries.clear()
         self.set_end(index, term)
 
     def term_at(self, index: int) -> int | None:
-        """Return the term at an index, None when it is not held."""
+        """Return the term at an index, or None if it is not in the log."""
         if index == self.base_index:
             return self.base_term
         if self.base_index < index <= self.last_index:
@@ -66,11 +66,11 @@
         return None
 
     def has_content(self) -> bool:
-        """Return whether anything was saved."""
+        """Return whether any entry or vote was saved."""
         return self.last_index > 0 or self.ballot.term > 0
 
     def _apply_head(self, head: SegmentHead) -> None:
-        """Go on where the segment begins, else begin an empty log there."""
+        """Start an empty log if the segment does not continue this one."""
         if (head.base_index, head.base_term) != (
             self.last_index,
             self.last_term,
--- a/verbenathread/consensus/replica.py
+++ b/verbenathread/consensus/replica.py
@@ -1,7 +1,7 @@
-"""One replica of a log: the part that others embed.
+"""A replica of the log, for embedding in other services.
 
-The parts beneath share one :class:`ReplicaState`; this module starts them,
-stops them, and offers what callers need.
+Starts and stops the components, which share one :class:`ReplicaState`, and
+provides the public API.
 """
 
 import asyncio
@@ -43,8 +43,8 @@
 class Replica:
     """A member of a group that agrees on one log of commands.
 
-    A replica that fails (a sync, a damaged log) stops by itself and says why
-    in :meth:`status`; it is not started again on the same object.
+    A replica that fails (for example on a failed sync or a damaged log) stops
+    and reports the reason in :meth:`status`. The object can't be restarted.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         clock: Clock,
         random: Random,
     ) -> None:
-        """Wire the parts; nothing runs before :meth:`start`."""
+        """Connect the components; nothing runs before :meth:`start`."""
         state = ReplicaState(settings, storage, clock, random)
         self._state = state
         self._machine = machine
@@ -75,9 +75,9 @@
         self._failure = ''
 
     async def start(self) -> None:
-        """Load what was saved and take part in the group.
+        """Load the saved state and join in the group.
 
-        Raises StorageError when the data folder can't be trusted.
+        Raises StorageError if the data folder is damaged or unsuitable.
         """
         settings = self._state.settings
         saved = await self._state.storage.load(
@@ -91,7 +91,7 @@
         self._tasks.spawn(self._applier.run())
 
     async def stop(self, *, transfer_leadership: bool = True) -> None:
-        """Stop; a leader first hands over and answers what is in progress."""
+        """Stop; a leader first transfers leadership and finishes proposals."""
         state = self._state
         if (
             self._running
@@ -109,10 +109,10 @@
         state.storage.close()
 
     async def propose(self, command: bytes, limit: Millis) -> Applied:
-        """Put a command on the log and return once it is applied here.
+        """Append a command and return once it is applied on this replica.
 
-        NotLeaderError and UnavailableError mean that it was surely not
-        taken; UnknownOutcomeError that it may or may not be committed.
+        NotLeaderError and UnavailableError guarantee that the command will not
+        be committed; after UnknownOutcomeError it may or may not be.
         """
         self._require_running()
         leadership = self._state.require_leadership()
@@ -126,14 +126,14 @@
                     'it back, or send it again under the same identifier.'
                 ) from None
         raise UnavailableError(
-            'The log was busy and did not take the change; try again.'
+            'The log was busy and did not accept the change; try again.'
         )
 
     async def barrier(self, limit: Millis) -> int:
-        """Return an index that a quorum confirmed; later reads are fresh.
+        """Return a read index that a quorum confirmed, once it is applied.
 
-        A read of the state machine after this call sees every change that
-        was answered before it (Ongaro's thesis 2014, section 6.4).
+        Reads of the state machine after this call are linearizable: they see
+        every change acknowledged before it (Ongaro's thesis 2014, section 6.4).
         """
         self._require_running()
         state = self._state
@@ -161,7 +161,7 @@
     async def change_member(
         self, action: str, peer: Peer, limit: Millis
     ) -> None:
-        """Add a learner, promote it once caught up, or remove a member."""
+        """Add a learner, promote a caught-up learner, or remove a member."""
         self._require_running()
         await self._changes.change(action, peer, limit)
 
@@ -170,8 +170,8 @@
     ) -> int:
         """Return the applied index once it exceeds ``after``.
 
-        With a ``limit`` in ms, returns what is applied when it passes.
-        Raises UnavailableError when the replica stops meanwhile.
+        With a ``limit`` in ms, returns the current applied index on timeout.
+        Raises UnavailableError if the replica stops first.
         """
         applier = self._applier
         await self._state.changed.wait_for(
@@ -182,14 +182,14 @@
         return applier.applied_index
 
     async def wait_leader(self, limit: Millis) -> None:
-        """Return once a leader is known here, or after ``limit`` ms."""
+        """Return once a leader is known, or after ``limit`` ms."""
         state = self._state
         await state.changed.wait_for(
             lambda: bool(state.leader_id) or not self._running, limit
         )
 
     def status(self) -> ReplicaStatus:
-        """Return what this replica knows; it may be stale."""
+        """Return this replica's view of the group, which may be stale."""
         state = self._state
         members = []
         for member in state.log.members().members:
@@ -209,7 +209,7 @@
         )
 
     def silent_for(self) -> dict[str, Millis]:
-        """Return ms since each other member answered; empty if not leading."""
+        """Return ms since contact with each other member, if leading."""
         state = self._state
         if state.leadership is None:
             return {}
@@ -220,47 +220,47 @@
         }
 
     async def vote(self, request: messages.VoteRequest) -> messages.VoteReply:
-        """Answer a candidate."""
+        """Handle a vote request."""
         return await self._run_uncancelled(self._elections.vote(request))
 
     async def append(
         self, request: messages.AppendRequest
     ) -> messages.AppendReply:
-        """Answer the leader's entries."""
+        """Handle entries from the leader."""
         return await self._run_uncancelled(self._follower.append(request))
 
     async def beat(self, request: messages.BeatRequest) -> messages.BeatReply:
-        """Answer a heartbeat."""
+        """Handle a heartbeat."""
         return await self._run_uncancelled(self._follower.beat(request))
 
     async def install(
         self, request: messages.InstallRequest
     ) -> messages.InstallReply:
-        """Answer a part of a snapshot."""
+        """Handle a snapshot chunk."""
         return await self._run_uncancelled(self._receiver.install(request))
 
     async def transfer(
         self, request: messages.TransferRequest
     ) -> messages.TransferReply:
-        """Answer the leader that hands over."""
+        """Handle a leadership transfer."""
         return await self._run_uncancelled(self._elections.transfer(request))
 
     async def _run_uncancelled(
-        self, answer: Coroutine[Any, Any, _Reply]
+        self, handler: Coroutine[Any, Any, _Reply]
     ) -> _Reply:
-        """Answer in a task that a caller who hangs up can't cancel.
+        """Run a handler in a task that a disconnecting caller does not cancel.
 
-        Half of an append would leave the disk ahead of the memory.
+        A partial append would leave the disk ahead of memory.
         """
         if not self._running:
-            answer.close()
+            handler.close()
             raise UnavailableError(
-                'This replica does not run; ask another one.'
+                'This replica is not running; call another one.'
             )
-        task = self._tasks.spawn(answer)
+        task = self._tasks.spawn(handler)
         await asyncio.wait((task,))
         if task.cancelled() or task.exception() is not None:
-            raise UnavailableError('This replica stopped; ask another one.')
+            raise UnavailableError('This replica stopped; call another one.')
         return task.result()
 
     async def _wait_while_leader(
@@ -275,12 +275,12 @@
             raise state.not_leader_error()
         if not done:
             raise UnavailableError(
-                'No quorum confirmed this leader in time; try again, or ask '
-                'another control process.'
+                'No quorum confirmed this leader before the deadline; try '
+                'again, or call another control process.'
             )
 
     def _is_round_confirmed(self, leadership: Leadership, wanted: int) -> bool:
-        """Return whether a quorum answered a heartbeat sent since then."""
+        """Return whether a quorum answered a heartbeat of round ``wanted``."""
         confirmed = {self._state.node_id}
         for node_id, progress in leadership.progress_by_id.items():
             if progress.round >= wanted:
@@ -306,15 +306,15 @@
     def _require_running(self) -> None:
         if self._failure:
             raise UnavailableError(
-                f'This replica stopped: {self._failure} Ask another one.'
+                f'This replica stopped: {self._failure} Call another one.'
             )
         if not self._running:
             raise UnavailableError(
-                'This replica does not run; start it or ask another one.'
+                'This replica is not running; start it or call another one.'
             )
 
     def _fail(self, error: BaseException) -> None:
-        """Stop for good: what the disk holds is no longer known."""
+        """Stop permanently, as the content of the disk is now unknown."""
         if self._failure:
             return
         self._failure = str(error) or type(error).__name__
@@ -322,7 +322,7 @@
         if unexpected:
             self._failure = f'Internal error: {error!r}.'
         _log.error(
-            'This replica stops.',
+            'This replica stops after an error.',
             reason=self._failure,
             exc_info=error if unexpected else None,
         )
--- a/verbenathread/consensus/rpc.py
+++ b/verbenathread/consensus/rpc.py
@@ -1,7 +1,7 @@
-"""Calls between replicas over grpclib.
+"""RPC between replicas over grpclib.
 
-Each call carries the cluster's name and key as metadata, ends within a
-limit, and uses the one channel that is kept for its peer.
+Each call carries the cluster name and the node key as metadata, has a timeout
+and uses the single channel kept for its peer.
 """
 
 import asyncio
@@ -29,17 +29,17 @@
 
 
 class RpcTransport:
-    """Calls other replicas, over one channel for each."""
+    """Calls other replicas, with one channel per peer."""
 
     def __init__(self, cluster: str, node_key: str) -> None:
-        """Name the cluster and its key in every call."""
+        """Send the cluster name and the node key with every call."""
         self._metadata = ((_CLUSTER, cluster), (_NODE_KEY, node_key))
         self._channel_by_peer: dict[Peer, Channel] = {}
 
     async def vote(
         self, peer: Peer, request: messages.VoteRequest, limit: Millis
     ) -> messages.VoteReply:
-        """Ask for a vote."""
+        """Request a vote or a pre-vote."""
         stub = self._stub(peer)
         try:
             return await self._call(peer, stub.Vote, request, limit)
@@ -50,7 +50,7 @@
     async def append(
         self, peer: Peer, request: messages.AppendRequest, limit: Millis
     ) -> messages.AppendReply:
-        """Send entries of the log."""
+        """Send log entries."""
         stub = self._stub(peer)
         return await self._call(peer, stub.Append, request, limit)
 
@@ -68,14 +68,14 @@
     async def install(
         self, peer: Peer, request: messages.InstallRequest, limit: Millis
     ) -> messages.InstallReply:
-        """Send a part of a snapshot."""
+        """Send a snapshot chunk."""
         stub = self._stub(peer)
         return await self._call(peer, stub.Install, request, limit)
 
     async def transfer(
         self, peer: Peer, request: messages.TransferRequest, limit: Millis
     ) -> messages.TransferReply:
-        """Ask the peer to stand for election at once."""
+        """Ask the peer to start an election immediately."""
         stub = self._stub(peer)
         return await self._call(peer, stub.Transfer, request, limit)
 
@@ -93,10 +93,11 @@
         return ConsensusStub(channel)
 
     def _discard_channel(self, peer: Peer) -> None:
-        """Connect anew at the next call.
+        """Close the channel so that the next call reconnects.
 
-        After a long cut the old connection would wait for minutes before it
-        sends again. Only calls that no sync slows down come here.
+        After a long network partition, TCP backoff on the old connection would
+        delay the next packet by minutes. Only vote and heartbeat calls do
+        this: an append or a snapshot may just be waiting for a slow sync.
         """
         channel = self._channel_by_peer.pop(peer, None)
         if channel is not None:
@@ -110,7 +111,7 @@
         limit: Millis,
     ) -> _Reply:
         try:
-            # The limit holds for a connect that never completes, too.
+            # Also bounds a connection attempt that never completes.
             return await asyncio.wait_for(
                 method(
                     request, timeout=seconds(limit), metadata=self._metadata
@@ -122,10 +123,10 @@
 
 
 class ConsensusService(ConsensusBase):
-    """Answers other replicas of the same cluster."""
+    """Serves calls from other replicas of the same cluster."""
 
     def __init__(self, handler: Handler, cluster: str, node_key: str) -> None:
-        """Pass calls that name the cluster and its key on to ``handler``."""
+        """Pass calls with the matching cluster and key to ``handler``."""
         self._handler = handler
         self._cluster = cluster
         self._node_key = node_key
@@ -133,31 +134,31 @@
     async def Vote(  # noqa: N802  the generated base sets the name
         self, stream: Stream[messages.VoteRequest, messages.VoteReply]
     ) -> None:
-        """Answer a candidate."""
+        """Handle a vote request."""
         await self._serve(stream, self._handler.vote)
 
     async def Append(  # noqa: N802  the generated base sets the name
         self, stream: Stream[messages.AppendRequest, messages.AppendReply]
     ) -> None:
-        """Answer the leader's entries."""
+        """Handle entries from the leader."""
         await self._serve(stream, self._handler.append)
 
     async def Beat(  # noqa: N802  the generated base sets the name
         self, stream: Stream[messages.BeatRequest, messages.BeatReply]
     ) -> None:
-        """Answer a heartbeat."""
+        """Handle a heartbeat."""
         await self._serve(stream, self._handler.beat)
 
     async def Install(  # noqa: N802  the generated base sets the name
         self, stream: Stream[messages.InstallRequest, messages.InstallReply]
     ) -> None:
-        """Answer a part of a snapshot."""
+        """Handle a snapshot chunk."""
         await self._serve(stream, self._handler.install)
 
     async def Transfer(  # noqa: N802  the generated base sets the name
         self, stream: Stream[messages.TransferRequest, messages.TransferReply]
     ) -> None:
-        """Answer the leader that hands over."""
+        """Handle a leadership transfer."""
         await self._serve(stream, self._handler.transfer)
 
     async def _serve(
--- a/verbenathread/consensus/segments.py
+++ b/verbenathread/consensus/segments.py
@@ -1,8 +1,8 @@
-"""The log, the term and the vote in segment files.
+"""Segment files that store the log, the term and the vote.
 
-They share one sequence of records, so that each change costs one sync. One
-append is one record: when a crash tears it, no whole record can follow, and
-a whole record after a bad one means damage.
+All share one sequence of records, so that each change costs one sync. Each
+append is one record. If a crash tears the last one, no valid record can follow
+it, so a valid record after an invalid one means damage.
 """
 
 from verbenathread.consensus import records
@@ -19,15 +19,15 @@
 
 _SEGMENT_PREFIX = 'segment-'
 _MARK_NAME = 'mark'
-# A segment is closed once it is this long.
-_MAX_SEGMENT_BYTES = 0x1000000
+# Length at which a new segment is started.
+_SEGMENT_ROTATION_BYTES = 0x1000000
 
 
 class SegmentLog:
-    """Appends records and reads them back after a restart."""
+    """Appends records, and reads them back after a restart."""
 
     def __init__(self, folder: DataFolder) -> None:
-        """Touch nothing before :meth:`read`."""
+        """Use ``folder``; no file is accessed before :meth:`read`."""
         self._folder = folder
         self._segments: list[Segment] = []
         # True from the start of an append until it is synced.
@@ -35,11 +35,11 @@
         self.replay = Replay()
 
     def is_empty(self) -> bool:
-        """Return whether there is no segment at all."""
+        """Return whether there are no segments."""
         return not self._segments
 
     async def read(self, names: list[str]) -> None:
-        """Read every segment; cut off an append that a crash tore."""
+        """Read every segment; truncate an append torn by a crash."""
         numbers = _segment_numbers(names)
         mark = self._read_mark(names)
         if numbers and mark.segment > numbers[-1]:
@@ -52,14 +52,14 @@
             synced = mark.length if mark.segment == number else 0
             self._read_segment(number, synced, is_last=number == numbers[-1])
         if numbers:
-            # What the last process wrote may still be on its way to the disk.
+            # The previous process may have left writes that are not yet synced.
             await self._folder.sync(_segment_name(numbers[-1]))
 
     async def append(self, record: DiskRecord) -> None:
-        """Add one record with one sync."""
+        """Append one record with one sync."""
         if self._append_pending:
             raise StorageError(
-                'An earlier append was interrupted, and where the log ends '
+                'An earlier append was interrupted, so the end of the log '
                 'is unknown; start this replica again.'
             )
         self._append_pending = True
@@ -67,7 +67,7 @@
         self._append_pending = False
 
     async def begin_segment(self) -> None:
-        """Make a file that says where the log stands."""
+        """Create a segment whose first record gives the end of the log."""
         number = 1
         if self._segments:
             number = self._segments[-1].number + 1
@@ -82,7 +82,7 @@
         self._write_mark()
 
     async def reset(self, index: int, term: int) -> None:
-        """Begin an empty log after an index, and drop what was before."""
+        """Start an empty log after an index and remove older segments."""
         self.replay.reset(index, term)
         await self.begin_segment()
         for segment in self._segments[:-1]:
@@ -90,7 +90,11 @@
         await self.remove_oldest(index)
 
     async def remove_oldest(self, keep_after: int) -> None:
-        """Remove the oldest segments, one by one, so that none is missed."""
+        """Remove segments up to ``keep_after``, oldest first.
+
+        Each removal is synced before the next one, so that a crash never
+        leaves a gap between segments.
+        """
         while len(self._segments) > 1:
             oldest = self._segments[0]
             if oldest.last_index > keep_after:
@@ -113,43 +117,43 @@
             segment.last_index = max(segment.last_index, last.index)
             self.replay.set_end(last.index, last.term)
         self._write_mark()
-        if segment.length >= _MAX_SEGMENT_BYTES:
+        if segment.length >= _SEGMENT_ROTATION_BYTES:
             await self.begin_segment()
 
     def _read_segment(self, number: int, synced: int, *, is_last: bool) -> None:
         name = _segment_name(number)
         content = self._folder.read(name)
         found = records.scan(content, number)
-        whole = found.valid_length
+        valid_length = found.valid_length
         if found.resync_offset >= 0:
             raise self._damage_error(
                 number,
-                whole,
+                valid_length,
                 f'a whole record follows at {found.resync_offset}',
             )
-        if whole < synced:
+        if valid_length < synced:
             raise self._damage_error(
-                number, whole, f'{synced} bytes were synced'
+                number, valid_length, f'{synced} bytes were synced'
             )
         if not found.payloads:
             raise self._damage_error(
-                number, whole, 'its first record is not whole'
+                number, valid_length, 'its first record is invalid'
             )
-        if whole < len(content):
+        if valid_length < len(content):
             if not is_last:
                 raise self._damage_error(
-                    number, whole, 'a later segment follows'
+                    number, valid_length, 'a later segment follows'
                 )
-            # The last append was torn by a crash; nobody was told of it.
-            self._folder.truncate(name, whole)
-        self._replay_records(Segment(number, whole), found.payloads)
+            # A crash tore the last append, which was never acknowledged.
+            self._folder.truncate(name, valid_length)
+        self._replay_records(Segment(number, valid_length), found.payloads)
 
     def _replay_records(self, segment: Segment, payloads: list[bytes]) -> None:
         self._segments.append(segment)
         for payload in payloads:
             if not self.replay.apply(DiskRecord.FromString(payload), segment):
                 raise self._damage_error(
-                    segment.number, 0, 'it lacks entries of the log'
+                    segment.number, 0, 'it lacks earlier entries of the log'
                 )
 
     def _read_mark(self, names: list[str]) -> SyncedMark:
@@ -162,7 +166,10 @@
         return mark
 
     def _write_mark(self) -> None:
-        """Note the synced length, itself unsynced: it may only be too low."""
+        """Record the synced length.
+
+        The mark itself is not synced, so it may be too low but never too high.
+        """
         segment = self._segments[-1]
         mark = SyncedMark(segment=segment.number, length=segment.length)
         packed = records.pack(mark.SerializeToString(), 0, 0)
@@ -178,7 +185,7 @@
 
 
 def saved_ballot(ballot: Ballot) -> SavedBallot:
-    """Return a ballot as it is put on the disk."""
+    """Return the on-disk form of a ballot."""
     return SavedBallot(term=ballot.term, vote=ballot.vote)
 
 
--- a/verbenathread/consensus/settings.py
+++ b/verbenathread/consensus/settings.py
@@ -6,55 +6,57 @@
 
 
 class ReplicaSettings(NamedTuple):
-    """How one replica takes part in its group."""
+    """Configuration of one replica."""
 
     local_peer: Peer
     cluster: str
-    # The voters that form the group; used only by an empty store.
+    # Voters that form the group; used only with an empty store.
     initial_members: tuple[Peer, ...]
     # Wait to be added to a group instead of forming one.
     join: bool = False
-    # Silence of the leader after which a voter may stand for election; the
-    # wait is drawn anew each time, up to twice as long.
+    # Time without contact to the leader after which a voter may start an
+    # election. Each wait is randomized between this value and twice it.
     election_timeout: Millis = 1000
     heartbeat: Millis = 200
-    # Records on the log after which a snapshot is taken.
+    # Entries that are kept behind a snapshot; one is taken once twice as many
+    # have been applied.
     snapshot_records: int = 1000
-    # Most bytes of entries in one message or one append.
+    # Approximate size limit in bytes of the entries in one message or append.
     batch_bytes: int = 0x100000
-    # Bytes of a snapshot in one message.
+    # Bytes of a snapshot sent in one message.
     chunk_bytes: int = 0x40000
-    # Most proposals that wait for the log.
+    # Maximum number of proposals waiting to be appended.
     queue_limit: int = 4096
 
 
 class MemberState(NamedTuple):
-    """One member as the leader sees it."""
+    """Replication state of one member."""
 
     node_id: str
     address: Address
     voter: bool
-    # Synced up to here; on a replica that does not lead, only its own.
+    # Last synced index. A replica that does not lead has only its own; the
+    # others are 0.
     match_index: int
     store_id: str
 
 
 class ReplicaStatus(NamedTuple):
-    """What one replica knows of its group."""
+    """One replica's view of its group."""
 
-    # Node id of the leader, empty when none is known.
+    # Node id of the leader, or empty when unknown.
     leader: str
     leader_address: str
-    # True only while a quorum was heard within an election timeout.
+    # True only while a quorum has answered within the election timeout.
     is_leader: bool
     term: int
     commit_index: int
     applied_index: int
     members: tuple[MemberState, ...]
-    # Syncs of the storage since the start.
+    # Number of storage syncs since the start.
     sync_count: int
-    # Why the replica stopped by itself; empty while it runs.
+    # Error that stopped the replica; empty while it runs.
     failure: str
-    # This replica, and the identity of its data folder once it was loaded.
+    # Node id of this replica, and the store id of its data folder once loaded.
     node_id: str = ''
     store_id: str = ''
--- a/verbenathread/consensus/snapshots.py
+++ b/verbenathread/consensus/snapshots.py
@@ -1,6 +1,6 @@
-"""Snapshots for members that miss more than the log still holds.
+"""Snapshot transfer to members that need entries no longer in the log.
 
-After Raft (Ongaro and Ousterhout 2014, section 7).
+Follows Raft (Ongaro and Ousterhout 2014, section 7).
 """
 
 import zlib
@@ -21,19 +21,20 @@
 
 _log = get_logger('consensus')
 
-# A member may need longer than an election timeout to sync a snapshot.
+# Timeout of a snapshot chunk, in election timeouts. A member may need longer
+# than one election timeout to sync the snapshot.
 _INSTALL_ELECTION_TIMEOUTS = 5
 
 
 class SentSnapshot(NamedTuple):
-    """The last answer to a snapshot that was sent."""
+    """Index of a sent snapshot and the last reply to it."""
 
     snapshot_index: int
     reply: InstallReply
 
 
 class SnapshotSender:
-    """Sends the state of the leader in chunks."""
+    """Sends the leader's state in chunks."""
 
     def __init__(
         self, state: ReplicaState, transport: Transport, applier: Applier
@@ -44,19 +45,19 @@
         self._applier = applier
 
     async def send(self, progress: Progress, head: Envelope) -> SentSnapshot:
-        """Send a snapshot as of now, until it is installed or refused."""
+        """Send a current snapshot until it is installed or refused."""
         snapshot = self._applier.make_snapshot()
         image = snapshot.SerializeToString()
         checksum = zlib.crc32(image)
         _log.info(
-            'A snapshot is sent.',
+            'Sending a snapshot.',
             member=progress.member.node_id,
             index=snapshot.index,
         )
         settings = self._state.settings
         offset = 0
-        going = True
-        while going:
+        sending = True
+        while sending:
             request = InstallRequest(
                 head=head,
                 index=snapshot.index,
@@ -71,13 +72,13 @@
                 request,
                 settings.election_timeout * _INSTALL_ELECTION_TIMEOUTS,
             )
-            going = not reply.installed and reply.offset > offset
+            sending = not reply.installed and reply.offset > offset
             offset = reply.offset
         return SentSnapshot(snapshot.index, reply)
 
 
 class SnapshotReceiver:
-    """Gathers the chunks of a snapshot and puts it into force."""
+    """Assembles the chunks of a snapshot and installs it."""
 
     def __init__(
         self, state: ReplicaState, follower: Follower, applier: Applier
@@ -86,12 +87,12 @@
         self._state = state
         self._follower = follower
         self._applier = applier
-        # Which snapshot the chunks belong to.
+        # Identifies the snapshot that the received chunks belong to.
         self._key: tuple[str, int, int, int] = ('', 0, 0, 0)
         self._received = bytearray()
 
     async def install(self, request: InstallRequest) -> InstallReply:
-        """Take one chunk; with the last one, the snapshot."""
+        """Receive one chunk; install the snapshot after the last one."""
         state = self._state
         if not self._follower.accepts(request.head):
             return InstallReply(head=state.envelope())
@@ -121,7 +122,7 @@
         image = bytes(self._received)
         self._key = ('', 0, 0, 0)
         if zlib.crc32(image) != request.checksum:
-            _log.error('A snapshot arrived damaged; it will be sent again.')
+            _log.error('A received snapshot is damaged; it will be sent again.')
             self._received.clear()
             return False
         await self._install_snapshot(LogSnapshot.FromString(image))
@@ -130,7 +131,7 @@
     async def _install_snapshot(self, snapshot: LogSnapshot) -> None:
         state = self._state
         if snapshot.index <= state.commit_index:
-            # What stands here is as new or newer, and equal up to there.
+            # The local state already includes the snapshot.
             return
         if state.log.term_at(snapshot.index) == snapshot.term:
             state.commit_to(snapshot.index)
@@ -139,4 +140,4 @@
         state.log.reset(snapshot)
         self._applier.restore(snapshot)
         state.commit_to(snapshot.index)
-        _log.info('A snapshot is in force.', index=snapshot.index)
+        _log.info('A snapshot was installed.', index=snapshot.index)
--- a/verbenathread/consensus/state.py
+++ b/verbenathread/consensus/state.py
@@ -1,7 +1,7 @@
-"""What one replica knows, shared by the parts that act on it.
+"""State of one replica, shared by its components.
 
-Terms, votes and the log change only under ``lock``, and each change is
-synced before anybody is told of it.
+Terms, votes and the log change only under ``lock``. Each change is synced to
+disk before any reply reports it.
 """
 
 import asyncio
@@ -22,7 +22,7 @@
 
 
 class Role(enum.Enum):
-    """What a replica is in the current term."""
+    """Raft role of a replica in the current term."""
 
     FOLLOWER = 'follower'
     CANDIDATE = 'candidate'
@@ -30,51 +30,51 @@
 
 
 class Proposal:
-    """A command on its way to the log."""
+    """A proposed command and the future of its result."""
 
     def __init__(self, command: bytes) -> None:
-        """Wait to be put on the log."""
+        """Create a proposal that is not yet appended."""
         self.command = command
-        # False as long as the command was certainly not taken.
+        # While False, the command has certainly not been appended.
         self.appended = False
         self.future: asyncio.Future[Applied] = (
             asyncio.get_running_loop().create_future()
         )
 
     def fail(self, error: Exception) -> None:
-        """Tell the waiting caller of an error."""
+        """Fail the proposal with ``error`` unless it is already done."""
         if not self.future.done():
             self.future.set_exception(error)
 
 
 class Progress:
-    """What a leader knows of one other member."""
+    """A leader's replication state for one other member."""
 
     def __init__(self, member: LogMember, next_index: int, now: Millis):
-        """Assume that the member's log may reach up to ``next_index``."""
+        """Start replication optimistically at ``next_index``."""
         self.member = member
         self.next_index = next_index
         self.match_index = 0
-        # When the latest heartbeat that it answered was sent.
+        # Send time of the latest heartbeat that the member answered.
         self.last_contact = now
         self.round = 0
         self.sent_commit_index = 0
-        # The member answers from another store than the one on record.
+        # The member answers from a store other than the recorded one.
         self.store_mismatch = False
         self.heartbeat_due = asyncio.Event()
         self.work_ready = asyncio.Event()
 
 
 class Leadership:
-    """One term in which this replica leads."""
+    """State of a leader during one term."""
 
     def __init__(self, term: int, first_index: int) -> None:
-        """Begin the term; its first entry stands at ``first_index``."""
+        """Begin the term, whose first entry is at ``first_index``."""
         self.term = term
         self.first_index = first_index
-        # The leader's own log is synced up to here.
+        # Last index of the leader's own log that is synced.
         self.synced_index = 0
-        # Counts the barriers; each heartbeat carries the latest.
+        # Number of barriers so far; each heartbeat carries the latest.
         self.round = 0
         self.transferring = False
         self.progress_by_id: dict[str, Progress] = {}
@@ -82,12 +82,12 @@
         self.queue_ready = asyncio.Event()
 
     def wake_replication(self) -> None:
-        """Let the tasks of every member look for work."""
+        """Wake every member's replication task."""
         for progress in self.progress_by_id.values():
             progress.work_ready.set()
 
     def wake_heartbeats(self) -> None:
-        """Send a heartbeat to every member now."""
+        """Send a heartbeat to every member immediately."""
         for progress in self.progress_by_id.values():
             progress.heartbeat_due.set()
 
@@ -102,7 +102,7 @@
         clock: Clock,
         random: Random,
     ) -> None:
-        """Start empty; :meth:`load` brings what the disk holds."""
+        """Start empty; :meth:`load` fills in the saved state."""
         self.settings = settings
         self.storage = storage
         self.clock = clock
@@ -118,7 +118,7 @@
         self.election = ElectionTimer(settings, clock, random)
 
     def load(self, saved: SavedState) -> None:
-        """Take over what the disk holds."""
+        """Initialize from the saved state."""
         self.store_id = saved.store_id
         self.ballot = saved.ballot
         self.log.load((saved.base_index, saved.base_term), saved.entries)
@@ -144,7 +144,7 @@
         return self.ballot.term
 
     def envelope(self, target_store: str = '') -> Envelope:
-        """Return the head of a message of the current term."""
+        """Return the envelope of a message of the current term."""
         return Envelope(
             sender=self.node_id,
             sender_store=self.store_id,
@@ -153,24 +153,25 @@
         )
 
     def is_addressed_here(self, head: Envelope) -> bool:
-        """Return whether a message is for this store or for any."""
+        """Return whether a message is addressed to this store or to any."""
         return head.target_store in {'', self.store_id}
 
     def is_voter(self) -> bool:
-        """Return whether this replica votes, by its own log."""
+        """Return whether this replica is a voter according to its log."""
         member = membership.find(self.log.members(), self.node_id)
         if member is None or not member.voter:
             return False
         return member.store_id in {'', self.store_id}
 
     def still_leads(self, leadership: Leadership) -> bool:
-        """Return whether the term of ``leadership`` goes on here."""
+        """Return whether ``leadership`` is still the current one."""
         return self.leadership is leadership
 
     def is_leader(self) -> bool:
-        """Return whether this replica leads and a quorum was heard lately.
+        """Return whether this replica leads with recent contact to a quorum.
 
-        A process that froze sees at once that its time has run out.
+        The check compares timestamps, so a process that resumes after a pause
+        sees immediately that its leadership has expired.
         """
         leadership = self.leadership
         if leadership is None:
@@ -178,26 +179,26 @@
         return self.has_quorum_contact(leadership)
 
     def has_quorum_contact(self, leadership: Leadership) -> bool:
-        """Return whether a quorum answered within an election timeout."""
+        """Return whether a quorum answered within the election timeout."""
         oldest = self.clock.now() - self.settings.election_timeout
-        heard = {self.node_id}
+        responsive = {self.node_id}
         for node_id, progress in leadership.progress_by_id.items():
             if progress.last_contact > oldest:
-                heard.add(node_id)
-        return membership.is_quorum(self.log.members(), heard)
+                responsive.add(node_id)
+        return membership.is_quorum(self.log.members(), responsive)
 
     def require_leadership(self) -> Leadership:
-        """Return the term led here, or raise before anything is taken."""
+        """Return the leadership, or raise if proposals can't be accepted."""
         leadership = self.leadership
         if leadership is None:
             raise self.not_leader_error()
         if leadership.transferring:
             raise UnavailableError(
-                'Leadership is being handed over; try again in a moment.'
+                'Leadership is being transferred; try again in a moment.'
             )
         if not self.has_quorum_contact(leadership):
             raise UnavailableError(
-                'No quorum answers this replica; check the network and the '
+                'No quorum of replicas answers; check the network and the '
                 'other control processes, then try again.'
             )
         return leadership
@@ -206,39 +207,41 @@
         """Return the error that names the leader, if one is known."""
         leader = self.leader_address()
         if not leader:
-            return NotLeaderError('No leader is known now; try again soon.')
-        return NotLeaderError(f'The leader is {leader}; ask there.', leader)
+            return NotLeaderError('No leader is known; try again soon.')
+        return NotLeaderError(
+            f'The leader is {leader}; send the request there.', leader
+        )
 
     def leader_address(self) -> str:
-        """Return host and port of the leader, empty when unknown."""
+        """Return the host and port of the leader, or an empty string."""
         member = membership.find(self.log.members(), self.leader_id)
         if member is None:
             return ''
         return str(membership.peer_of(member).address)
 
     async def save_ballot(self, ballot: Ballot) -> None:
-        """Sync a ballot, then hold it. The caller holds the lock."""
+        """Sync a ballot, then adopt it. The caller holds the lock."""
         await self.storage.save_ballot(ballot)
         if ballot.term > self.term:
             self.leader_id = ''
         self.ballot = ballot
 
     async def enter_term(self, term: int) -> None:
-        """Follow in a newer term. The caller holds the lock."""
+        """Become a follower in a newer term. The caller holds the lock."""
         if term <= self.term:
             return
         self.become_follower('')
         await self.save_ballot(Ballot(term))
 
     async def observe_term(self, term: int) -> None:
-        """Follow when an answer names a newer term."""
+        """Become a follower when a reply carries a newer term."""
         if term <= self.term:
             return
         async with self.lock:
             await self.enter_term(term)
 
     def become_follower(self, leader_id: str) -> None:
-        """Lead no longer; proposals that were not taken are refused."""
+        """Follow ``leader_id``, failing proposals not yet appended."""
         leadership = self.leadership
         self.leadership = None
         self.role = Role.FOLLOWER
@@ -253,49 +256,51 @@
         self.changed.notify_all()
 
     def commit_to(self, index: int) -> None:
-        """Move the commit index forward; it never falls."""
+        """Advance the commit index; it never decreases."""
         if index > self.commit_index:
             self.commit_index = index
             self.changed.notify_all()
 
 
-# A replica that never heard a leader waits for this part of the usual time.
+# Until it first hears from a leader, a replica waits this fraction of the
+# election timeout per step.
 _STARTUP_WAIT_DIVISOR = 8
 
 
 class ElectionTimer:
-    """When to stand for election, and when the leader was last heard."""
+    """Election deadline and time of the last contact with the leader."""
 
     def __init__(
         self, settings: ReplicaSettings, clock: Clock, random: Random
     ) -> None:
-        """Wait one full time from now on."""
+        """Create a timer; :meth:`restart` sets the first deadline."""
         self._timeout = settings.election_timeout
         self._clock = clock
         self._random = random
-        # Long ago: a replica that just started has heard no leader.
+        # Expired from the start: a new replica has had no leader contact.
         self._last_contact = -self._timeout
         self._has_seen_leader = False
-        # The place among the voters: they stand one after the other.
+        # Position among the voters, which staggers their first elections.
         self.voter_rank = 0
         self.deadline = 0
 
     def restart(self) -> None:
-        """Draw a new wait before this replica stands for election."""
+        """Set a new randomized election deadline."""
         wait = self._timeout + self._random.randrange(self._timeout)
         if not self._has_seen_leader:
-            # After a restart of the whole group nobody leads. If somebody
-            # does, its heartbeat comes first or the others refuse.
+            # After a restart of the whole group there is no leader, so a short
+            # wait is enough. If there is a leader, its heartbeat arrives first
+            # or the other voters refuse.
             step = self._timeout // _STARTUP_WAIT_DIVISOR
             wait = step * (1 + self.voter_rank) + self._random.randrange(step)
         self.deadline = self._clock.now() + wait
 
     def record_leader_contact(self) -> None:
-        """Note that the leader of the term spoke."""
+        """Record a message from the leader of the current term."""
         self._last_contact = self._clock.now()
         self._has_seen_leader = True
         self.restart()
 
     def has_recent_leader(self) -> bool:
-        """Return whether the leader spoke within an election timeout."""
+        """Return whether the leader was heard within the election timeout."""
         return self._clock.now() - self._last_contact < self._timeout
--- a/verbenathread/consensus/transport.py
+++ b/verbenathread/consensus/transport.py
@@ -1,4 +1,4 @@
-"""What a replica needs of its network, and what it answers there."""
+"""Interfaces for sending and handling calls between replicas."""
 
 from typing import Protocol
 
@@ -9,19 +9,19 @@
 class Transport(Protocol):
     """Calls to other replicas.
 
-    A call ends within ``limit`` ms. UnavailableError means that no answer
-    came; the other side may have acted all the same.
+    A call ends within ``limit`` ms. UnavailableError means that no reply
+    arrived; the peer may have processed the request all the same.
     """
 
     async def vote(
         self, peer: Peer, request: consensus_pb2.VoteRequest, limit: Millis
     ) -> consensus_pb2.VoteReply:
-        """Ask for a vote."""
+        """Request a vote or a pre-vote."""
 
     async def append(
         self, peer: Peer, request: consensus_pb2.AppendRequest, limit: Millis
     ) -> consensus_pb2.AppendReply:
-        """Send entries of the log."""
+        """Send log entries."""
 
     async def beat(
         self, peer: Peer, request: consensus_pb2.BeatRequest, limit: Millis
@@ -31,38 +31,38 @@
     async def install(
         self, peer: Peer, request: consensus_pb2.InstallRequest, limit: Millis
     ) -> consensus_pb2.InstallReply:
-        """Send a part of a snapshot."""
+        """Send a snapshot chunk."""
 
     async def transfer(
         self, peer: Peer, request: consensus_pb2.TransferRequest, limit: Millis
     ) -> consensus_pb2.TransferReply:
-        """Ask the peer to stand for election at once."""
+        """Ask the peer to start an election immediately."""
 
 
 class Handler(Protocol):
-    """The answering side of :class:`Transport`."""
+    """The receiving side of :class:`Transport`."""
 
     async def vote(
         self, request: consensus_pb2.VoteRequest
     ) -> consensus_pb2.VoteReply:
-        """Give or refuse a vote."""
+        """Grant or refuse a vote or a pre-vote."""
 
     async def append(
         self, request: consensus_pb2.AppendRequest
     ) -> consensus_pb2.AppendReply:
-        """Take entries of the log."""
+        """Handle log entries."""
 
     async def beat(
         self, request: consensus_pb2.BeatRequest
     ) -> consensus_pb2.BeatReply:
-        """Take a heartbeat."""
+        """Handle a heartbeat."""
 
     async def install(
         self, request: consensus_pb2.InstallRequest
     ) -> consensus_pb2.InstallReply:
-        """Take a part of a snapshot."""
+        """Handle a snapshot chunk."""
 
     async def transfer(
         self, request: consensus_pb2.TransferRequest
     ) -> consensus_pb2.TransferReply:
-        """Stand for election at once."""
+        """Start an election immediately."""
--- a/verbenathread/consensus/waiting.py
+++ b/verbenathread/consensus/waiting.py
@@ -1,4 +1,4 @@
-"""Small helpers for tasks that wait on one another."""
+"""Helpers for waiting on shared state and managing tasks."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -11,15 +11,15 @@
 
 
 class Signal:
-    """Wakes whoever waits for a condition over shared state."""
+    """Wakes tasks that wait for a condition on shared state."""
 
     def __init__(self, clock: Clock) -> None:
-        """Bound waits by ``clock``."""
+        """Measure timeouts with ``clock``."""
         self._clock = clock
         self._waiting: list[asyncio.Future[None]] = []
 
     def notify_all(self) -> None:
-        """Let every waiting task look at its condition again."""
+        """Make every waiting task check its condition again."""
         waiting = self._waiting
         self._waiting = []
         for future in waiting:
@@ -50,7 +50,7 @@
 
 
 async def wait_event(event: asyncio.Event, limit: Millis) -> None:
-    """Wait for ``event``, at most ``limit`` ms, and clear it."""
+    """Wait up to ``limit`` ms for ``event``, and clear it if set."""
     if not event.is_set():
         try:
             await asyncio.wait_for(event.wait(), seconds(limit))
@@ -60,12 +60,12 @@
 
 
 class TaskSet:
-    """The tasks of one replica; an error in one of them is reported."""
+    """The tasks of one replica, with a callback for their errors."""
 
     def __init__(self, report: Callable[[BaseException], None]) -> None:
-        """Call ``report`` with the error of any task that fails."""
+        """Call ``report`` with the exception of each task that fails."""
         self._on_error = report
-        # A mapping keeps the order of starting, which a set would not.
+        # A dict rather than a set, to preserve the start order.
         self._by_task: dict[asyncio.Task[Any], None] = {}
         self._closed = False
 
@@ -81,7 +81,7 @@
         return task
 
     def cancel(self) -> None:
-        """Cancel every task, now and in the future."""
+        """Cancel every task, including those spawned later."""
         self._closed = True
         for task in tuple(self._by_task):
             task.cancel()
