--- a/tests/consensus_network.py
+++ b/tests/consensus_network.py
@@ -1,6 +1,6 @@
-"""A group of replicas over a network and disks that misbehave on demand.
+"""Replica group with fault injection in the network and the disks.
 
-Everything runs on the virtual loop and draws from one seeded generator.
+Everything runs on the virtual event loop and uses one seeded generator.
 """
 
 import asyncio
@@ -19,13 +19,13 @@
 
 
 class MemoryFiles:
-    """Files that know which of their bytes were synced."""
+    """In-memory files that track which bytes have been synced."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
         self.content: dict[str, bytes] = {}
         self.synced: dict[str, bytes] = {}
-        # Names as of the last sync of the folder.
+        # File names at the last sync of the folder.
         self.durable: set[str] = set()
         self.failing = False
         self.full = False
@@ -33,7 +33,7 @@
         self.sync_seconds = 0.002
 
     def lock(self) -> None:
-        """Nobody else opens these files."""
+        """Do nothing; the files are not shared."""
 
     def names(self):
         return sorted(self.content)
@@ -80,10 +80,10 @@
         return f'memory/{name}'
 
     def close(self) -> None:
-        """Keep the content for the next start."""
+        """Do nothing; the content is kept for the next start."""
 
     def crashed(self) -> 'MemoryFiles':
-        """Return what a machine finds after it lost power now."""
+        """Return the files as found after a power loss at this moment."""
         after = MemoryFiles(self.rng)
         names = sorted(self.durable)
         if self.rng.randrange(2):
@@ -101,7 +101,7 @@
 
 
 class ListMachine:
-    """Keeps every command with its index; the result is their count."""
+    """Records every command with its index; the result is the count."""
 
     def __init__(self) -> None:
         self.applied: list[tuple[int, str]] = []
@@ -118,12 +118,12 @@
 
 
 class Network:
-    """Carries calls, and drops, delays, doubles or cuts them."""
+    """Carries calls, with loss, delay, duplication and partitions."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
         self.replica_by_id: dict[str, Replica] = {}
-        # Pairs of sender and receiver between which nothing passes.
+        # Pairs of sender and receiver between which all messages are lost.
         self.blocked: set[tuple[str, str]] = set()
         self.drop_rate = 0.0
         self.duplicate_rate = 0.0
@@ -143,7 +143,7 @@
         await asyncio.sleep(self.rng.uniform(0.2, self.max_delay_ms) / 1000)
         lost = self.rng.random() < self.drop_rate
         if lost or (sender, receiver) in self.blocked:
-            # Nothing ever arrives; the caller's limit ends the wait.
+            # The message never arrives; the caller's timeout ends the wait.
             await asyncio.get_running_loop().create_future()
 
     async def call(self, kind, sender, receiver, request):
@@ -154,7 +154,7 @@
         await self.deliver(sender, receiver)
         replica = self.replica_by_id.get(receiver)
         if replica is None:
-            raise UnavailableError('Nobody listens there; try another one.')
+            raise UnavailableError('No replica runs there; try another one.')
         reply = await getattr(replica, kind)(copy)
         await self.deliver(receiver, sender)
         self.bytes += reply.ByteSize()
@@ -171,7 +171,7 @@
 
 
 class NetworkTransport:
-    """The transport of one replica."""
+    """Transport of one replica over :class:`Network`."""
 
     def __init__(self, network: Network, sender: str) -> None:
         self.network = network
@@ -191,7 +191,7 @@
                     seconds(limit),
                 )
             except TimeoutError:
-                raise UnavailableError('No answer came in time.') from None
+                raise UnavailableError('The call timed out.') from None
 
         return call
 
@@ -201,14 +201,14 @@
 
 
 async def run_in_order(call, arguments):
-    """Await ``call`` for each argument, one after another."""
+    """Await ``call`` for each argument in order."""
     left = list(arguments)
     while left:
         await call(left.pop(0))
 
 
 class Group:
-    """Replicas n1, n2, ... with their disks and machines."""
+    """Replicas n1, n2, ... with their files and state machines."""
 
     def __init__(self, voters=3, seed=1, **settings) -> None:
         self.rng = random.Random(seed)
@@ -258,7 +258,7 @@
         await replica.stop(transfer_leadership=transfer_leadership)
 
     async def crash(self, node_id):
-        """Lose power: what was not synced may be lost or torn."""
+        """Simulate a power loss: unsynced content may be lost or torn."""
         replica = self.replicas.pop(node_id)
         self.files_by_id[node_id] = self.files_by_id[node_id].crashed()
         await replica.stop(transfer_leadership=False)
@@ -283,12 +283,12 @@
         try:
             return await replica.propose(text.encode(), limit)
         except UnavailableError:
-            # Surely not taken, as right after a change of leader.
+            # Certainly not appended, for example after a change of leader.
             await asyncio.sleep(0.05)
         return await self.propose(text, limit)
 
     async def propose_all(self, texts):
-        """Propose one after another and return the last index."""
+        """Propose the commands in order and return the last index."""
         indexes = []
 
         async def one(text):
@@ -298,7 +298,7 @@
         return indexes[-1]
 
     async def wait_applied(self, index, *node_ids):
-        """Wait until replicas, or all, have applied up to ``index``."""
+        """Wait until the given or all replicas have applied ``index``."""
 
         async def one(node_id):
             await self.replicas[node_id].wait_applied(index - 1, TIMEOUT_MS)
--- a/tests/consensus_schedule.py
+++ b/tests/consensus_schedule.py
@@ -1,8 +1,9 @@
-"""Runs a group through a schedule of faults and checks what must hold.
+"""Runs a replica group through a schedule of faults and checks invariants.
 
-Invariants: one leader per term; what was applied anywhere at an index is the
-same everywhere and for ever; what was answered is never lost; what was
-refused as not taken never shows up; a barrier covers all answered before it.
+Invariants: there is at most one leader per term; the command applied at an
+index is the same on all replicas at all times; an acknowledged command is never
+lost; a rejected command is never applied; a barrier covers all commands
+acknowledged before it.
 """
 
 import asyncio
@@ -27,24 +28,24 @@
     'restart',
     'stop',
     'isolate',
-    'one_way',
+    'block_one_way',
     'heal',
     'heal',
-    'weather',
+    'vary_network',
     'replace_disk',
     'lose_disk',
 )
 _SNAPSHOT_RECORDS = 12
 _CHUNK_BYTES = 200
 _CALL_LIMIT = 1500
-# Short, so that much happens in a short schedule.
+# Short, so that a short schedule covers many elections.
 _ELECTION_TIMEOUT = 200
 _HEARTBEAT = 40
 _BURST = 3
 
 
 class Step(NamedTuple):
-    """One action on one node, and how long to wait after it."""
+    """One action on one node, and the pause after it."""
 
     action: str
     node: int
@@ -52,7 +53,7 @@
 
 
 class Checks:
-    """What was seen, and every breach of an invariant."""
+    """Observed state and the violations of invariants."""
 
     def __init__(self) -> None:
         self.violations: list[str] = []
@@ -61,10 +62,10 @@
         self.answered: dict[int, str] = {}
         self.rejected: set[str] = set()
 
-    def record(self, kind, seen, key, found):
-        known = seen.setdefault(key, found)
-        if known != found:
-            self.violations.append(f'{kind} {key}: {known}, then {found}')
+    def record(self, kind, seen, key, value):
+        known = seen.setdefault(key, value)
+        if known != value:
+            self.violations.append(f'{kind} {key}: {known}, then {value}')
 
     def check_group(self, group):
         for node_id, replica in group.replicas.items():
@@ -89,7 +90,7 @@
 
 
 class Schedule:
-    """A group under a list of steps."""
+    """Runs a group through a list of steps."""
 
     def __init__(self, seed) -> None:
         self.group = Group(
@@ -104,14 +105,14 @@
         self.calls: list[asyncio.Task[None]] = []
         self.counter = 0
         self.formed = False
-        # The node whose disk is gone; it is readmitted at the end.
-        self.replaced_id = ''
+        # Node that lost its disk; it is replaced as a member at the end.
+        self.lost_disk_id = ''
 
     async def run(self, steps):
         async with self.group as group:
             watcher = asyncio.create_task(self.watch())
             if steps and steps[0].action != 'crash':
-                # Else the group is formed under faults.
+                # Otherwise the group is formed while faults occur.
                 await self.propose_until_answered('formed')
                 self.formed = True
             await run_in_order(self.step, steps)
@@ -147,13 +148,14 @@
         await self.stop_faults()
         await asyncio.wait(self.calls)
         await run_in_order(
-            self.revive, [one.node_id for one in self.group.initial_peers]
+            self.ensure_running,
+            [one.node_id for one in self.group.initial_peers],
         )
-        if self.replaced_id:
-            await self.replace_member(self.replaced_id)
+        if self.lost_disk_id:
+            await self.replace_member(self.lost_disk_id)
 
     async def stop_faults(self):
-        """Bring about no further fault."""
+        """Stop injecting faults and heal the network."""
         for files in self.group.files_by_id.values():
             files.before_sync = lambda: None
         network = self.group.network
@@ -163,7 +165,7 @@
         self.spawn(asyncio.sleep(0.1))
         await self.calls[-1]
 
-    async def revive(self, node_id):
+    async def ensure_running(self, node_id):
         replica = self.group.replicas.get(node_id)
         if replica is not None and replica.status().failure:
             await self.group.crash(node_id)
@@ -191,7 +193,7 @@
             self.spawn(self.propose_one(f'c{self.counter}'))
 
     async def propose_until_answered(self, text):
-        """Propose until it is answered, and return its index."""
+        """Propose until the command is acknowledged; return its index."""
         try:
             return (await self.group.propose(text)).index
         except UnknownOutcomeError:
@@ -226,12 +228,12 @@
             self.checks.violations.append(f'barrier {index} missed {newest}')
 
     def leader_id(self):
-        """Return whoever leads by its own account, deposed or not."""
-        found = []
+        """Return a node that considers itself the leader, stale or not."""
+        leaders = []
         for node_id, replica in self.group.replicas.items():
             if replica._state.leadership is not None:
-                found.append(node_id)
-        return self.group.rng.choice(found) if found else None
+                leaders.append(node_id)
+        return self.group.rng.choice(leaders) if leaders else None
 
     def leader_replica(self):
         return self.group.replicas.get(self.leader_id())
@@ -251,11 +253,11 @@
             files.before_sync = crash
 
     async def restart(self, _):
-        gone = []
+        stopped = []
         for member in self.group.initial_peers:
             if member.node_id not in self.group.replicas:
-                gone.append(member.node_id)
-        await run_in_order(self.group.start, gone)
+                stopped.append(member.node_id)
+        await run_in_order(self.group.start, stopped)
 
     async def stop(self, node_id):
         if node_id in self.group.replicas:
@@ -264,7 +266,7 @@
     async def isolate(self, node_id):
         self.group.network.isolate(node_id)
 
-    async def one_way(self, node_id):
+    async def block_one_way(self, node_id):
         other = self.group.rng.choice(self.group.initial_peers).node_id
         way = [node_id, other]
         self.group.rng.shuffle(way)
@@ -273,7 +275,7 @@
     async def heal(self, _):
         self.group.network.heal()
 
-    async def weather(self, _):
+    async def vary_network(self, _):
         network = self.group.network
         network.drop_rate = network.rng.choice((0, 0.05, 0.2))
         network.duplicate_rate = network.rng.choice((0, 0.1))
@@ -284,23 +286,23 @@
         files.sync_seconds = self.group.rng.choice((0.002, 0.03, 0.3))
 
     async def lose_disk(self, node_id):
-        """Lose one disk in the midst; the node comes back under its name."""
+        """Lose one disk during faults; the node restarts under its name."""
         if (
             self.formed
-            and not self.replaced_id
+            and not self.lost_disk_id
             and node_id in self.group.replicas
         ):
-            self.replaced_id = node_id
+            self.lost_disk_id = node_id
             await self.group.lose_disk(node_id)
             await self.group.start(node_id)
 
     async def replace_disk(self, node_id):
-        """Lose one disk while the others are whole, and replace the voter."""
+        """Lose one disk while all voters run, and replace the voter."""
         group = self.group
         await self.stop_faults()
-        if self.replaced_id or len(group.replicas) < len(group.initial_peers):
+        if self.lost_disk_id or len(group.replicas) < len(group.initial_peers):
             return
-        # Without a formed group there is nothing to lose or to replace.
+        # Ensures that the group is formed before a disk is lost.
         await group.wait_applied(await self.propose_until_answered('whole'))
         await group.lose_disk(node_id)
         await group.start(node_id, join=True)
@@ -327,7 +329,7 @@
 
 
 def run_schedule(steps: list[Step], seed: int) -> list[str]:
-    """Return the breaches that one schedule led to."""
+    """Return the invariant violations of one schedule."""
     try:
         return run_virtual(Schedule(seed).run(steps))
     except (AssertionError, VerbenathreadError) as error:
--- a/tests/test_consensus_disk.py
+++ b/tests/test_consensus_disk.py
@@ -24,10 +24,10 @@
 
 
 class SyncTest(unittest.TestCase):
-    """A sync reaches the disk after the bytes that it stands for."""
+    """Each sync calls fsync after the bytes are written."""
 
-    def test_each_sync_is_one_of_its_file_or_folder(self):
-        async def scene(folder):
+    def test_sync_calls_fsync_on_the_file_or_folder(self):
+        async def scenario(folder):
             files = DiskFiles(folder)
             files.lock()
             files.append('segment', b'record')
@@ -45,16 +45,16 @@
         with tempfile.TemporaryDirectory() as holder:
             folder = Path(holder) / 'data'
             folder.mkdir()
-            asyncio.run(scene(folder))
+            asyncio.run(scenario(folder))
             segment = (folder / 'segment').stat().st_ino
             self.assertEqual(seen[0], (segment, len(b'record')))
             self.assertEqual(seen[1][0], folder.stat().st_ino)
             self.assertEqual(len(seen), 2)
 
-    def test_an_answered_append_was_synced(self):
+    def test_append_and_ballot_are_synced_before_return(self):
         synced = []
 
-        async def scene(folder):
+        async def scenario(folder):
             storage = FileStorage(folder)
             await storage.load('c', 'n1')
             with patch('os.fsync', side_effect=synced.append):
@@ -65,7 +65,7 @@
             storage.close()
 
         with tempfile.TemporaryDirectory() as holder:
-            asyncio.run(scene(Path(holder) / 'data'))
+            asyncio.run(scenario(Path(holder) / 'data'))
 
 
 class FolderCase(unittest.TestCase):
@@ -75,7 +75,7 @@
         self.folder = Path(holder.name) / 'data'
 
     def fill(self):
-        """Write a snapshot of two entries, and six entries in all."""
+        """Write six entries, and a snapshot of the first two."""
 
         async def write(storage):
             def append(index):
@@ -103,7 +103,7 @@
 
     def load(self, **names):
         async def nothing(_):
-            """Only load."""
+            """Do nothing after loading."""
 
         return self.use(nothing, **names)
 
@@ -123,7 +123,7 @@
 
 
 class DamageTest(FolderCase):
-    def test_what_was_synced_is_found_again(self):
+    def test_synced_state_is_loaded_again(self):
         self.fill()
         for _ in range(2):
             saved = self.load()
@@ -132,8 +132,8 @@
             self.assertEqual(saved.ballot, Ballot(7, 'n2'))
             self.assertEqual(saved.snapshot.index, 2)
 
-    def test_torn_last_append_is_cut_off(self):
-        # Half a record, garbage and zeros, as a lost power leaves them.
+    def test_torn_last_append_is_truncated(self):
+        # A partial record, garbage and zeros, as a power loss leaves them.
         tails = (
             lambda content: bytes(content + content[:40]),
             lambda content: bytes(content + b'\xff' * 99),
@@ -154,7 +154,7 @@
         self.assertGreater(self.last_segment().stat().st_size, whole)
         self.assertEqual(self.load().entries[-1].index, ENTRIES + 1)
 
-    def test_damage_to_synced_records_refuses_to_start(self):
+    def test_damaged_synced_records_prevent_the_start(self):
         table = (
             ('middle record', 'segment-', flip(200), 'whole record follows'),
             ('first record', 'segment-', flip(20), 'whole record follows'),
@@ -171,13 +171,13 @@
                 self.change(path, change)
                 self.assert_refused(f'{path}.*{words}.*replace the member')
 
-    def test_damage_without_the_mark(self):
+    def test_damage_is_detected_without_the_mark(self):
         self.fill()
         (self.folder / 'mark').unlink()
         self.change(self.last_segment(), flip(200))
         self.assert_refused('whole record follows')
 
-    def test_missing_files_refuse_to_start(self):
+    def test_missing_files_prevent_the_start(self):
         for name, words in (
             ('segment-*', 'missing'),
             ('identity', 'missing'),
@@ -190,7 +190,7 @@
                     path.unlink()
                 self.assert_refused(words)
 
-    def test_one_missing_segment_refuses_to_start(self):
+    def test_one_missing_segment_prevents_the_start(self):
         async def rotate(storage):
             await storage.compact(LogSnapshot(index=3, term=1), 1)
 
--- a/tests/test_consensus_members.py
+++ b/tests/test_consensus_members.py
@@ -1,4 +1,4 @@
-"""Tests of lost disks, learners and changes of members."""
+"""Tests of lost disks, learners and membership changes."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 
 
 async def change(group, *actions):
-    """Make changes of members through whoever leads."""
+    """Make membership changes through the current leader."""
 
     async def one(pair):
         leader = group.replicas[await group.leader()]
@@ -20,8 +20,8 @@
 
 
 class LostDiskTest(GroupCase):
-    def test_lost_disk_does_not_vote_under_its_old_name(self):
-        async def scene(group):
+    def test_node_with_a_lost_disk_does_not_vote(self):
+        async def scenario(group):
             leader = await group.leader()
             behind, wiped = (one for one in group.replicas if one != leader)
             await group.stop(behind)
@@ -36,12 +36,12 @@
             await group.wait_applied(kept.index, leader, behind)
             return elected, group.texts(behind)
 
-        elected, texts = self.run_scenario(scene)
+        elected, texts = self.run_scenario(scenario)
         self.assertEqual(elected, ['', ''])
         self.assertEqual(texts, ['first', 'kept'])
 
-    def test_second_loss_right_after_the_repair(self):
-        async def scene(group):
+    def test_second_disk_loss_right_after_the_first_repair(self):
+        async def scenario(group):
             leader = await group.leader()
             wiped, other = (one for one in group.replicas if one != leader)
             await group.stop(other)
@@ -65,13 +65,13 @@
             ]
             return voters, [group.texts(node_id) for node_id in group.replicas]
 
-        voters, applied = self.run_scenario(scene)
+        voters, applied = self.run_scenario(scenario)
         self.assertEqual(voters, [True, True, True])
         for texts in applied:
             self.assertEqual(texts, ['first', 'kept', 'later', 'last'])
 
     def test_replaced_member_must_be_removed_first(self):
-        async def scene(group):
+        async def scenario(group):
             leader = await group.leader()
             wiped = next(one for one in group.replicas if one != leader)
             await group.lose_disk(wiped)
@@ -79,12 +79,12 @@
             with self.assertRaisesRegex(UsageError, 'remove it first'):
                 await change(group, ('add', wiped))
 
-        self.run_scenario(scene)
+        self.run_scenario(scenario)
 
 
 class ChangeTest(GroupCase):
-    def test_promotion_is_refused_before_caught_up(self):
-        async def scene(group):
+    def test_promotion_requires_a_caught_up_learner(self):
+        async def scenario(group):
             await group.propose_all([f'a{number}' for number in range(30)])
             leader = await group.leader()
             await group.start('n4', join=True)
@@ -98,10 +98,10 @@
             await change(group, ('promote', 'n4'))
             return votes, self.votes(group, leader, 'n4')
 
-        self.assertEqual(self.run_scenario(scene), (False, True))
+        self.assertEqual(self.run_scenario(scenario), (False, True))
 
-    def test_learners_count_for_no_quorum(self):
-        async def scene(group):
+    def test_learners_do_not_count_for_the_quorum(self):
+        async def scenario(group):
             await group.start('n4', join=True)
             await group.start('n5', join=True)
             await change(group, ('add', 'n4'), ('add', 'n5'))
@@ -117,18 +117,18 @@
             status = old.status()
             return error, status.commit_index - before, status.is_leader
 
-        error, committed, leads = self.run_scenario(scene)
+        error, committed, leads = self.run_scenario(scenario)
         self.assertIsNotNone(error)
         self.assertEqual((committed, leads), (0, False))
 
     def test_one_change_at_a_time_and_with_a_quorum(self):
-        async def scene(group):
+        async def scenario(group):
             leader = await group.leader()
             old = group.replicas[leader]
             first, second = (one for one in group.replicas if one != leader)
             await group.start('n4', join=True)
             await group.start('n5', join=True)
-            # Entries reach nobody, while heartbeats still do.
+            # Reject entries while heartbeats still arrive.
             for node_id in (first, second):
                 group.replicas[node_id].append = self.refuse
             adding = asyncio.create_task(
@@ -146,10 +146,10 @@
             with self.assertRaisesRegex(UnavailableError, 'no quorum'):
                 await change(group, ('remove', second))
 
-        self.run_scenario(scene)
+        self.run_scenario(scenario)
 
-    def test_caller_who_hangs_up_leaves_the_log_whole(self):
-        async def scene(group):
+    def test_cancelled_change_does_not_interrupt_append(self):
+        async def scenario(group):
             leader = await group.leader()
             await group.start('n4', join=True)
             old = group.replicas[leader]
@@ -165,12 +165,12 @@
             await group.wait_applied(await group.propose_all(['last']))
             return group.texts(leader), old.status().failure
 
-        texts, failure = self.run_scenario(scene)
+        texts, failure = self.run_scenario(scenario)
         self.assertEqual(texts, ['first', 'after', 'last'])
         self.assertEqual(failure, '')
 
     async def refuse(self, _):
-        raise UnavailableError('Cut off.')
+        raise UnavailableError('Entries are rejected.')
 
     def votes(self, group, leader, node_id):
         for member in group.replicas[leader].status().members:
--- a/tests/test_consensus_replica.py
+++ b/tests/test_consensus_replica.py
@@ -1,4 +1,4 @@
-"""Tests of one group: agreement, elections, reads and planned stops."""
+"""Tests of a replica group: agreement, elections, reads and planned stops."""
 
 import asyncio
 import unittest
@@ -28,18 +28,18 @@
 
 
 class GroupCase(unittest.TestCase):
-    """Runs a scene over a formed group in virtual time."""
+    """Runs scenarios on a formed group in virtual time."""
 
-    def run_scenario(self, scene, **settings):
+    def run_scenario(self, scenario, **settings):
         async def whole():
             async with Group(**settings) as group:
                 await group.wait_applied(await group.propose_all(['first']))
-                return await scene(group)
+                return await scenario(group)
 
         return run_virtual(whole())
 
     async def outcome(self, call):
-        """Return the kind of error that a call ends with, or None."""
+        """Return the type of the error that a call raises, or None."""
         try:
             await call
         except (UnavailableError, UnknownOutcomeError) as error:
@@ -48,8 +48,8 @@
 
 
 class ElectionTest(GroupCase):
-    def test_changes_survive_a_kill_of_any_replica(self):
-        async def scene(victim, group):
+    def test_changes_survive_crash_of_any_replica(self):
+        async def scenario(victim, group):
             leader = await group.leader()
             if victim == 'follower':
                 leader = next(one for one in group.replicas if one != leader)
@@ -65,17 +65,18 @@
         wanted = ['first', *(f'a{number}' for number in range(10)), 'b', 'c']
         for victim, longest in (('leader', 4), ('follower', 0.5)):
             with self.subTest(victim=victim):
-                gap, applied = self.run_scenario(partial(scene, victim))
+                gap, applied = self.run_scenario(partial(scenario, victim))
                 self.assertLess(gap, longest * TIMEOUT_S)
                 for texts in applied:
                     self.assertEqual(texts, wanted)
 
     def test_two_voters_that_start_together_elect_one(self):
-        async def scene(group):
+        async def scenario(group):
             names = list(group.replicas)
             for name in names:
                 await group.crash(name)
-            # Long enough that both often stand before they hear the other.
+            # Long enough that both often start an election before they receive
+            # the request of the other.
             group.network.max_delay_ms = 40
             started = loop_time()
             await asyncio.gather(*(group.start(name) for name in names[1:]))
@@ -84,12 +85,12 @@
 
         for seed in range(100):
             with self.subTest(seed=seed):
-                took = self.run_scenario(scene, seed=seed)
-                # docs/design/consensus.md states 1.84 after a leader's kill.
+                took = self.run_scenario(scenario, seed=seed)
+                # docs/design/consensus.md states 1.84 after a leader crash.
                 self.assertLess(took, 2 * TIMEOUT_S)
 
     def test_returning_voter_does_not_depose_the_leader(self):
-        async def scene(group):
+        async def scenario(group):
             leader = await group.leader()
             term = group.replicas[leader].status().term
             cut_off = next(one for one in group.replicas if one != leader)
@@ -101,11 +102,11 @@
             statuses = [one.status() for one in group.replicas.values()]
             return (leader, term), {(s.leader, s.term) for s in statuses}
 
-        before, after = self.run_scenario(scene)
+        before, after = self.run_scenario(scenario)
         self.assertEqual(after, {before})
 
-    def test_cut_off_leader_steps_down(self):
-        async def scene(group):
+    def test_partitioned_leader_steps_down(self):
+        async def scenario(group):
             leader = await group.leader()
             old = group.replicas[leader]
             others = [one for one in group.replicas if one != leader]
@@ -121,13 +122,13 @@
             first = await self.outcome(lost)
             return still, refused, first, group.texts(leader)
 
-        still, refused, first, texts = self.run_scenario(scene)
+        still, refused, first, texts = self.run_scenario(scenario)
         self.assertFalse(still)
         self.assertEqual((refused, first), (NotLeaderError, NotLeaderError))
         self.assertEqual(texts, ['first', 'kept'])
 
-    def test_answered_votes_and_entries_outlive_a_crash(self):
-        async def scene(group):
+    def test_acknowledged_votes_and_entries_survive_crash(self):
+        async def scenario(group):
             victim = 'n3'
             group.network.isolate(victim)
             await asyncio.sleep(3)
@@ -153,13 +154,13 @@
             kept = restarted._state.log.last_index
             return first.granted, second.granted, appended, last, kept
 
-        first, second, appended, last, kept = self.run_scenario(scene)
+        first, second, appended, last, kept = self.run_scenario(scenario)
         self.assertEqual((first, second), (True, False))
         self.assertTrue(appended.matched)
         self.assertEqual(kept, last + 1)
 
-    def test_no_commit_of_an_older_term_by_counting(self):
-        async def scene(group):
+    def test_no_commit_of_older_term_entries_by_counting(self):
+        async def scenario(group):
             replica = group.replicas['n1']
             state = replica._state
             group.network.isolate('n1')
@@ -179,15 +180,15 @@
                 seen.append(state.commit_index - last)
             return seen
 
-        self.assertEqual(self.run_scenario(scene), [0, 2])
+        self.assertEqual(self.run_scenario(scenario), [0, 2])
 
-    def test_entries_after_an_unlike_log_are_refused(self):
-        async def scene(group):
+    def test_append_after_a_conflicting_entry_is_refused(self):
+        async def scenario(group):
             group.network.isolate('n3')
             replica = group.replicas['n3']
             last = replica._state.log.last_index
             replies = []
-            # Entries of term 50 stand at last + 1; the next leader has none.
+            # The entry at last + 1 has term 50, and the next leader lacks it.
             for term, previous, previous_term in (
                 (50, last, replica._state.log.last_term),
                 (60, last + 1, 55),
@@ -205,12 +206,12 @@
             hints = [reply.next_index - last for reply in replies[1:]]
             return matched, hints, replica._state.log.last_index - last
 
-        matched, hints, length = self.run_scenario(scene)
+        matched, hints, length = self.run_scenario(scenario)
         self.assertEqual(matched, [True, False, False])
         self.assertEqual((hints, length), ([1, 2], 1))
 
-    def test_the_leaders_own_copy_counts_only_once_synced(self):
-        async def scene(group):
+    def test_leader_counts_its_own_log_only_once_synced(self):
+        async def scenario(group):
             leader = await group.leader()
             followers = [one for one in group.replicas if one != leader]
             await group.stop(followers[0])
@@ -223,12 +224,12 @@
             await task
             return before == early, group.replicas[leader].status().commit_index
 
-        waited, commit = self.run_scenario(scene)
+        waited, commit = self.run_scenario(scenario)
         self.assertTrue(waited)
         self.assertEqual(commit, 3)
 
-    def test_caller_hears_soon_that_its_entry_was_replaced(self):
-        async def scene(group):
+    def test_proposal_fails_once_its_entry_is_replaced(self):
+        async def scenario(group):
             leader = await group.leader()
             old = group.replicas[leader]
             others = [one for one in group.replicas if one != leader]
@@ -244,14 +245,14 @@
             await asyncio.sleep(5)
             return [task.done() and task.result() for task in calls]
 
-        outcomes = self.run_scenario(scene)
+        outcomes = self.run_scenario(scenario)
         self.assertEqual(set(outcomes), {NotLeaderError, UnknownOutcomeError})
 
 
 class ReadTest(GroupCase):
-    def test_barrier_of_a_cut_off_leader_fails(self):
-        # Right after the cut it still believes itself confirmed.
-        async def scene(group):
+    def test_barrier_on_a_partitioned_leader_fails(self):
+        # Right after the partition starts, its quorum contact is still recent.
+        async def scenario(group):
             leader = await group.leader()
             old = group.replicas[leader]
             before = await old.barrier(500)
@@ -261,16 +262,17 @@
             error = await self.outcome(old.barrier(500))
             return before, believed, error
 
-        before, believed, error = self.run_scenario(scene)
+        before, believed, error = self.run_scenario(scenario)
         self.assertGreater(before, 0)
         self.assertTrue(believed)
         self.assertIs(error, UnavailableError)
 
-    def test_frozen_leader_that_wakes_leads_no_more(self):
-        async def scene(group):
+    def test_leader_resuming_after_a_pause_refuses_calls(self):
+        async def scenario(group):
             leader = await group.leader()
             old = group.replicas[leader]
-            # Its own timer stands still and nothing reaches it.
+            # Simulates a paused process: no quorum check runs and no message
+            # arrives.
             old._elections._check_quorum = lambda: None
             group.network.isolate(leader)
             await asyncio.sleep(20 * TIMEOUT_S)
@@ -281,13 +283,13 @@
             at_once = loop_time() == woken
             return frozen and at_once, old.status().is_leader, errors
 
-        frozen, leads, errors = self.run_scenario(scene)
+        frozen, leads, errors = self.run_scenario(scenario)
         self.assertTrue(frozen)
         self.assertFalse(leads)
         self.assertEqual(errors, [UnavailableError, UnavailableError])
 
-    def test_slow_sync_does_not_silence_the_heartbeats(self):
-        async def scene(group):
+    def test_slow_sync_does_not_delay_heartbeats(self):
+        async def scenario(group):
             leader = await group.leader()
             term = group.replicas[leader].status().term
             for files in group.files_by_id.values():
@@ -295,13 +297,13 @@
             await group.propose('slow', 60_000)
             return term, group.replicas[leader].status().term
 
-        before, after = self.run_scenario(scene)
+        before, after = self.run_scenario(scenario)
         self.assertEqual(before, after)
 
 
 class StopTest(GroupCase):
-    def test_planned_stop_hands_over_and_answers(self):
-        async def scene(group):
+    def test_planned_stop_transfers_leadership(self):
+        async def scenario(group):
             leader = await group.leader()
             replica = group.replicas[leader]
             calls = []
@@ -317,14 +319,14 @@
             texts = group.texts(await group.leader())
             return stopped - began, loop_time() - stopped, outcomes, len(texts)
 
-        stopping, gap, outcomes, count = self.run_scenario(scene)
+        stopping, gap, outcomes, count = self.run_scenario(scenario)
         self.assertLess(stopping, TIMEOUT_S)
         self.assertLess(gap, TIMEOUT_S / 2)
         self.assertEqual(set(outcomes), {None})
         self.assertEqual(count, 42)
 
-    def test_a_follower_names_the_leader(self):
-        async def scene(group):
+    def test_follower_names_the_leader(self):
+        async def scenario(group):
             follower = next(
                 one
                 for one in group.replicas.values()
@@ -337,5 +339,5 @@
                 return error.leader, follower.status().leader
             return None
 
-        address, leader = self.run_scenario(scene)
+        address, leader = self.run_scenario(scenario)
         self.assertEqual(address, str(peer(leader).address))
--- a/tests/test_consensus_rpc.py
+++ b/tests/test_consensus_rpc.py
@@ -1,4 +1,4 @@
-"""Tests of calls between replicas over real sockets and real files."""
+"""Tests of RPC between replicas over real sockets and files."""
 
 import asyncio
 import random
@@ -21,7 +21,7 @@
 
 
 def listener():
-    # Named as TCP, or the event loop would leave Nagle on.
+    # With an explicit protocol; otherwise asyncio does not set TCP_NODELAY.
     sock = socket.socket(proto=socket.IPPROTO_TCP)
     sock.bind(('127.0.0.1', 0))
     return sock
@@ -29,7 +29,7 @@
 
 class RpcTest(unittest.TestCase):
     def test_three_replicas_agree_over_sockets(self):
-        async def scene(folder):
+        async def scenario(folder):
             socks = [listener() for _ in range(3)]
             peers = []
             for number, sock in enumerate(socks):
@@ -73,16 +73,16 @@
             return last, reached, refusals
 
         with tempfile.TemporaryDirectory() as folder:
-            last, reached, refusals = asyncio.run(scene(Path(folder)))
+            last, reached, refusals = asyncio.run(scenario(Path(folder)))
         self.assertEqual(set(reached), {last})
         self.assertEqual(len(refusals), 2)
         for refusal, remedy in zip(refusals, ('the cluster', 'node_key')):
             self.assertIn(remedy, refusal)
 
-    def test_a_silent_connection_is_replaced(self):
+    def test_unresponsive_connection_is_replaced(self):
         accepted = []
 
-        async def scene():
+        async def scenario():
             server = await asyncio.start_server(
                 lambda *pair: accepted.append(pair), '127.0.0.1', 0
             )
@@ -99,7 +99,7 @@
             transport.close()
             server.close()
 
-        asyncio.run(scene())
+        asyncio.run(scenario())
         self.assertEqual(len(accepted), 2)
 
     async def find_leader(self, nodes):
--- a/tests/test_consensus_schedule.py
+++ b/tests/test_consensus_schedule.py
@@ -1,4 +1,4 @@
-"""Property test: no schedule of faults breaks the log's invariants."""
+"""Property test: no schedule of faults violates an invariant of the log."""
 
 import unittest
 
@@ -24,7 +24,7 @@
         derandomize=True,
         deadline=None,
         max_examples=80,
-        # A breach is told at once; shrinking it would take minutes.
+        # Report a violation without shrinking, which would take minutes.
         phases=(Phase.generate,),
         suppress_health_check=list(HealthCheck),
     )
--- a/tests/test_consensus_snapshots.py
+++ b/tests/test_consensus_snapshots.py
@@ -1,4 +1,4 @@
-"""Tests of snapshots: catching up, restarts, and never over newer state."""
+"""Tests of snapshots: catching up, restarts and stale snapshots."""
 
 import asyncio
 import zlib
@@ -15,7 +15,7 @@
     def test_member_far_behind_catches_up(self):
         wanted = ['first', *(f'a{number}' for number in range(500)), 'last']
 
-        async def scene(group):
+        async def scenario(group):
             leader = await group.leader()
             behind = next(one for one in group.replicas if one != leader)
             await group.stop(behind)
@@ -33,15 +33,15 @@
             return missing, kept, group.texts(behind)
 
         missing, kept, texts = self.run_scenario(
-            scene, snapshot_records=50, chunk_bytes=1000
+            scenario, snapshot_records=50, chunk_bytes=1000
         )
-        # The log no longer held what the member missed.
+        # The leader had already compacted the entries that the member lacked.
         self.assertGreater(missing, 300)
         self.assertLess(kept, 150)
         self.assertEqual(texts, wanted)
 
-    def test_old_snapshot_changes_no_newer_state(self):
-        async def scene(group):
+    def test_old_snapshot_does_not_overwrite_newer_state(self):
+        async def scenario(group):
             leader = await group.leader()
             replica = next(
                 one for node, one in group.replicas.items() if node != leader
@@ -67,6 +67,6 @@
             node_id = replica._state.node_id
             return reply.installed, group.texts(node_id)
 
-        installed, texts = self.run_scenario(scene, snapshot_records=2)
+        installed, texts = self.run_scenario(scenario, snapshot_records=2)
         self.assertTrue(installed)
         self.assertEqual(texts, ['first', *'bcdefghi', 'third'])
