--- a/verbenathread/entry/engine_client.py
+++ b/verbenathread/entry/engine_client.py
@@ -1,7 +1,7 @@
-"""What the entry asks of a model engine, whatever protocol it speaks.
+"""The protocol-independent client interface to model engines.
 
-:class:`EngineClient` is the one place to bring another engine interface in;
-:mod:`verbenathread.entry.engine_http` speaks the one of docs/UPSTREAMS.md.
+Implement :class:`EngineClient` to support another engine protocol;
+:mod:`verbenathread.entry.engine_http` implements the one of docs/UPSTREAMS.md.
 """
 
 import socket
@@ -11,89 +11,89 @@
 
 
 class Owner(NamedTuple):
-    """The entry for which an engine holds memory."""
+    """The incarnation of an entry for which an engine holds memory."""
 
     node_id: NodeId
     incarnation: int
 
 
 class GenerateRequest(NamedTuple):
-    """One attempt at one request."""
+    """The request of one attempt."""
 
     attempt_id: str
     request_id: str
-    # JSON members that all attempts of the request share, without braces.
+    # JSON members shared by all attempts of the request, without braces.
     shared_members: bytes
     max_tokens: int
     priority: int
     owner: Owner
-    # KV cache in tokens that was reserved on the engine asked.
+    # KV cache reserved on the addressed engine, in tokens.
     memory_tokens: int
-    # Engines that hold parts of the KV cache beside the one asked.
+    # Other engines that hold parts of the KV cache.
     group: tuple[str, ...]
-    # Tokens that an earlier attempt produced, and their text.
+    # Number of tokens that earlier attempts produced, and their text.
     resume_position: int
     resume_text: str
-    # Time in ms within which the answer is wanted.
+    # Time in ms that is left for the whole answer.
     time_limit: Millis
 
 
 class TokenChunk(NamedTuple):
-    """Output tokens in the order of their positions."""
+    """Consecutive output tokens."""
 
-    # Position of the first token; the first of all is 0.
+    # Position of the chunk's first token in the answer, counted from 0.
     position: int
     token_count: int
     text: str
 
 
 class Finish(NamedTuple):
-    """The terminator of an answer."""
+    """The final record of an answer."""
 
     reason: str
     prompt_tokens: int
-    # Tokens of the whole answer, resumed ones included.
+    # Tokens of the whole answer, including those of earlier attempts.
     output_tokens: int
 
 
 class Batch(NamedTuple):
-    """What one read brought; ``finish`` is set in the last batch."""
+    """The result of one read; only the last batch has a ``finish``."""
 
     chunks: tuple[TokenChunk, ...]
     finish: Finish | None
 
 
 class TokenStream(Protocol):
-    """The answer to one :class:`GenerateOrder`."""
+    """The streamed answer to one :class:`GenerateRequest`."""
 
     def read(self, deadline: Millis) -> Batch:
-        """Wait for the next pieces.
+        """Wait for the next chunks.
 
-        Raises :class:`.EngineBrokenError` for a stream that is cut off, late,
-        or names another attempt.
+        Raises :class:`.EngineBrokenError` if the stream is cut off, misses
+        the deadline or names another attempt.
         """
 
     def unframed_socket(self) -> socket.socket | None:
-        """Return the socket that :meth:`read_ready` reads, None without one.
+        """Return the socket that :meth:`read_nonblocking` reads, if any.
 
-        Asked once after a :meth:`read`; with None only :meth:`read` is used.
+        Called after :meth:`read`; if None, only :meth:`read` may be used.
         """
 
     def read_nonblocking(self) -> Batch | None:
-        """Return what has come, without waiting; None if nothing whole has.
+        """Return available chunks, or None if no complete record arrived.
 
-        Raises as :meth:`read` does.
+        Raises the same errors as :meth:`read`.
         """
 
     def interrupt(self) -> None:
-        """Make a read that waits in another thread fail at once."""
+        """Make a read that is blocked in another thread fail at once."""
 
     def close(self) -> None:
-        """End the exchange; its connection is reused only if it is clean."""
+        """Close the stream; reuse its connection only after a clean end."""
 
 
 class Hold(NamedTuple):
-    """Memory that an engine holds."""
+    """Memory that an engine holds for an attempt."""
 
     attempt_id: str
     memory_tokens: int
@@ -101,22 +101,22 @@
 
 
 class LoadReport(NamedTuple):
-    """A numbered report of an engine's load; a lower number is older."""
+    """An engine's load; reports with lower numbers are older."""
 
     number: int
     running: int
     waiting: int
     memory_tokens_free: int
     memory_tokens: int
-    # Prompt tokens that wait to be prefilled.
+    # Prompt tokens waiting for prefill.
     prefill_backlog: int
-    # Rates in tokens a second; 0 when the engine does not tell.
+    # Rates in tokens per second; 0 if the engine does not report them.
     prefill_rate: float
     decode_rate: float
 
 
 class CacheEvent(NamedTuple):
-    """A prefix that an engine stored or dropped."""
+    """A prefix that an engine added to its cache or evicted from it."""
 
     number: int
     stored: bool
@@ -125,7 +125,7 @@
 
 
 class OrderState(NamedTuple):
-    """What an engine was last ordered to be, as it reads back."""
+    """The last ordered state of an engine, as the engine reports it."""
 
     fencing: int
     models: tuple[str, ...]
@@ -133,42 +133,42 @@
 
 
 class EngineOrder(NamedTuple):
-    """The wanted state of an engine."""
+    """An order that changes the state of an engine."""
 
     fencing: int
-    # load, unload, role or drain.
+    # One of load, unload, role and drain.
     action: str
     subject: str
 
 
 class EngineClient(Protocol):
-    """The engine interface; each call ends within its limit in ms.
+    """A client of engines; each call ends within its timeout.
 
-    Every call raises :class:`.EngineNotRunError` or
+    Every call may raise :class:`.EngineNotRunError` or
     :class:`.EngineBrokenError`.
     """
 
     def generate(
         self, engine: Address, request: GenerateRequest, send_by: Millis
     ) -> TokenStream:
-        """Send the order of an attempt, whole before ``reach_by``.
+        """Send the whole request of an attempt before ``send_by``.
 
-        Whether the engine took it comes with the first read.
+        The first read of the stream shows whether the engine accepted it.
         """
 
     def cancel(self, engine: Address, attempt_id: str, timeout: Millis) -> bool:
-        """Cancel an attempt; return whether the engine still holds of it."""
+        """Cancel an attempt; return whether it still holds memory."""
 
     def holds(self, engine: Address, timeout: Millis) -> tuple[Hold, ...]:
-        """Return what the engine holds."""
+        """Return the memory that the engine holds, by attempt."""
 
     def load(self, engine: Address, timeout: Millis) -> LoadReport:
-        """Return the newest load report."""
+        """Return the latest load report."""
 
     def cache_events(
         self, engine: Address, after: int, timeout: Millis
     ) -> tuple[CacheEvent, ...]:
-        """Return the cache events numbered above ``after``."""
+        """Return the cache events with numbers above ``after``."""
 
     def export_kv(self, engine: Address, kv_id: str, timeout: Millis) -> bytes:
         """Return the exported KV cache of an attempt."""
@@ -179,9 +179,9 @@
         """Import an exported KV cache."""
 
     def read_orders(self, engine: Address, timeout: Millis) -> OrderState:
-        """Return what the engine was last ordered to be."""
+        """Return the last ordered state of the engine."""
 
     def order(
         self, engine: Address, order: EngineOrder, timeout: Millis
     ) -> OrderState:
-        """Give an order; raises ``EngineRejectedError`` if it is fenced."""
+        """Send an order; raise ``EngineRejectedError`` if it is fenced off."""
--- a/verbenathread/entry/engine_errors.py
+++ b/verbenathread/entry/engine_errors.py
@@ -1,26 +1,26 @@
-"""How a call of an engine can fail."""
+"""Errors of calls to engines."""
 
 from verbenathread.exceptions import VerbenathreadError
 from verbenathread.types import Millis
 
 
 class EngineNotRunError(VerbenathreadError):
-    """On evidence the engine did nothing: no connection, or it said so."""
+    """The engine is known not to have run it: no connection, or it said so."""
 
     def __init__(self, message: str, retry_after: Millis = 0) -> None:
-        """Keep when the engine asks to be tried again, in ms."""
+        """Store the delay in ms that the engine asked for, 0 without one."""
         super().__init__(message)
         self.retry_after = retry_after
 
 
 class EngineBrokenError(VerbenathreadError):
-    """The exchange with the engine broke; what it did is unknown."""
+    """The exchange with the engine failed; it may have run the request."""
 
 
 class EngineRejectedError(VerbenathreadError):
-    """The engine says that the request itself can't be served."""
+    """The engine reported that the request itself cannot be served."""
 
     def __init__(self, message: str, status: int) -> None:
-        """Keep the HTTP status that the caller is to see."""
+        """Store the HTTP status to return to the caller."""
         super().__init__(message)
         self.status = status
--- a/verbenathread/entry/hold_reader.py
+++ b/verbenathread/entry/hold_reader.py
@@ -1,4 +1,4 @@
-"""What engines hold, read over HTTP."""
+"""Reads over HTTP which attempts an engine holds memory for."""
 
 from verbenathread.clock import Clock
 from verbenathread.entry.connections import ConnectionPool
@@ -14,38 +14,38 @@
 
 
 class HttpHoldReader:
-    """Reads ``/v1/holds`` of an engine, over a pool of its own."""
+    """Reads ``/v1/holds`` of engines over its own connection pool."""
 
     def __init__(self, clock: Clock) -> None:
-        """Take the clock that bounds each call."""
+        """Create the pool; ``clock`` is used for the timeouts."""
         self._client = HttpEngineClient(ConnectionPool(clock), clock)
 
     def holds(
         self, record: UpstreamRecord, timeout: Millis
     ) -> tuple[EngineHold, ...]:
-        """Return the attempts that it holds memory for.
+        """Return the attempts that the engine holds memory for.
 
-        Raises :class:`UnavailableError` when it can't be read in time.
+        Raises :class:`UnavailableError` if they cannot be read in time.
         """
         try:
-            listed = self._client.holds(record.address, timeout)
+            holds = self._client.holds(record.address, timeout)
         except (
             EngineBrokenError,
             EngineNotRunError,
             EngineRejectedError,
         ) as error:
             raise UnavailableError(
-                f'{record.upstream_id} does not list what it holds ({error}):'
-                + ' see whether it runs and serves /v1/holds.'
+                f'Could not read the holds of {record.upstream_id} ({error}):'
+                + ' check that it is running and serves /v1/holds.'
             ) from error
         return tuple(
             EngineHold(
                 attempt_id=hold.attempt_id,
                 memory_tokens=hold.memory_tokens,
-                # The engine does not tell them apart.
+                # The engine does not separate prompt from output.
                 prompt_tokens=hold.memory_tokens,
                 output_tokens=0,
                 entry_id=hold.owner.node_id,
             )
-            for hold in listed
+            for hold in holds
         )
--- a/verbenathread/entry/model_service.py
+++ b/verbenathread/entry/model_service.py
@@ -27,7 +27,7 @@
     parse_call,
 )
 from verbenathread.entry.relay import (
-    CallerGoneError,
+    CallerDisconnectedError,
     ModelRequest,
     Relay,
     RelayDependencies,
@@ -39,35 +39,35 @@
 from verbenathread.schema import settings_pb2
 from verbenathread.types import UpstreamKind, Work
 
-# Time in ms beyond the deadline to write the answer that says so.
+# Time after the deadline in which the timeout error can still be written.
 _FINAL_ANSWER_MS = 2000
 
 
 class ModelDependencies(NamedTuple):
-    """What serving a model request needs."""
+    """Dependencies of :class:`ModelService`."""
 
     settings: SharedSettings
     admissions: Admissions
     relay: RelayDependencies
-    watch: DisconnectWatcher
+    disconnect_watcher: DisconnectWatcher
     metrics: EntryMetrics
-    prompts: TokenEstimator
-    outputs: OutputEstimator
+    prompt_estimator: TokenEstimator
+    output_estimator: OutputEstimator
     recorder: TraceRecorder
     clock: Clock
 
 
 class _AnswerSink:
-    """Passes pieces to the caller, or gathers them for a whole answer."""
+    """Streams tokens to the caller, or buffers them for a single response."""
 
     def __init__(
         self,
-        parts: ModelDependencies,
+        dependencies: ModelDependencies,
         exchange: Exchange,
         answer: CompletionFormat,
         work: Work,
     ) -> None:
-        self._parts = parts
+        self._deps = dependencies
         self._exchange = exchange
         self._answer = answer
         self._work = work
@@ -75,45 +75,45 @@
         self._first = True
         self._unsent = b''
 
-    def write(self, pieces: list[TokenChunk]) -> None:
-        """Take pieces that follow one another without a gap."""
-        if not pieces:
+    def write(self, chunks: list[TokenChunk]) -> None:
+        """Write chunks whose positions are contiguous."""
+        if not chunks:
             return
         if self._first:
             self._first = False
             self._count_first_token()
         if not self._answer.call.stream:
-            self._collect(pieces)
+            self._collect(chunks)
             return
-        block = self._answer.stream_chunks(pieces)
+        block = self._answer.stream_chunks(chunks)
         if not self._exchange.response_started:
             block = self._open() + block
         self._exchange.write(block)
 
-    def write_nonblocking(self, pieces: list[TokenChunk]) -> bool:
-        """Take pieces without waiting; False if some wait for a flush."""
-        if not pieces:
+    def write_nonblocking(self, chunks: list[TokenChunk]) -> bool:
+        """Write what the socket accepts; return False if a flush is needed."""
+        if not chunks:
             return True
         if not self._answer.call.stream:
-            self._collect(pieces)
+            self._collect(chunks)
             return True
-        block = self._answer.stream_chunks(pieces)
+        block = self._answer.stream_chunks(chunks)
         self._unsent = self._exchange.write_nonblocking(block)
         return not self._unsent
 
     def flush(self) -> None:
-        """Send what :meth:`pieces_ready` left, waiting for a slow reader."""
-        rest = self._unsent
+        """Write what :meth:`write_nonblocking` left, waiting if necessary."""
+        unsent = self._unsent
         self._unsent = b''
-        if rest:
-            self._exchange.write_remaining(rest)
+        if unsent:
+            self._exchange.write_remaining(unsent)
 
     def count_retry(self) -> None:
-        """Count another attempt."""
-        self._parts.metrics.retries.labels(self._work.service).inc()
+        """Count a retry in the metrics."""
+        self._deps.metrics.retries.labels(self._work.service).inc()
 
     def finish(self, finish: Finish) -> None:
-        """Send what the answer ends with."""
+        """Write the end of the stream, or the whole buffered response."""
         if not self._answer.call.stream:
             content = self._answer.full_body(''.join(self._texts), finish)
             self._exchange.reply(http.HTTPStatus.OK, content)
@@ -124,37 +124,37 @@
         self._exchange.write(block)
 
     def fail(self, error: HttpError) -> None:
-        """Say in the midst of a stream that it can't be finished."""
+        """Report within a started stream that it cannot be completed."""
         content = error.body(self._exchange.request_id)
         self._exchange.close_after_response()
         self._exchange.write(error_event(content))
 
-    def _collect(self, pieces: list[TokenChunk]) -> None:
-        for piece in pieces:
-            self._texts.append(piece.text)
+    def _collect(self, chunks: list[TokenChunk]) -> None:
+        for chunk in chunks:
+            self._texts.append(chunk.text)
 
     def _open(self) -> bytes:
         self._exchange.start_stream(http.HTTPStatus.OK, EVENT_STREAM_TYPE)
         return self._answer.stream_start()
 
     def _count_first_token(self) -> None:
-        took = self._parts.clock.now() - self._work.arrival
+        elapsed = self._deps.clock.now() - self._work.arrival
         label = length_label(self._work.prompt_tokens)
-        self._parts.metrics.first_token.labels(
+        self._deps.metrics.first_token.labels(
             self._work.service, label
-        ).observe(seconds(took))
+        ).observe(seconds(elapsed))
 
 
 class ModelService:
-    """Serves the requests for models."""
+    """Serves the model endpoints."""
 
-    def __init__(self, parts: ModelDependencies) -> None:
-        """Serve with ``parts``."""
-        self._parts = parts
+    def __init__(self, dependencies: ModelDependencies) -> None:
+        """Serve requests with the given dependencies."""
+        self._deps = dependencies
 
     def list_models(self, exchange: Exchange) -> None:
-        """Answer with the models that the account may call."""
-        settings = self._parts.settings
+        """Reply with the models that the account may call."""
+        settings = self._deps.settings
         account = authenticate(settings, exchange)
         models = []
         for name in settings.service_names():
@@ -175,30 +175,32 @@
         exchange.reply(http.HTTPStatus.OK, content)
 
     def complete(self, exchange: Exchange, *, chat: bool) -> None:
-        """Relay one request to an engine and its answer to the caller."""
-        account = authenticate(self._parts.settings, exchange)
+        """Run one completion on an engine and relay its output."""
+        account = authenticate(self._deps.settings, exchange)
         call = _unwrap(parse_call(exchange.read_body(), chat=chat))
         service = authorize_service(
-            self._parts.settings,
+            self._deps.settings,
             account,
             call.model,
             UpstreamKind.ENGINE.value,
         )
-        deadline = request_deadline(exchange, service, self._parts.clock)
+        deadline = request_deadline(exchange, service, self._deps.clock)
         exchange.set_write_deadline(deadline.expires_at + _FINAL_ANSWER_MS)
         work = self._build_work(exchange, account, call, service, deadline)
-        gone = CallerDisconnect()
+        disconnect = CallerDisconnect()
         request = ModelRequest(
             call,
             work,
-            self._parts.settings.policy(call.model),
+            self._deps.settings.policy(call.model),
             deadline,
-            gone,
+            disconnect,
         )
-        refusal = self._parts.admissions.admit(work, account.settings)
+        refusal = self._deps.admissions.admit(work, account.settings)
         if refusal is not None:
             raise refusal_error(refusal)
-        with self._parts.watch.watching(exchange.sock, gone.set):
+        with self._deps.disconnect_watcher.watching(
+            exchange.sock, disconnect.set
+        ):
             self._serve(exchange, request)
 
     def _build_work(
@@ -209,18 +211,20 @@
         service: settings_pb2.ServiceSettings,
         deadline: Deadline,
     ) -> Work:
-        most = service.most_output_tokens
+        max_tokens = service.most_output_tokens
         if call.max_tokens is not None:
-            most = min(most, call.max_tokens)
+            max_tokens = min(max_tokens, call.max_tokens)
         return Work(
             exchange.request_id,
             account.name,
             call.model,
-            self._parts.prompts.tokens(
+            self._deps.prompt_estimator.tokens(
                 call.model, call.prompt_bytes, service.bytes_per_token
             ),
-            most,
-            self._parts.outputs.expected(account.name, call.model, most),
+            max_tokens,
+            self._deps.output_estimator.expected(
+                account.name, call.model, max_tokens
+            ),
             deadline.expires_at,
             exchange.arrival,
             call.prefix_hashes,
@@ -230,43 +234,43 @@
         answer = CompletionFormat.for_call(
             request.call,
             exchange.request_id,
-            self._parts.clock.wall() // MS_PER_SECOND,
+            self._deps.clock.wall() // MS_PER_SECOND,
         )
-        sink = _AnswerSink(self._parts, exchange, answer, request.work)
-        relay = Relay(self._parts.relay, request, sink)
+        sink = _AnswerSink(self._deps, exchange, answer, request.work)
+        relay = Relay(self._deps.relay, request, sink)
         outcome = 'failed'
         try:
             finish = relay.run()
             sink.finish(finish)
             outcome = 'completed'
             self._update_estimators(request, finish)
-        except CallerGoneError as exc:
+        except CallerDisconnectedError as exc:
             outcome = 'caller_gone'
-            raise ConnectionAbortedError('The caller hung up.') from exc
+            raise ConnectionAbortedError('The caller disconnected.') from exc
         except HttpError as error:
             outcome = error.code
             if not exchange.response_started:
                 raise
             sink.fail(error)
         finally:
-            self._parts.admissions.done(request.work, relay.position)
-            self._parts.recorder.record(request.work, relay.position)
-            self._parts.metrics.requests.labels(
+            self._deps.admissions.done(request.work, relay.position)
+            self._deps.recorder.record(request.work, relay.position)
+            self._deps.metrics.requests.labels(
                 request.work.service, outcome
             ).inc()
 
     def _update_estimators(self, request: ModelRequest, finish: Finish) -> None:
         work = request.work
-        service = self._parts.settings.service(work.service)
+        service = self._deps.settings.service(work.service)
         if service is None:
             return
-        self._parts.prompts.observe(
+        self._deps.prompt_estimator.observe(
             work.service,
             request.call.prompt_bytes,
             finish.prompt_tokens,
             service.bytes_per_token,
         )
-        self._parts.outputs.observe(
+        self._deps.output_estimator.observe(
             work.account, work.service, finish.output_tokens
         )
 
--- a/verbenathread/entry/relay.py
+++ b/verbenathread/entry/relay.py
@@ -1,8 +1,8 @@
-"""Attempts at one model request, and the answer pieced together from them.
+"""Relays one model request, over as many attempts as it takes.
 
-The tokens that reach the caller are counted by position over all attempts:
-a piece that was relayed before is dropped, and a gap breaks the attempt. A
-broken attempt is resumed from the next token by another engine.
+Tokens are numbered by position across all attempts: a chunk that was relayed
+before is dropped, and a gap fails the attempt. After a failed attempt another
+engine resumes from the next token.
 """
 
 import itertools
@@ -52,34 +52,34 @@
 _BAD_GATEWAY = 502
 _UNAVAILABLE = 503
 _LENGTH_REASON = 'length'
-# Output tokens between two reports of progress to the scheduler.
+# Output tokens between progress reports to the scheduler.
 _PROGRESS_TOKENS = 32
 
 _log = get_logger('relay')
 
 
-class CallerGoneError(Exception):
-    """The caller hung up; nobody waits for the answer."""
+class CallerDisconnectedError(Exception):
+    """The caller disconnected, so the answer is no longer needed."""
 
 
 class Sink(Protocol):
-    """Where the relayed tokens go."""
+    """Receives the relayed tokens."""
 
-    def write(self, pieces: list[TokenChunk]) -> None:
-        """Take pieces that follow one another without a gap."""
+    def write(self, chunks: list[TokenChunk]) -> None:
+        """Write chunks whose positions are contiguous."""
 
-    def write_nonblocking(self, pieces: list[TokenChunk]) -> bool:
-        """Take pieces without waiting; False if some wait for a flush."""
+    def write_nonblocking(self, chunks: list[TokenChunk]) -> bool:
+        """Write what the socket accepts; return False if a flush is needed."""
 
     def flush(self) -> None:
-        """Send what :meth:`pieces_ready` left, waiting for a slow reader."""
+        """Write what :meth:`write_nonblocking` left, waiting if necessary."""
 
     def count_retry(self) -> None:
-        """Note that another attempt is made."""
+        """Count a retry."""
 
 
 class RelayDependencies(NamedTuple):
-    """The neighbours that every relay uses."""
+    """Dependencies shared by all relays."""
 
     client: EngineClient
     reservations: Reservations
@@ -99,11 +99,11 @@
     work: Work
     policy: settings_pb2.PolicySettings
     deadline: Deadline
-    gone: CallerDisconnect
+    disconnect: CallerDisconnect
 
 
 class Relay:
-    """Runs attempts until the answer is whole or must be given up."""
+    """Runs attempts until the answer is complete or retries are exhausted."""
 
     def __init__(
         self, dependencies: RelayDependencies, request: ModelRequest, sink: Sink
@@ -113,27 +113,27 @@
         self._request = request
         self._sink = sink
         self._position = 0
-        # Position at the last report of progress.
+        # Position in the last progress report.
         self._reported_position = -_PROGRESS_TOKENS
         self._finish: Finish | None = None
         self._texts: list[str] = []
-        # True once an engine may have begun on the request.
+        # True once an engine may have started on the request.
         self._may_have_run = False
 
     @property
     def run_state(self) -> RunState:
-        """Return what an error may say of the request now."""
+        """Return the run state to report in an error."""
         if self._may_have_run:
             return RunState.MAY_HAVE_RUN
         return RunState.NOT_RUN
 
     @property
     def position(self) -> int:
-        """Return how many tokens have been relayed."""
+        """Return the number of tokens relayed so far."""
         return self._position
 
     def run(self) -> Finish:
-        """Return the terminator once every token is in the sink.
+        """Relay all tokens into the sink; return how the answer finished.
 
         Raises :class:`HttpError`, or :class:`CallerGoneError`.
         """
@@ -145,17 +145,17 @@
             try:
                 return self._attempt()
             except (EngineNotRunError, EngineBrokenError) as exc:
-                fault = exc
+                error = exc
             _log.info(
                 'An attempt failed.',
                 request=work.request_id,
-                fault=str(fault),
+                fault=str(error),
                 position=self._position,
             )
-            self._check_deadline()
+            self._check_active()
             if self._position >= work.most_output_tokens:
                 break
-            self._wait_to_retry(attempts, fault)
+            self._wait_to_retry(attempts, error)
             self._sink.count_retry()
         return self._finish_at_limit()
 
@@ -164,7 +164,7 @@
         engines = self._engines(reservation)
         if not engines:
             self._release(reservation, failed=True)
-            raise EngineNotRunError('The engine chosen has gone.')
+            raise EngineNotRunError('The chosen engine is gone.')
         self._deps.reaper.track(reservation.attempt_id, engines[0])
         try:
             finish = self._send_and_relay(reservation, engines)
@@ -184,49 +184,53 @@
     def _reserve(self) -> Reservation:
         attempt_id = uuid.uuid4().hex
         work = self._request.work
-        gone = self._request.gone
+        disconnect = self._request.disconnect
         waiting = self._deps.metrics.waiting.track_inprogress()
         abandon = partial(self._deps.reservations.abandon, work)
-        with waiting, gone.callback(abandon):
-            granted = self._deps.reservations.reserve(work, attempt_id)
-        if isinstance(granted, Refusal):
+        with waiting, disconnect.callback(abandon):
+            reservation = self._deps.reservations.reserve(work, attempt_id)
+        if isinstance(reservation, Refusal):
             self._check_caller()
-            raise refusal_error(granted, self.run_state)
-        if gone.happened:
-            self._release(granted, failed=False)
-            raise CallerGoneError
-        return granted
+            raise refusal_error(reservation, self.run_state)
+        if disconnect.happened:
+            self._release(reservation, failed=False)
+            raise CallerDisconnectedError
+        return reservation
 
     def _engines(self, reservation: Reservation) -> tuple[UpstreamRecord, ...]:
-        found = []
+        engines = []
         for upstream_id in reservation.upstream_ids:
             record = self._deps.upstreams.get(upstream_id)
             if record is None:
                 return ()
-            found.append(record)
-        return tuple(found)
+            engines.append(record)
+        return tuple(engines)
 
     def _send_and_relay(
         self, reservation: Reservation, engines: tuple[UpstreamRecord, ...]
     ) -> Finish:
-        order = self._generate_request(reservation, engines)
-        # From here on the engine may have begun, until it says otherwise.
-        ran_before = self._may_have_run
+        request = self._generate_request(reservation, engines)
+        # From here on the engine may have started, unless it reports that it
+        # did not.
+        had_run = self._may_have_run
         self._may_have_run = True
         try:
             stream = self._deps.client.generate(
-                engines[0].address, order, reservation.start_by
+                engines[0].address, request, reservation.start_by
             )
             return self._relay_stream(stream, reservation)
         except (EngineNotRunError, EngineRejectedError):
-            self._may_have_run = ran_before
+            self._may_have_run = had_run
             raise
 
     def _relay_stream(
         self, stream: TokenStream, reservation: Reservation
     ) -> Finish:
         self._deps.reservations.started(reservation)
-        with closing(stream), self._request.gone.callback(stream.interrupt):
+        with (
+            closing(stream),
+            self._request.disconnect.callback(stream.interrupt),
+        ):
             return self._relay(stream, reservation)
 
     def _generate_request(
@@ -240,7 +244,7 @@
             request.work.most_output_tokens,
             reservation.priority,
             self._deps.owner,
-            # Each engine of a group holds an equal share.
+            # Each engine of a group reserves an equal share.
             -(-reservation.memory_tokens // len(engines)),
             tuple(str(engine.address) for engine in engines[1:]),
             self._position,
@@ -253,7 +257,7 @@
             try:
                 finish = self._relay_batch(stream, reservation)
             except EngineBrokenError:
-                self._check_deadline()
+                self._check_active()
                 raise
             self._check_caller()
             if finish is not None:
@@ -263,7 +267,7 @@
     def _relay_batch(
         self, stream: TokenStream, reservation: Reservation
     ) -> Finish | None:
-        """Move tokens until the answer ends or its reader gets slow."""
+        """Relay tokens until the answer ends or the caller reads slowly."""
         batch = stream.read(self._request.deadline.expires_at)
         self._sink.write(self._new_chunks(batch))
         self._record_progress(batch, reservation)
@@ -280,7 +284,10 @@
     def _relay_available(
         self, stream: TokenStream, reservation: Reservation
     ) -> bool:
-        """Move what has come, in the pump's thread; False to stop there."""
+        """Relay available tokens, in the poller's thread.
+
+        Returns False to hand the stream back to the worker thread.
+        """
         batch = stream.read_nonblocking()
         if batch is None:
             return True
@@ -289,22 +296,22 @@
         return sent and batch.finish is None
 
     def _new_chunks(self, batch: Batch) -> list[TokenChunk]:
-        """Return the pieces that the caller does not have yet."""
-        fresh: list[TokenChunk] = []
-        for piece in batch.chunks:
-            end = piece.position + piece.token_count
+        """Return the chunks that have not been relayed yet."""
+        new: list[TokenChunk] = []
+        for chunk in batch.chunks:
+            end = chunk.position + chunk.token_count
             if end <= self._position:
-                # The engine doubled what was relayed before.
+                # The engine repeated tokens that were relayed before.
                 continue
-            if piece.position != self._position:
-                self._sink.write(fresh)
+            if chunk.position != self._position:
+                self._sink.write(new)
                 raise EngineBrokenError(
                     f'A token is missing at position {self._position}.'
                 )
-            fresh.append(piece)
-            self._texts.append(piece.text)
+            new.append(chunk)
+            self._texts.append(chunk.text)
             self._position = end
-        return fresh
+        return new
 
     def _record_progress(self, batch: Batch, reservation: Reservation) -> None:
         self._finish = batch.finish
@@ -322,69 +329,73 @@
             )
 
     def _finish_at_limit(self) -> Finish:
-        """Return the terminator of an answer that only lacks its own."""
+        """Return the finish of an answer whose final record was lost.
+
+        All tokens up to the length limit were relayed.
+        """
         return Finish(
             _LENGTH_REASON, self._request.work.prompt_tokens, self._position
         )
 
     def _wait_to_retry(
-        self, attempts: int, fault: EngineNotRunError | EngineBrokenError
+        self, attempts: int, error: EngineNotRunError | EngineBrokenError
     ) -> None:
-        """Wait until the next attempt may go out, or give the request up."""
+        """Wait for the retry delay; raise if no further attempt is allowed."""
         work = self._request.work
         outcome = Outcome.UNKNOWN
-        if isinstance(fault, EngineNotRunError):
+        if isinstance(error, EngineNotRunError):
             outcome = Outcome.NOT_RUN
         retry = self._deps.retries.next_retry(
             work.service, attempts, outcome, work.deadline
         )
         if isinstance(retry, Refusal):
-            _log.info('No retry is made.', reason=retry.message)
-            raise self._exhausted_error(fault, retry)
-        # Another engine comes next: the Retry-After of one is its own.
-        self._request.gone.wait(retry.delay)
+            _log.info('Not retrying the request.', reason=retry.message)
+            raise self._exhausted_error(error, retry)
+        # The engine's Retry-After is ignored: another engine is tried next.
+        self._request.disconnect.wait(retry.delay)
         self._check_caller()
 
-    def _check_deadline(self) -> None:
+    def _check_active(self) -> None:
+        """Raise if the caller disconnected or the deadline passed."""
         self._check_caller()
         if self._request.deadline.expired():
             raise HttpError(
                 _GATEWAY_TIMEOUT,
                 'time_limit',
-                'The time limit passed before the answer was whole; '
+                'The time limit passed before the answer was complete; '
                 'send the request again with a longer X-Time-Limit-Ms.',
                 run_state=self.run_state,
             )
 
     def _check_caller(self) -> None:
-        if self._request.gone.happened:
-            raise CallerGoneError
+        if self._request.disconnect.happened:
+            raise CallerDisconnectedError
 
     def _release(self, reservation: Reservation, *, failed: bool) -> None:
         self._deps.reservations.release(
             reservation, output_tokens=self._position, failed=failed
         )
 
-    def _exhausted_error(self, fault: Exception, refusal: Refusal) -> HttpError:
+    def _exhausted_error(self, error: Exception, refusal: Refusal) -> HttpError:
         if self._may_have_run:
             return HttpError(
                 _BAD_GATEWAY,
                 'attempts_exhausted',
-                f'{fault} No attempt is left; send the request again.',
+                f'{error} No attempts are left; send the request again.',
                 run_state=RunState.MAY_HAVE_RUN,
                 retry_after=refusal.retry_after,
             )
         return HttpError(
             _UNAVAILABLE,
             'no_upstream',
-            f'{fault} Send the request again later.',
+            f'{error} Send the request again later.',
             retry_after=refusal.retry_after,
         )
 
 
 def _rejection_error(
-    fault: EngineRejectedError, run_state: RunState
+    error: EngineRejectedError, run_state: RunState
 ) -> HttpError:
     return HttpError(
-        fault.status, 'rejected_by_engine', str(fault), run_state=run_state
+        error.status, 'rejected_by_engine', str(error), run_state=run_state
     )
