--- a/verbenathread/entry/connections.py
+++ b/verbenathread/entry/connections.py
@@ -1,4 +1,4 @@
-"""HTTP connections to upstreams, reused only after a clean exchange."""
+"""Pooled HTTP connections to upstreams, reused only after a clean exchange."""
 
 import socket
 import struct
@@ -16,25 +16,24 @@
 from verbenathread.exceptions import VerbenathreadError
 from verbenathread.types import Address, Millis
 
-# Longest time in ms to wait for a connection.
 _CONNECT_TIMEOUT_MS = 1000
 _MAX_IDLE_PER_ADDRESS = 64
 _MIN_WAIT_MS = 1
-# Linger on, for no time.
+# Enables SO_LINGER with a timeout of 0, so that closing resets the connection.
 _LINGER_RESET = struct.pack('ii', 1, 0)
 _ERRORS = (HTTPError, HTTPException, OSError, ValueError)
 
 
 class ConnectError(VerbenathreadError):
-    """No connection was made, so nothing was sent."""
+    """The connection could not be opened, so nothing was sent."""
 
 
 class BrokenExchangeError(VerbenathreadError):
-    """A connection broke after bytes of a request may have gone out."""
+    """The connection broke after part of a request may have been sent."""
 
 
 class UpstreamExchange:
-    """One request that was sent to an upstream, and its answer."""
+    """One request that was sent to an upstream, and its response."""
 
     def __init__(
         self,
@@ -42,32 +41,32 @@
         address: Address,
         connection: HTTPConnection,
     ) -> None:
-        """Wrap a connection on which a whole request was sent."""
+        """Wrap a connection on which a complete request was sent."""
         self._pool = pool
         self._address = address
         self._connection = connection
-        # Kept apart: the library forgets it when the upstream closes.
+        # Kept because http.client drops its reference if the upstream closes.
         self._socket = connection.sock
         self._response: HTTPResponse | None = None
         self.status = 0
         self.headers: Mapping[str, str] = {}
 
     def read_head(self, deadline: Millis) -> None:
-        """Wait for status and headers."""
-        # The library sets the socket's timeout from this one.
+        """Wait for the status and the headers."""
+        # urllib3 sets the socket's timeout from this attribute.
         self._connection.timeout = self._pool.seconds_left(deadline)
         try:
             response = self._connection.getresponse()
         except _ERRORS as exc:
             raise BrokenExchangeError(
-                f'The connection to {self._address} broke before an answer.'
+                f'The connection to {self._address} broke before a response.'
             ) from exc
         self._response = response
         self.status = response.status
         self.headers = response.headers
 
     def read1(self, max_bytes: int, deadline: Millis) -> bytes:
-        """Return what comes next, empty at the end of the answer."""
+        """Return the next bytes of the body, empty at its end."""
         if self._response is None:
             self.read_head(deadline)
         assert self._response is not None
@@ -76,14 +75,15 @@
             return self._response.read1(max_bytes)
         except _ERRORS as exc:
             raise BrokenExchangeError(
-                f'The answer of {self._address} was cut off.'
+                f'The response of {self._address} was cut off.'
             ) from exc
 
     def unframed_socket(self) -> socket.socket | None:
-        """Return the socket if what follows on it is the body as it is.
+        """Return the socket if the rest of the body is unframed on it.
 
-        That holds for an answer that its upstream ends by closing, once
-        :meth:`read1` has returned what came with the head.
+        That is so for a response that ends when the upstream closes the
+        connection, once :meth:`read1` has returned what arrived together
+        with the headers.
         """
         response = self._response
         if response is None or response.chunked:
@@ -93,7 +93,7 @@
         return self._socket
 
     def read_nonblocking(self, max_bytes: int) -> bytes | None:
-        """Return what has come on the plain socket, None if nothing has."""
+        """Return available bytes of an unframed body, or None."""
         if self._socket.gettimeout() != 0:
             self._socket.setblocking(False)
         try:
@@ -102,7 +102,7 @@
             return None
         except OSError as exc:
             raise BrokenExchangeError(
-                f'The answer of {self._address} was cut off.'
+                f'The response of {self._address} was cut off.'
             ) from exc
 
     def read_all(self, max_bytes: int, deadline: Millis) -> bytes:
@@ -115,24 +115,28 @@
             received += len(block)
             if received > max_bytes:
                 raise BrokenExchangeError(
-                    f'The answer of {self._address} is over {max_bytes} bytes.'
+                    f'The response of {self._address} exceeds '
+                    f'{max_bytes} bytes.'
                 )
             block = self.read1(max_bytes, deadline)
         return b''.join(blocks)
 
     def interrupt(self) -> None:
-        """Make a read that waits in another thread fail at once."""
+        """Make a read that is blocked in another thread fail at once."""
         with suppress(OSError):
             self._socket.shutdown(socket.SHUT_RDWR)
 
     def close(self, *, clean: bool) -> None:
-        """Reuse the connection only if the whole answer was read."""
+        """Release the connection for reuse, or close it.
+
+        It is reused only if ``clean`` is set and the whole response was read.
+        """
         response = self._response
         if clean and response is not None and response.closed:
             if self._connection.sock is not None:
                 self._pool.release(self._address, self._connection)
                 return
-        # Reset, so that the kernel delivers nothing of it any more.
+        # Reset the connection, so that the kernel delivers no more data.
         with suppress(OSError):
             self._socket.setsockopt(
                 socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET
@@ -142,15 +146,15 @@
         self._connection.close()
 
     def _set_timeout(self, deadline: Millis) -> None:
-        """Let the next wait end at the deadline."""
+        """Make the next read time out at the deadline."""
         self._socket.settimeout(self._pool.seconds_left(deadline))
 
 
 class ConnectionPool:
-    """Idle connections by address."""
+    """Keeps idle connections by address."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start with no connection."""
+        """Create an empty pool."""
         self._clock = clock
         self._idle_by_address: dict[Address, deque[HTTPConnection]] = {}
         self._lock = threading.Lock()
@@ -166,11 +170,12 @@
         headers: Mapping[str, str] | None = None,
         fresh: bool = False,
     ) -> UpstreamExchange:
-        """Send a whole request.
+        """Send a complete request.
 
-        Raises :class:`ConnectError` if nothing was sent, else
-        :class:`BrokenExchangeError`. A ``fresh`` connection can't break
-        because the upstream had closed it while it was idle.
+        Raises :class:`ConnectError` if nothing was sent and
+        :class:`BrokenExchangeError` otherwise. With ``fresh``, a new
+        connection is opened: unlike an idle one, the upstream cannot already
+        have closed it.
         """
         connection = self.connect(address, deadline, fresh=fresh)
         connection.timeout = self.seconds_left(deadline)
@@ -186,37 +191,37 @@
         except _ERRORS as exc:
             connection.close()
             raise BrokenExchangeError(
-                f'The connection to {address} broke before an answer.'
+                f'The connection to {address} broke before a response.'
             ) from exc
         return UpstreamExchange(self, address, connection)
 
     def connect(
         self, address: Address, deadline: Millis, *, fresh: bool = False
     ) -> HTTPConnection:
-        """Return an open connection, an idle one if there is one."""
+        """Return an open connection, preferably an idle one."""
         if not fresh:
             idle = self._take_idle(address)
             if idle is not None:
                 return idle
-        left = min(deadline - self._clock.now(), _CONNECT_TIMEOUT_MS)
-        if left <= 0:
+        timeout = min(deadline - self._clock.now(), _CONNECT_TIMEOUT_MS)
+        if timeout <= 0:
             raise ConnectError(f'No time is left to connect to {address}.')
         connection = HTTPConnection(
-            address.host, address.port, timeout=seconds(left)
+            address.host, address.port, timeout=seconds(timeout)
         )
         try:
             connection.connect()
         except (HTTPError, OSError) as exc:
             connection.close()
-            raise ConnectError(f'No connection to {address}.') from exc
+            raise ConnectError(f'Could not connect to {address}.') from exc
         return connection
 
     def seconds_left(self, deadline: Millis) -> float:
-        """Return how long a wait until the deadline may last."""
+        """Return the socket timeout in seconds that ends at the deadline."""
         return seconds(max(_MIN_WAIT_MS, deadline - self._clock.now()))
 
     def release(self, address: Address, connection: HTTPConnection) -> None:
-        """Keep a connection whose exchange ended cleanly."""
+        """Return a connection to the pool after a clean exchange."""
         with self._lock:
             idle = self._idle_by_address.setdefault(address, deque())
             if len(idle) < _MAX_IDLE_PER_ADDRESS:
@@ -225,12 +230,12 @@
         connection.close()
 
     def idle_count(self) -> int:
-        """Return how many connections wait to be used again."""
+        """Return the number of idle connections."""
         with self._lock:
             return sum(map(len, self._idle_by_address.values()))
 
     def close(self) -> None:
-        """Close every idle connection."""
+        """Close all idle connections."""
         with self._lock:
             pools = tuple(self._idle_by_address.values())
             self._idle_by_address = {}
@@ -245,7 +250,8 @@
                 if not idle:
                     return None
                 connection = idle.pop()
-            # Readable while idle: closed, or bytes that belong to nobody.
+            # An idle connection that is readable was closed by the upstream or
+            # received bytes outside an exchange.
             if connection.is_connected:
                 return connection
             connection.close()
--- a/verbenathread/entry/engine_http.py
+++ b/verbenathread/entry/engine_http.py
@@ -1,4 +1,4 @@
-"""The engine interface over HTTP, as docs/UPSTREAMS.md describes it."""
+"""Client for the engine interface over HTTP of docs/UPSTREAMS.md."""
 
 import json
 from collections.abc import Iterator, Mapping
@@ -44,34 +44,34 @@
     """An :class:`EngineClient` over pooled connections."""
 
     def __init__(self, pool: ConnectionPool, clock: Clock) -> None:
-        """Open connections from ``pool``."""
+        """Send requests over connections of ``pool``."""
         self._pool = pool
         self._clock = clock
 
     def generate(
         self, engine: Address, request: GenerateRequest, send_by: Millis
     ) -> HttpTokenStream:
-        """Send the order of an attempt."""
+        """Send the request of an attempt."""
         exchange = self._send(
             engine, _POST, '/v1/generate', generate_body(request), send_by
         )
         return HttpTokenStream(exchange, request.attempt_id, engine)
 
     def cancel(self, engine: Address, attempt_id: str, timeout: Millis) -> bool:
-        """Cancel an attempt; return whether the engine still holds of it."""
-        order = {'attempt_id': attempt_id}
-        members = self._call(engine, _POST, '/v1/cancel', timeout, order)
+        """Cancel an attempt; return whether it still holds memory."""
+        body = {'attempt_id': attempt_id}
+        members = self._call(engine, _POST, '/v1/cancel', timeout, body)
         with _checked_members(engine):
             return bool(members['holds'])
 
     def holds(self, engine: Address, timeout: Millis) -> tuple[Hold, ...]:
-        """Return what the engine holds."""
+        """Return the memory that the engine holds, by attempt."""
         members = self._call(engine, _GET, '/v1/holds', timeout)
         with _checked_members(engine):
-            return tuple(_parse_hold(held) for held in members['holds'])
+            return tuple(_parse_hold(hold) for hold in members['holds'])
 
     def load(self, engine: Address, timeout: Millis) -> LoadReport:
-        """Return the newest load report."""
+        """Return the latest load report."""
         members = self._call(engine, _GET, '/v1/load', timeout)
         with _checked_members(engine):
             return LoadReport(
@@ -88,7 +88,7 @@
     def cache_events(
         self, engine: Address, after: int, timeout: Millis
     ) -> tuple[CacheEvent, ...]:
-        """Return the cache events numbered above ``after``."""
+        """Return the cache events with numbers above ``after``."""
         path = f'/v1/cache-events?after={after}'
         members = self._call(engine, _GET, path, timeout)
         with _checked_members(engine):
@@ -107,7 +107,7 @@
         self._exchange(engine, _POST, _kv_path(kv_id), timeout, content)
 
     def read_orders(self, engine: Address, timeout: Millis) -> OrderState:
-        """Return what the engine was last ordered to be."""
+        """Return the last ordered state of the engine."""
         members = self._call(engine, _GET, '/v1/orders', timeout)
         with _checked_members(engine):
             return _parse_order_state(members)
@@ -115,7 +115,7 @@
     def order(
         self, engine: Address, order: EngineOrder, timeout: Millis
     ) -> OrderState:
-        """Give an order and return what the engine reads back."""
+        """Send an order; return the state that the engine reports."""
         members = self._call(
             engine, _POST, '/v1/orders', timeout, order._asdict()
         )
@@ -157,10 +157,10 @@
             body = json.dumps(members).encode()
         content = self._exchange(engine, method, path, timeout, body)
         try:
-            found: dict[str, Any] = json.loads(content)
+            response: dict[str, Any] = json.loads(content)
         except ValueError as exc:
-            raise EngineBrokenError(f'{engine} sent no JSON.') from exc
-        return found
+            raise EngineBrokenError(f'{engine} sent invalid JSON.') from exc
+        return response
 
     def _exchange(
         self,
@@ -184,11 +184,11 @@
 
 @contextmanager
 def _checked_members(engine: Address) -> Iterator[None]:
-    """Turn a missing or wrong member into a broken exchange."""
+    """Raise ``EngineBrokenError`` for a missing or invalid JSON member."""
     try:
         yield
     except (KeyError, TypeError, AttributeError) as exc:
-        raise EngineBrokenError(f'{engine} sent a malformed answer.') from exc
+        raise EngineBrokenError(f'{engine} sent a malformed response.') from exc
 
 
 def _kv_path(kv_id: str) -> str:
--- a/verbenathread/entry/engine_stream.py
+++ b/verbenathread/entry/engine_stream.py
@@ -1,4 +1,4 @@
-"""The streamed answer of an engine: JSON lines, as docs/UPSTREAMS.md says."""
+"""Streamed answers of engines: JSON lines as docs/UPSTREAMS.md specifies."""
 
 import http
 import json
@@ -25,7 +25,7 @@
 from verbenathread.types import Address, Millis
 
 _READ_BYTES = 65536
-# Small, since the interpreter sets this much aside for each read.
+# Kept small because the interpreter allocates a buffer of this size per read.
 _NONBLOCKING_READ_BYTES = 16384
 _DECODER = json.JSONDecoder()
 _MAX_ERROR_BYTES = 65536
@@ -46,7 +46,7 @@
         self._reusable = False
 
     def read(self, deadline: Millis) -> Batch:
-        """Wait for the next whole lines."""
+        """Wait for the next complete lines."""
         if not self._head_read:
             read_ok_head(self._exchange, self._engine, deadline)
             self._head_read = True
@@ -59,11 +59,11 @@
                 return batch
 
     def unframed_socket(self) -> socket.socket | None:
-        """Return the socket that :meth:`read_ready` reads, if it may."""
+        """Return the socket that :meth:`read_nonblocking` reads, if any."""
         return self._exchange.unframed_socket()
 
     def read_nonblocking(self) -> Batch | None:
-        """Return the whole lines that have come, None if none has."""
+        """Return the available complete lines, or None."""
         try:
             block = self._exchange.read_nonblocking(_NONBLOCKING_READ_BYTES)
         except BrokenExchangeError as exc:
@@ -77,11 +77,11 @@
         return self._parse_lines(lines)
 
     def interrupt(self) -> None:
-        """Make a read that waits in another thread fail at once."""
+        """Make a read that is blocked in another thread fail at once."""
         self._exchange.interrupt()
 
     def close(self) -> None:
-        """End the exchange."""
+        """Close the exchange; reuse the connection if it ended cleanly."""
         self._exchange.close(clean=self._reusable)
 
     def _read_block(self, deadline: Millis) -> bytes:
@@ -95,7 +95,7 @@
     def _check_not_empty(self, block: bytes) -> None:
         if not block:
             raise EngineBrokenError(
-                f'The answer of {self._engine} ended without its terminator.'
+                f'The answer of {self._engine} ended without a final record.'
             )
 
     def _complete_lines(self, block: bytes) -> list[bytes]:
@@ -104,32 +104,32 @@
         lines = block.split(b'\n')
         self._partial_line = lines.pop()
         if len(self._partial_line) > _MAX_LINE_BYTES:
-            raise EngineBrokenError(f'{self._engine} sent a huge line.')
+            raise EngineBrokenError(f'{self._engine} sent an overlong line.')
         return lines
 
     def _parse_lines(self, lines: list[bytes]) -> Batch:
-        pieces: list[TokenChunk] = []
+        chunks: list[TokenChunk] = []
         for line in lines:
             try:
                 members = _parse_object(line)
-                finish = self._parse_record(members, pieces)
+                finish = self._parse_record(members, chunks)
             except (ValueError, KeyError, TypeError) as exc:
                 raise EngineBrokenError(
                     f'{self._engine} sent a malformed line.'
                 ) from exc
             if finish is not None:
-                return Batch(tuple(pieces), finish)
-        return Batch(tuple(pieces), None)
+                return Batch(tuple(chunks), finish)
+        return Batch(tuple(chunks), None)
 
     def _parse_record(
-        self, members: Mapping[str, Any], pieces: list[TokenChunk]
+        self, members: Mapping[str, Any], chunks: list[TokenChunk]
     ) -> Finish | None:
         if members['attempt_id'] != self._attempt_id:
             raise EngineBrokenError(
                 f'{self._engine} answered for another attempt.'
             )
         if 'finish_reason' not in members:
-            pieces.append(
+            chunks.append(
                 TokenChunk(
                     members['position'],
                     members.get('tokens', 1),
@@ -145,13 +145,13 @@
         )
 
     def _read_body_end(self, deadline: Millis) -> None:
-        """Read the end of the body, without which nothing is reused."""
+        """Read the end of the body, so that the connection can be reused."""
         if self._partial_line:
             return
         try:
             self._reusable = not self._exchange.read1(_READ_BYTES, deadline)
         except BrokenExchangeError:
-            # The answer is whole; only its connection is not.
+            # The answer is complete; only the connection cannot be reused.
             self._reusable = False
 
 
@@ -181,7 +181,7 @@
 def read_ok_head(
     exchange: UpstreamExchange, engine: Address, deadline: Millis
 ) -> None:
-    """Wait for the head of an answer; raise what it says unless it is 200."""
+    """Wait for the response head; raise its error unless the status is 200."""
     try:
         exchange.read_head(deadline)
         if exchange.status == http.HTTPStatus.OK:
@@ -195,20 +195,23 @@
 
 
 def _parse_object(line: bytes) -> dict[str, Any]:
-    """Return the object of one line; the decoder's plain path costs half."""
+    """Return the JSON object of one line.
+
+    ``raw_decode`` takes half the time of ``json.loads``.
+    """
     text = line.decode()
     members, end = _DECODER.raw_decode(text)
     if text[end:].strip():
-        raise ValueError('There is more than one object on a line.')
-    found: dict[str, Any] = members
-    return found
+        raise ValueError('The line contains more than one object.')
+    result: dict[str, Any] = members
+    return result
 
 
 def _error_text(content: bytes, engine: Address) -> str:
     try:
         return str(json.loads(content)['error']['message'])
     except (ValueError, KeyError, TypeError):
-        return f'{engine} refused without a reason.'
+        return f'{engine} refused the request without a reason.'
 
 
 def _response_error(
@@ -217,8 +220,8 @@
     text = _error_text(content, engine)
     if exchange.status == http.HTTPStatus.SERVICE_UNAVAILABLE:
         retry_after = exchange.headers.get('Retry-After', '0')
-        wait = int(retry_after) if retry_after.isdigit() else 0
-        return EngineNotRunError(text, wait * MS_PER_SECOND)
+        delay = int(retry_after) if retry_after.isdigit() else 0
+        return EngineNotRunError(text, delay * MS_PER_SECOND)
     if exchange.status < http.HTTPStatus.INTERNAL_SERVER_ERROR:
         return EngineRejectedError(text, exchange.status)
     return EngineBrokenError(text)
--- a/verbenathread/entry/reaper.py
+++ b/verbenathread/entry/reaper.py
@@ -1,9 +1,9 @@
-"""Cancels attempts until their engines confirm, then releases the memory.
+"""Cancels failed attempts until their engines confirm it.
 
-A cancel can be lost like any message. So an attempt that broke is kept here
-until its engine says that it holds nothing of it, or the engine is gone. What
-earlier incarnations of this entry left behind is found by reading what the
-engines hold, and cancelled too.
+A cancel can be lost like any message, so it is repeated until the attempt's
+engines report that they hold no memory for it, or are gone; only then is the
+reservation released. Attempts that earlier incarnations of this entry left
+behind are found by listing the holds of engines, and cancelled too.
 """
 
 import heapq
@@ -28,11 +28,10 @@
     UpstreamState,
 )
 
-# Times in ms: one cancel, and the waits between the cancels of one attempt.
 _CANCEL_TIMEOUT_MS = 1000
 _INITIAL_BACKOFF_MS = 20
 _MAX_BACKOFF_MS = 2000
-# An engine that did not answer a cancel is left alone this long.
+# Time without further cancels to an engine that did not answer one.
 _UNRESPONSIVE_PAUSE_MS = 1000
 _FIRST_RECONCILE_MS = 1000
 _RECONCILE_INTERVAL_MS = 10_000
@@ -44,19 +43,19 @@
 
 class _PendingCancel(NamedTuple):
     due: Millis
-    # Keeps the heap from comparing reservations.
-    number: int
+    # Breaks ties, so that the heap does not compare reservations.
+    sequence: int
     reservation: Reservation
     engines: tuple[UpstreamRecord, ...]
     output_tokens: int
-    wait: Millis
+    backoff: Millis
 
 
 class Reaper(RetryThread):
-    """One thread that ends what broken attempts left at engines.
+    """Thread that cancels failed and orphaned attempts.
 
-    What is pending at the end of a stop is reconciled by the engine's next
-    owner.
+    Cancels that are still pending after a stop are left to the reconciliation
+    of the engine's next owner.
     """
 
     def __init__(
@@ -68,10 +67,10 @@
         clock: Clock,
         known_engines: Callable[[], tuple[UpstreamRecord, ...]] = tuple,
     ) -> None:
-        """Start nothing before :meth:`start`.
+        """Create the reaper; :meth:`start` starts its thread.
 
-        ``known_engines`` names those that an earlier incarnation of this
-        node may have used; the ones used since are known here.
+        ``known_engines`` returns the engines that an earlier incarnation of
+        this node may have used; those used since are tracked here.
         """
         self._known_engines = known_engines
         super().__init__('reaper', clock)
@@ -80,20 +79,20 @@
         self._upstreams = upstreams
         self._owner = owner
         self._pending: list[_PendingCancel] = []
-        self._numbers = itertools.count()
+        self._sequence = itertools.count()
         self._live_attempts: set[str] = set()
         self._engine_by_id: dict[str, UpstreamRecord] = {}
         self._paused_until_by_id: dict[str, Millis] = {}
         self._next_reconcile: Millis = clock.now() + _FIRST_RECONCILE_MS
 
     def track(self, attempt_id: str, engine: UpstreamRecord) -> None:
-        """Count an attempt as live before it is sent."""
+        """Record an attempt as live, before it is sent."""
         with self._changed:
             self._live_attempts.add(attempt_id)
             self._engine_by_id[engine.upstream_id] = engine
 
     def untrack(self, attempt_id: str) -> None:
-        """Count an attempt as ended cleanly."""
+        """Record that an attempt ended cleanly."""
         with self._changed:
             self._live_attempts.discard(attempt_id)
 
@@ -103,12 +102,12 @@
         engines: tuple[UpstreamRecord, ...],
         output_tokens: int,
     ) -> None:
-        """Cancel until confirmed, then release; returns at once."""
+        """Schedule cancels until confirmed, then release the reservation."""
         with self._changed:
             self._push(
                 _PendingCancel(
                     self._clock.now(),
-                    next(self._numbers),
+                    next(self._sequence),
                     reservation,
                     engines,
                     output_tokens,
@@ -118,9 +117,9 @@
             self._changed.notify_all()
 
     def reconcile(self, engine: UpstreamRecord) -> int:
-        """Cancel what an engine holds for this node and nobody waits for.
+        """Cancel the orphaned holds of this node on an engine.
 
-        Returns how many such holds were found.
+        Returns the number of holds found.
         """
         found = 0
         for hold in self._client.holds(engine.address, _CANCEL_TIMEOUT_MS):
@@ -136,7 +135,7 @@
 
     def _is_live(self, attempt_id: str, incarnation: int) -> bool:
         if incarnation > self._owner.incarnation:
-            # This process was replaced; its successor decides.
+            # This process was replaced; its successor decides on the hold.
             return True
         if incarnation < self._owner.incarnation:
             return False
@@ -148,67 +147,69 @@
             with self._changed:
                 if self._stopping:
                     return
-                due = self._take_due()
-            if due is not None:
-                self._try_cancel(due)
+                cancel = self._next_due_cancel()
+            if cancel is not None:
+                self._try_cancel(cancel)
             self._reconcile_when_due()
 
-    def _take_due(self) -> _PendingCancel | None:
+    def _next_due_cancel(self) -> _PendingCancel | None:
         wait = _IDLE_WAIT_MS
         if self._pending:
             wait = min(wait, self._pending[0].due - self._clock.now())
         if wait > 0:
             self._changed.wait(seconds(wait))
         if self._pending and self._pending[0].due <= self._clock.now():
-            # It stays counted as pending until it is confirmed.
+            # It stays pending until it is confirmed.
             return self._pending[0]
         return None
 
-    def _try_cancel(self, due: _PendingCancel) -> None:
+    def _try_cancel(self, cancel: _PendingCancel) -> None:
         try:
-            ended = all(
-                self._is_cancelled(due, engine) for engine in due.engines
+            confirmed = all(
+                self._is_cancelled(cancel, engine) for engine in cancel.engines
             )
         except Exception:
-            _log.exception('A cancel failed.', attempt=_attempt_id(due))
-            ended = False
-        if ended:
+            _log.exception('A cancel failed.', attempt=_attempt_id(cancel))
+            confirmed = False
+        if confirmed:
             self._reservations.release(
-                due.reservation, output_tokens=due.output_tokens, failed=True
+                cancel.reservation,
+                output_tokens=cancel.output_tokens,
+                failed=True,
             )
         with self._changed:
-            self._pending.remove(due)
+            self._pending.remove(cancel)
             heapq.heapify(self._pending)
-            if ended:
-                self._live_attempts.discard(_attempt_id(due))
+            if confirmed:
+                self._live_attempts.discard(_attempt_id(cancel))
             else:
-                wait = min(due.wait * 2, _MAX_BACKOFF_MS)
-                later = self._clock.now() + due.wait
-                self._push(due._replace(due=later, wait=wait))
+                backoff = min(cancel.backoff * 2, _MAX_BACKOFF_MS)
+                due = self._clock.now() + cancel.backoff
+                self._push(cancel._replace(due=due, backoff=backoff))
             self._changed.notify_all()
 
     def _push(self, cancel: _PendingCancel) -> None:
         heapq.heappush(self._pending, cancel)
 
     def _is_cancelled(
-        self, due: _PendingCancel, engine: UpstreamRecord
+        self, cancel: _PendingCancel, engine: UpstreamRecord
     ) -> bool:
-        silent_until = self._paused_until_by_id.get(engine.upstream_id, 0)
-        if self._clock.now() < silent_until:
+        paused_until = self._paused_until_by_id.get(engine.upstream_id, 0)
+        if self._clock.now() < paused_until:
             return self._is_gone(engine)
         try:
             holds = self._client.cancel(
-                engine.address, _attempt_id(due), _CANCEL_TIMEOUT_MS
+                engine.address, _attempt_id(cancel), _CANCEL_TIMEOUT_MS
             )
         except _ENGINE_ERRORS:
-            # The cancels of other engines are not to wait for this one.
-            silent_until = self._clock.now() + _UNRESPONSIVE_PAUSE_MS
-            self._paused_until_by_id[engine.upstream_id] = silent_until
+            # Pause its cancels, so that those of other engines are not delayed.
+            paused_until = self._clock.now() + _UNRESPONSIVE_PAUSE_MS
+            self._paused_until_by_id[engine.upstream_id] = paused_until
             return self._is_gone(engine)
         return not holds
 
     def _is_gone(self, engine: UpstreamRecord) -> bool:
-        """Return whether the engine's memory went with it."""
+        """Return whether the engine, and so its memory, is gone."""
         known = self._upstreams.get(engine.upstream_id)
         if known is None or known.state == UpstreamState.GONE:
             return True
@@ -237,7 +238,7 @@
             return
         if found:
             _log.warning(
-                'Cancelled holds that nobody waits for.',
+                'Cancelled orphaned holds.',
                 engine=engine.upstream_id,
                 holds=found,
             )
