--- a/verbenathread/entry/announce_service.py
+++ b/verbenathread/entry/announce_service.py
@@ -33,51 +33,53 @@
 
 
 class AnnounceService:
-    """Takes what upstreams say of themselves."""
+    """Accepts the announcements of upstreams."""
 
     def __init__(self, settings: SharedSettings, upstreams: Upstreams) -> None:
-        """Check against ``settings`` and tell ``upstreams``."""
+        """Authenticate with ``settings`` and record in ``upstreams``."""
         self._settings = settings
         self._upstreams = upstreams
 
     def announce(self, exchange: Exchange) -> None:
-        """Take an announcement or a renewal; answer with the lease."""
+        """Apply an announcement or a renewal; reply with the lease."""
         members = _parse_body(exchange)
         service = self._authenticated(exchange, members)
         record = _parse_record(members, service)
-        held = self._upstreams.announce(record)
-        if held.incarnation != record.incarnation or (
-            held.state != UpstreamState.READY
+        current = self._upstreams.announce(record)
+        if current.incarnation != record.incarnation or (
+            current.state != UpstreamState.READY
         ):
             raise HttpError(
                 http.HTTPStatus.CONFLICT,
                 'outdated_incarnation',
-                f'Incarnation {held.incarnation} of this upstream is known '
-                f'as {held.state.name.lower()}; announce with a greater one.',
+                f'Incarnation {current.incarnation} of this upstream is '
+                f'{current.state.name.lower()}; announce with a greater one.',
             )
         _reply(
             exchange,
             {
-                'state': held.state.name.lower(),
-                'incarnation': held.incarnation,
+                'state': current.state.name.lower(),
+                'incarnation': current.incarnation,
                 'lease_ms': service.lease,
                 'renew_every_ms': service.lease // _RENEWALS_PER_LEASE,
             },
         )
 
     def leave(self, exchange: Exchange) -> None:
-        """Take a leave; answer once other entries have it too."""
+        """Apply a leave; reply once it is replicated to other entries."""
         members = _parse_body(exchange)
         self._authenticated(exchange, members)
         upstream_id = members['upstream_id']
-        spread = self._upstreams.leave(upstream_id, members['incarnation'])
-        _log.info('An upstream leaves.', upstream=upstream_id, spread=spread)
-        if not spread:
+        replicated = self._upstreams.leave(upstream_id, members['incarnation'])
+        _log.info(
+            'An upstream is leaving.', upstream=upstream_id, spread=replicated
+        )
+        if not replicated:
             raise HttpError(
                 http.HTTPStatus.SERVICE_UNAVAILABLE,
                 'leave_not_spread',
-                'This entry gives the upstream no new work, but could not '
-                'tell other entries yet; send the leave again.',
+                'This entry sends the upstream no new work, but could not '
+                'reach other entries yet; send the leave again.',
                 retry_after=_RETRY_AFTER_MS,
             )
         _reply(exchange, {'state': 'leaving'})
@@ -94,9 +96,9 @@
             )
         service = self._settings.service(members['service'])
         digest = hashlib.sha256(exchange.bearer_key().encode()).hexdigest()
-        wanted = '' if service is None else service.announce_key_sha256
-        # An unknown service is answered like a wrong key.
-        if service is None or not hmac.compare_digest(digest, wanted):
+        expected = '' if service is None else service.announce_key_sha256
+        # An unknown service gets the same response as a wrong key.
+        if service is None or not hmac.compare_digest(digest, expected):
             raise HttpError(
                 http.HTTPStatus.UNAUTHORIZED,
                 'invalid_announce_key',
@@ -112,13 +114,15 @@
     except (ValueError, RecursionError) as exc:
         raise _invalid('The body is not JSON; send a JSON object.') from exc
     if not isinstance(members, dict):
-        raise _invalid('The body is no JSON object; send one.')
+        raise _invalid('The body is not a JSON object; send one.')
     for name, kind in _TYPE_BY_MEMBER.items():
-        found = members.get(name)
-        if not isinstance(found, kind) or isinstance(found, bool):
+        member = members.get(name)
+        if not isinstance(member, kind) or isinstance(member, bool):
             raise _invalid(f'"{name}" must be of type {kind.__name__}.')
     if not members['upstream_id'] or members['incarnation'] < 1:
-        raise _invalid('"upstream_id" and "incarnation" must not be empty.')
+        raise _invalid(
+            '"upstream_id" must not be empty, "incarnation" must be positive.'
+        )
     return members
 
 
@@ -133,7 +137,7 @@
         raise _invalid('"role" must be prefill, decode or both.')
     memory = members.get('memory_tokens', 0)
     if not isinstance(memory, int) or memory < 0:
-        raise _invalid('"memory_tokens" must be a whole number.')
+        raise _invalid('"memory_tokens" must be a non-negative integer.')
     return UpstreamRecord(
         members['upstream_id'],
         members['incarnation'],
@@ -155,9 +159,9 @@
         ipaddress.ip_address(host)
         number = int(port)
     except ValueError as exc:
-        raise _invalid('"address" must be an IP number and a port.') from exc
+        raise _invalid('"address" must be an IP address and a port.') from exc
     if not 0 < number <= _MAX_PORT:
-        raise _invalid('"address" must hold a port from 1 to 65535.')
+        raise _invalid('"address" must contain a port from 1 to 65535.')
     return Address(host, number)
 
 
--- a/verbenathread/entry/blocking_adapters.py
+++ b/verbenathread/entry/blocking_adapters.py
@@ -1,4 +1,7 @@
-"""The ports of the callers' side, over the event loop of the fabric."""
+"""Blocking adapters for worker threads to parts on the node's event loop.
+
+They implement the protocols of :mod:`verbenathread.entry.interfaces`.
+"""
 
 from verbenathread.clock import Clock
 from verbenathread.entry.claims_client import ClaimsClient
@@ -16,34 +19,34 @@
     Work,
 )
 
-# Bound of a call that waits for nothing but the loop.
+# For calls that only wait for the event loop.
 _LOOP_CALL_TIMEOUT_MS = 1000
 _LEAVE_TIMEOUT_MS = 3000
 _RETRY_AFTER_MS = 1000
 
 
 class BlockingUpstreams:
-    """The upstreams that the cell knows."""
+    """The upstreams known to the cell, for worker threads."""
 
     def __init__(self, cell: Cell, loop: LoopThread) -> None:
-        """Take the cell, which runs on the loop."""
+        """Wrap ``cell``, which runs on ``loop``."""
         self._cell = cell
         self._loop = loop
 
     def by_service(self, service: str) -> tuple[UpstreamRecord, ...]:
-        """Return the upstreams that may get new work for a service."""
+        """Return the upstreams that accept new work for a service."""
         return self._cell.table.ready(service)
 
     def get(self, upstream_id: str) -> UpstreamRecord | None:
-        """Return one upstream in whatever state, or None."""
+        """Return the upstream in any state, or None if it is unknown."""
         return self._cell.table.get(upstream_id)
 
     def announce(self, record: UpstreamRecord) -> UpstreamRecord:
-        """Take an announcement or a renewal; return what holds now."""
+        """Apply an announcement or a renewal; return the current record."""
         return self._loop.run(self._announce(record), _LOOP_CALL_TIMEOUT_MS)
 
     def leave(self, upstream_id: str, incarnation: int) -> bool:
-        """Take a leave; return only when other entries have it too."""
+        """Apply a leave; return once it is replicated to other entries."""
         return self._loop.run(
             self._cell.leave(upstream_id, incarnation), _LEAVE_TIMEOUT_MS
         )
@@ -53,22 +56,22 @@
 
 
 class BlockingReservations:
-    """Memory of engines, for worker threads."""
+    """Reservations of engine memory, for worker threads."""
 
     def __init__(
         self, reservations: EngineReservations, loop: LoopThread, clock: Clock
     ) -> None:
-        """Take the reservations, which run on the loop."""
+        """Wrap ``reservations``, which run on ``loop``."""
         self._reservations = reservations
         self._loop = loop
         self._clock = clock
 
     def reserve(self, work: Work, attempt_id: str) -> Reservation | Refusal:
-        """Wait for memory until the deadline of the work."""
-        left = max(0, work.deadline - self._clock.now())
+        """Reserve memory, waiting until the deadline of the work."""
+        timeout = max(0, work.deadline - self._clock.now())
         try:
             return self._loop.run(
-                self._reservations.reserve(work, attempt_id), left
+                self._reservations.reserve(work, attempt_id), timeout
             )
         except UnavailableError as error:
             return Refusal(
@@ -76,11 +79,11 @@
             )
 
     def started(self, reservation: Reservation) -> None:
-        """Tell that the engine has taken the attempt."""
+        """Report that the attempt was sent to the engine."""
         self._loop.call_soon(self._reservations.started, reservation)
 
     def progress(self, reservation: Reservation, output_tokens: int) -> None:
-        """Tell how far the output has come."""
+        """Report the output tokens so far."""
         self._loop.call_soon(
             self._reservations.progress, reservation, output_tokens
         )
@@ -88,7 +91,7 @@
     def release(
         self, reservation: Reservation, *, output_tokens: int, failed: bool
     ) -> None:
-        """Give the memory back once the engine holds nothing of it."""
+        """Release the memory once the engine no longer holds it."""
         self._loop.call_soon(
             self._reservations.release,
             reservation,
@@ -97,26 +100,26 @@
         )
 
     def abandon(self, work: Work) -> None:
-        """Stop waiting: the caller has gone."""
+        """Stop waiting for memory because the caller disconnected."""
         self._loop.call_soon(self._reservations.abandon, work)
 
 
 class BlockingClaims:
-    """Claims on a quorum, for worker threads."""
+    """Quorum claims, for worker threads."""
 
     def __init__(self, claims: ClaimsClient, loop: LoopThread) -> None:
-        """Take the client, which runs on the loop."""
+        """Wrap ``claims``, which runs on ``loop``."""
         self._claims = claims
         self._loop = loop
 
     def claim(
         self, request: control_pb2.ClaimRequest, timeout: Millis
     ) -> control_pb2.ClaimReply:
-        """Record the claim durably before the first byte goes out."""
+        """Record the claim durably before any byte of the call is sent."""
         return self._loop.run(self._claims.claim(request, timeout), timeout)
 
     def settle(
         self, request: control_pb2.SettleRequest, timeout: Millis
     ) -> control_pb2.SettleReply:
-        """Record the outcome of the one attempt."""
+        """Record the outcome of the only attempt."""
         return self._loop.run(self._claims.settle(request, timeout), timeout)
--- a/verbenathread/entry/held_reservations.py
+++ b/verbenathread/entry/held_reservations.py
@@ -1,4 +1,4 @@
-"""What one entry has reserved and not released, and where work failed."""
+"""Unreleased reservations of one entry, and where its requests failed."""
 
 from collections.abc import Collection
 from typing import NamedTuple
@@ -8,7 +8,7 @@
 
 
 class HeldReservation(NamedTuple):
-    """A reservation and the work that it is for."""
+    """A reservation, its work and the output tokens so far."""
 
     reservation: Reservation
     work: Work
@@ -16,26 +16,29 @@
 
 
 class HeldReservations:
-    """Reservations of this entry by attempt, and failures by request."""
+    """Unreleased reservations by attempt, and failed engines by request."""
 
     def __init__(self) -> None:
-        """Hold nothing."""
+        """Start without reservations and failures."""
         self._held_by_attempt: dict[str, HeldReservation] = {}
-        self._failed_by_request: dict[str, set[UpstreamId]] = {}
+        self._failed_ids_by_request: dict[str, set[UpstreamId]] = {}
         self._deadline_by_request: dict[str, Millis] = {}
 
     def __len__(self) -> int:
-        """Return how many reservations are held."""
+        """Return the number of held reservations."""
         return len(self._held_by_attempt)
 
     def add(self, reservation: Reservation, work: Work) -> None:
-        """Note a reservation until it is removed."""
+        """Record a reservation until it is removed."""
         self._held_by_attempt[reservation.attempt_id] = HeldReservation(
             reservation, work
         )
 
     def record_progress(self, attempt_id: str, output_tokens: int) -> bool:
-        """Note how far the output has come; True for its first tokens."""
+        """Record the output tokens so far; return whether they are the first.
+
+        Unknown attempts are ignored.
+        """
         held = self._held_by_attempt.get(attempt_id)
         if held is None:
             return False
@@ -45,11 +48,11 @@
         return held.output_tokens == 0
 
     def remove(self, attempt_id: str) -> HeldReservation | None:
-        """Forget a reservation; None if it was not held."""
+        """Remove and return a reservation; None if it was not held."""
         return self._held_by_attempt.pop(attempt_id, None)
 
     def at(self, upstream_id: UpstreamId) -> tuple[peer_pb2.Holding, ...]:
-        """Return what is reserved at one engine, for its new owner."""
+        """Return the reservations on an engine, for its new owner."""
         return tuple(
             peer_pb2.Holding(
                 attempt_id=attempt_id,
@@ -62,21 +65,21 @@
         )
 
     def record_failure(self, held: HeldReservation, now: Millis) -> None:
-        """Remember, until its deadline, where a request failed."""
+        """Record until the request's deadline on which engines it failed."""
         request_id = held.work.request_id
         for old_id, deadline in tuple(self._deadline_by_request.items()):
             if deadline < now:
                 self._deadline_by_request.pop(old_id)
-                self._failed_by_request.pop(old_id)
-        failed_ids = self._failed_by_request.setdefault(request_id, set())
+                self._failed_ids_by_request.pop(old_id)
+        failed_ids = self._failed_ids_by_request.setdefault(request_id, set())
         failed_ids.update(held.reservation.upstream_ids)
         self._deadline_by_request[request_id] = held.work.deadline
 
     def failed_engine_ids(self, request_id: str) -> Collection[UpstreamId]:
         """Return the engines on which a request failed."""
-        return self._failed_by_request.get(request_id, frozenset())
+        return self._failed_ids_by_request.get(request_id, frozenset())
 
 
 def _tokens_per_engine(reservation: Reservation) -> int:
-    """Return the memory on each engine of a reservation."""
+    """Return the memory reserved on each engine of a reservation."""
     return -(-reservation.memory_tokens // len(reservation.upstream_ids))
--- a/verbenathread/entry/interfaces.py
+++ b/verbenathread/entry/interfaces.py
@@ -1,7 +1,7 @@
-"""What the callers' side of an entry needs from its neighbours.
+"""Interfaces between the HTTP frontend of an entry and its other parts.
 
-Each is a ``Protocol`` so that the HTTP side can be tested with small fakes
-and the users' own bench can stand behind any of them.
+Each is a ``Protocol``, so that tests can use small fakes and users can
+benchmark the frontend with implementations of their own.
 """
 
 from typing import Protocol
@@ -25,7 +25,7 @@
     def account_by_key(
         self, bearer_key: str
     ) -> tuple[str, settings_pb2.AccountSettings] | None:
-        """Return name and settings of the account that owns the key."""
+        """Return the name and the settings of the account with this key."""
 
     def service(self, name: str) -> settings_pb2.ServiceSettings | None:
         """Return the settings of one service."""
@@ -38,75 +38,75 @@
 
 
 class Upstreams(Protocol):
-    """The upstreams known to this node, and where to tell of them."""
+    """The upstreams known to this node."""
 
     def by_service(self, service: str) -> tuple[UpstreamRecord, ...]:
-        """Return the upstreams that may get new work for a service."""
+        """Return the upstreams that accept new work for a service."""
 
     def get(self, upstream_id: str) -> UpstreamRecord | None:
-        """Return one upstream in whatever state, or None."""
+        """Return the upstream in any state, or None if it is unknown."""
 
     def announce(self, record: UpstreamRecord) -> UpstreamRecord:
-        """Take an announcement or a renewal; return what holds now."""
+        """Apply an announcement or a renewal; return the current record."""
 
     def leave(self, upstream_id: str, incarnation: int) -> bool:
-        """Take a leave; return only when other entries have it too.
+        """Apply a leave; return once it is replicated to other entries.
 
-        False means that no other entry could be told in time.
+        Returns False if no other entry could be reached in time.
         """
 
 
 class Reservations(Protocol):
-    """Memory of engines, promised once over all entries."""
+    """Reservations of engine memory, coordinated across all entries."""
 
     def reserve(self, work: Work, attempt_id: str) -> Reservation | Refusal:
-        """Wait for memory until the deadline of the work.
+        """Choose an engine or a group of engines and reserve memory.
 
-        Chooses the engine or the group of engines. Engines that the work
-        already failed on are passed over.
+        Waits for memory until the deadline of the work. Engines on which the
+        work already failed are avoided.
         """
 
     def started(self, reservation: Reservation) -> None:
-        """Tell that the engine has taken the attempt."""
+        """Report that the attempt was sent to the engine."""
 
     def progress(self, reservation: Reservation, output_tokens: int) -> None:
-        """Tell how far the output has come, at the first token and later."""
+        """Report the output tokens so far, at the first token and later."""
 
     def release(
         self, reservation: Reservation, *, output_tokens: int, failed: bool
     ) -> None:
-        """Give the memory back once the engine holds nothing of it."""
+        """Release the memory once the engine no longer holds it."""
 
     def abandon(self, work: Work) -> None:
-        """Stop waiting: the caller has gone."""
+        """Stop waiting for memory because the caller disconnected."""
 
 
 class Admissions(Protocol):
-    """The first answer that a request gets."""
+    """Admission control for requests."""
 
     def admit(
         self, work: Work, account: settings_pb2.AccountSettings
     ) -> Refusal | None:
-        """Count one model request, or refuse it and say when to come back."""
+        """Count a model request, or refuse it with a time to retry after."""
 
     def admit_call(
         self, name: str, account: settings_pb2.AccountSettings
     ) -> Refusal | None:
-        """Count one call of a plain service, or refuse it."""
+        """Count a call of a plain service, or refuse it."""
 
     def done(self, work: Work, output_tokens: int) -> None:
-        """Note the end of an admitted model request, however it ended."""
+        """Record the end of an admitted model request, whatever its outcome."""
 
 
 class Claims(Protocol):
-    """Claims on a quorum for calls that may not be repeated."""
+    """Quorum claims for calls that must not be repeated."""
 
     def claim(
         self, request: control_pb2.ClaimRequest, timeout: Millis
     ) -> control_pb2.ClaimReply:
-        """Record the claim durably before the first byte goes out."""
+        """Record the claim durably before any byte of the call is sent."""
 
     def settle(
         self, request: control_pb2.SettleRequest, timeout: Millis
     ) -> control_pb2.SettleReply:
-        """Record the outcome of the one attempt."""
+        """Record the outcome of the only attempt."""
