--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -1,4 +1,4 @@
-"""A model engine: roughly continuous batching, prefix cache, and faults."""
+"""A simulated model engine with a prefix cache and injectable faults."""
 
 import json
 import threading
@@ -8,23 +8,23 @@
 
 from tests.standins.serving import JsonHandler, serve, serving_parser
 
-_BLOCK = 4096
+_BLOCK_BYTES = 4096
 _BYTES_PER_TOKEN = 4
 
 
 def token_text(position):
-    """Return the text of the token at ``position``, the same everywhere."""
+    """Return the text that every engine generates at ``position``."""
     return f'w{position} '
 
 
 class Engine:
-    """State of the engine and its faults, as the options tell."""
+    """State of the engine; the options select its faults."""
 
     def __init__(self, options):
         self.options = options
         self.lock = threading.Lock()
         self.hold_by_attempt = {}
-        self.prefix_blocks = set()
+        self.cached_blocks = set()
         self.events = []
         self.running = 0
         self.report_count = 0
@@ -43,8 +43,11 @@
         self.prefill = threading.Lock()
 
     def reserve(self, order):
-        """Hold memory for an attempt; False if there is no room."""
-        wanted = order.get('memory_tokens', 0)
+        """Hold memory for an attempt; return False if none is free.
+
+        Also refuses an attempt whose cancel arrived first.
+        """
+        requested = order.get('memory_tokens', 0)
         with self.lock:
             self.received += 1
             if order['attempt_id'] in self.cancelled:
@@ -52,11 +55,11 @@
             held = sum(
                 hold['memory_tokens'] for hold in self.hold_by_attempt.values()
             )
-            if held + wanted > self.options.memory_tokens:
+            if held + requested > self.options.memory_tokens:
                 return False
             self.hold_by_attempt[order['attempt_id']] = {
                 'attempt_id': order['attempt_id'],
-                'memory_tokens': wanted,
+                'memory_tokens': requested,
                 'owner': order['owner'],
             }
             return True
@@ -69,38 +72,42 @@
             self.hold_by_attempt.pop(attempt_id, None)
 
     def cancel(self, attempt_id):
-        """Return whether the engine still holds of the attempt."""
+        """Cancel an attempt; return whether it still holds memory."""
         with self.lock:
             if self.refused_cancels < self.options.refuse_cancels:
                 self.refused_cancels += 1
                 return attempt_id in self.hold_by_attempt
             if not self.options.forget_cancels:
-                # The attempt may arrive after its cancel.
+                # The request of the attempt may arrive after its cancel.
                 self.cancelled.add(attempt_id)
             self.hold_by_attempt.pop(attempt_id, None)
             return False
 
     def wait_for_prefill(self, text):
-        """Wait as long as the part of the prompt takes that is not cached."""
-        fresh = 0
-        running = 0
-        for start in range(0, len(text), _BLOCK):
-            running = zlib.crc32(text[start : start + _BLOCK], running)
-            if running in self.prefix_blocks:
+        """Wait for the prefill time of the uncached part of a prompt."""
+        uncached_bytes = 0
+        prefix_hash = 0
+        for start in range(0, len(text), _BLOCK_BYTES):
+            prefix_hash = zlib.crc32(
+                text[start : start + _BLOCK_BYTES], prefix_hash
+            )
+            if prefix_hash in self.cached_blocks:
                 continue
-            fresh += min(_BLOCK, len(text) - start)
+            uncached_bytes += min(_BLOCK_BYTES, len(text) - start)
             with self.lock:
-                self.prefix_blocks.add(running)
+                self.cached_blocks.add(prefix_hash)
                 self.events.append(
                     {
                         'number': len(self.events) + 1,
                         'event': 'stored',
-                        'prefix_hash': running,
-                        'tokens': (start + _BLOCK) // _BYTES_PER_TOKEN,
+                        'prefix_hash': prefix_hash,
+                        'tokens': (start + _BLOCK_BYTES) // _BYTES_PER_TOKEN,
                     }
                 )
         with self.prefill:
-            time.sleep(fresh / _BYTES_PER_TOKEN / self.options.prefill_rate)
+            time.sleep(
+                uncached_bytes / _BYTES_PER_TOKEN / self.options.prefill_rate
+            )
 
     def load(self):
         with self.lock:
@@ -121,7 +128,7 @@
             }
 
     def take_order(self, order):
-        """Return whether the order's fencing number is taken."""
+        """Apply an order; return whether its fencing number was accepted."""
         with self.lock:
             checked = self.options.fencing == 'checked'
             if checked and order['fencing'] < self.order['fencing']:
@@ -189,23 +196,22 @@
             self.reply_error(503, 'no memory', (('Retry-After', '1'),))
             return
         self.start_response()
-        # A stream that breaks is held until it is cancelled: that is what
-        # cancels are for.
+        # The memory of a broken stream is held until the attempt is cancelled.
         try:
-            ended = self.stream(order, attempt_id)
+            ended = self.stream_answer(order, attempt_id)
         except OSError:
             self.engine.broken_streams += 1
             raise
         if ended:
             self.engine.release(attempt_id)
 
-    def stream(self, order, attempt_id):
+    def stream_answer(self, order, attempt_id):
         options = self.engine.options
         prompt = str(order.get('prompt') or order.get('messages')).encode()
         self.engine.wait_for_prefill(prompt)
         position = order['resume_from']['position']
         end = min(order['max_tokens'], options.answer_tokens)
-        named = attempt_id
+        stated_id = attempt_id
         while position < end:
             if not self.engine.holds(attempt_id):
                 self.abort()
@@ -214,12 +220,12 @@
                 self.abort()
                 return False
             if position == options.cross_at:
-                named = 'another-attempt'
+                stated_id = 'another-attempt'
             if position == options.skip_at:
                 position += 1
-            self.write_token(named, position)
+            self.write_token(stated_id, position)
             if position == options.double_at:
-                self.write_token(named, position)
+                self.write_token(stated_id, position)
             position += 1
             self.engine.generated += 1
             if options.decode_rate:
@@ -227,7 +233,7 @@
         if not options.truncate:
             self.write_line(
                 {
-                    'attempt_id': named,
+                    'attempt_id': stated_id,
                     'finish_reason': 'stop',
                     'usage': {
                         'prompt_tokens': len(prompt) // _BYTES_PER_TOKEN,
@@ -248,10 +254,10 @@
             self.close_connection = True
         self.end_headers()
 
-    def write_token(self, named, position):
+    def write_token(self, stated_id, position):
         self.write_line(
             {
-                'attempt_id': named,
+                'attempt_id': stated_id,
                 'position': position,
                 'text': token_text(position),
             }
@@ -272,14 +278,17 @@
     parser.add_argument('--memory-tokens', type=int, default=400_000)
     parser.add_argument('--prefill-rate', type=float, default=1e6)
     parser.add_argument(
-        '--decode-rate', type=float, default=0, help='tokens/s; 0 is at once'
+        '--decode-rate',
+        type=float,
+        default=0,
+        help='tokens/s; 0 means no delay',
     )
     parser.add_argument('--answer-tokens', type=int, default=20)
     parser.add_argument('--fencing', choices=('checked', 'ignored'))
     parser.add_argument(
         '--chunked',
         action='store_true',
-        help='send chunks and keep the connection, not close it',
+        help='use chunked encoding and keep the connection open',
     )
     parser.add_argument('--truncate', action='store_true')
     parser.add_argument('--die-at', type=int, default=-1)
--- a/tests/standins/entry.py
+++ b/tests/standins/entry.py
@@ -1,4 +1,4 @@
-"""An entry with in-memory neighbours, in a process of its own."""
+"""An entry with in-memory fakes of the other parts, as its own process."""
 
 import argparse
 import json
--- a/tests/standins/serving.py
+++ b/tests/standins/serving.py
@@ -1,4 +1,4 @@
-"""What the stand-ins share: a threaded HTTP server that speaks JSON."""
+"""Parts shared by the stand-ins: a threaded JSON server, announcements."""
 
 import argparse
 import itertools
@@ -20,7 +20,7 @@
     disable_nagle_algorithm = True
 
     def log_message(self, format, *args):
-        """Stay silent."""
+        """Log nothing."""
 
     def read_body(self) -> bytes:
         return self.rfile.read(int(self.headers.get('Content-Length', 0)))
@@ -42,19 +42,19 @@
         self.reply({'error': {'message': message}}, status, headers)
 
     def abort(self):
-        """End the connection without an answer."""
+        """Close the connection without a response."""
         self.close_connection = True
         self.connection.shutdown(socket.SHUT_RDWR)
 
 
 class StandInServer(ThreadingHTTPServer):
-    """Serves each connection in a thread of its own."""
+    """Serves each connection in its own thread."""
 
     daemon_threads = True
     request_queue_size = 1024
 
     def handle_error(self, request, client_address):
-        """Stay silent when the other side hangs up."""
+        """Log nothing when the client disconnects."""
 
 
 def serving_parser(description) -> argparse.ArgumentParser:
@@ -69,27 +69,27 @@
 
 
 def announcement(options, address, **members):
-    found = {
+    announced = {
         'upstream_id': options.id or f'{options.service}-{address[1]}',
         'incarnation': options.incarnation,
         'service': options.service,
         'address': f'{address[0]}:{address[1]}',
         'data_centre': options.data_centre,
     }
-    found.update(members)
-    return found
+    announced.update(members)
+    return announced
 
 
 def serve(handler, options, members):
-    """Serve until the process is ended; the address goes out as one line."""
+    """Print the announcement as one line, then serve until killed."""
     host, _, port = options.listen.rpartition(':')
     server = StandInServer((host, int(port)), handler)
-    found = announcement(options, server.server_address, **members)
-    sys.stdout.write(json.dumps(found) + '\n')
+    announced = announcement(options, server.server_address, **members)
+    sys.stdout.write(json.dumps(announced) + '\n')
     sys.stdout.flush()
     if options.entry:
         threading.Thread(
-            target=_renew, args=(options, found), daemon=True
+            target=_renew, args=(options, announced), daemon=True
         ).start()
     server.serve_forever()
 
@@ -97,7 +97,7 @@
 def post_announcement(
     entry: object, verb: str, key: str, members: object
 ) -> int:
-    """Announce, renew or leave at an entry; returns its status."""
+    """Announce to, renew at or leave an entry; return the HTTP status."""
     request = Request(
         f'http://{entry}/upstreams/v1/{verb}',
         json.dumps(members).encode(),
@@ -113,10 +113,10 @@
 def _renew(options, members):
     verb = 'announce'
     entries = options.entry.split(',')
-    for turn in itertools.count():
-        # The next entry is tried when one does not answer.
+    for attempt in itertools.count():
+        # Each attempt goes to the next entry, in case one is unreachable.
         status = post_announcement(
-            entries[turn % len(entries)], verb, options.announce_key, members
+            entries[attempt % len(entries)], verb, options.announce_key, members
         )
         if status == 200:
             verb = 'renew'
--- a/tests/test_entry_connections.py
+++ b/tests/test_entry_connections.py
@@ -1,4 +1,4 @@
-"""Tests of connections to upstreams: which ones are used again."""
+"""Tests of which connections to upstreams are reused."""
 
 import unittest
 
@@ -8,11 +8,11 @@
 from verbenathread.entry.connections import ConnectionPool
 from verbenathread.settings.node import parse_address
 
-MOST = 65536
+MAX_BYTES = 65536
 
 
 class ConnectionPoolTest(unittest.TestCase):
-    def test_only_a_clean_end_lets_a_connection_return(self):
+    def test_only_cleanly_ended_connections_are_reused(self):
         engine = LocalStandIn('engine', '--chunked', '--decode-rate', '200')
         self.addCleanup(engine.stop)
         address = parse_address(engine.address)
@@ -23,16 +23,16 @@
                 pool = ConnectionPool(clock)
                 self.addCleanup(pool.close)
                 deadline = clock.now() + 20_000
-                sent = pool.send(
+                exchange = pool.send(
                     address,
                     'POST',
                     '/v1/generate',
                     deadline=deadline,
                     body=body,
                 )
-                sent.read1(MOST, deadline)
+                exchange.read1(MAX_BYTES, deadline)
                 if whole:
-                    sent.read_all(MOST, deadline)
-                sent.close(clean=clean)
+                    exchange.read_all(MAX_BYTES, deadline)
+                exchange.close(clean=clean)
                 idle = pool.idle_count()
                 self.assertEqual(idle, int(whole and clean))
--- a/tests/test_entry_daemon.py
+++ b/tests/test_entry_daemon.py
@@ -19,7 +19,7 @@
     wait_until,
 )
 from tests.standins.processes import LocalStandIn
-from tests.test_entry_relay import MODEL, WHOLE, streamed_text
+from tests.test_entry_relay import FULL_TEXT, MODEL, streamed_text
 from verbenathread.entry.daemon import EntryDaemon
 from verbenathread.entry.http_frontend import FrontendInterfaces
 from verbenathread.exceptions import SettingsError
@@ -126,7 +126,7 @@
         self.assertTrue(refused.headers['Retry-After'])
         self.assertEqual(refused.headers['X-Run-State'], 'not_run')
         for answer in streams:
-            self.assertEqual(streamed_text(answer.read()), WHOLE)
+            self.assertEqual(streamed_text(answer.read()), FULL_TEXT)
         stopping.join()
         self.assertEqual(self.cluster_node.stops, 1)
         reservations = self.cluster_node.interfaces.reservations
--- a/tests/test_entry_http_server.py
+++ b/tests/test_entry_http_server.py
@@ -6,12 +6,17 @@
 
 from tests.entry_fakes import CALLER_KEY, LIMITS, wait_until
 from tests.test_entry_bad_input import COMPLETIONS, KEY, call, exchange, raw
-from tests.test_entry_relay import MODEL, WHOLE, RelayCase, streamed_text
+from tests.test_entry_relay import (
+    FULL_TEXT,
+    MODEL,
+    RelayTestCase,
+    streamed_text,
+)
 
 STREAMS = 4
 
 
-class OverloadTest(RelayCase):
+class OverloadTest(RelayTestCase):
     limits = LIMITS._replace(streams=STREAMS, write_timeout=200)
     most_output_tokens = 1_000_000
 
@@ -23,7 +28,7 @@
         return answers
 
     def test_requests_beyond_the_streams_are_refused(self):
-        engine = self.engine('--decode-rate', '40')
+        engine = self.start_engine('--decode-rate', '40')
         streams = self.open_streams(STREAMS)
         refused = []
         for _ in range(2 * STREAMS):
@@ -39,11 +44,11 @@
         # Upstreams can still renew, and no stream was aborted.
         self.assertEqual(engine.announce(self.entry.address, verb='renew'), 200)
         for answer in streams:
-            self.assertEqual(streamed_text(answer.read()), WHOLE)
+            self.assertEqual(streamed_text(answer.read()), FULL_TEXT)
         self.assert_nothing_held(engine)
 
     def test_idle_connections_occupy_no_worker(self):
-        engine = self.engine()
+        engine = self.start_engine()
         idle = [
             socket.create_connection(self.entry.address)
             for _ in range(2 * STREAMS)
@@ -54,7 +59,7 @@
         self.assert_nothing_held(engine)
 
     def test_full_buffers_refuse_at_once(self):
-        engine = self.engine()
+        engine = self.start_engine()
         half = LIMITS.buffered_bytes // 2
         head = raw(COMPLETIONS, b'', KEY, length=half)
         slow = [
@@ -75,7 +80,7 @@
         self.assert_nothing_held(engine)
 
     def test_slow_reader_is_disconnected(self):
-        engine = self.engine('--answer-tokens', '1000000')
+        engine = self.start_engine('--answer-tokens', '1000000')
         with socket.create_connection(self.entry.address) as sock:
             sock.sendall(call({'model': MODEL, 'prompt': 'a', 'stream': True}))
             self.assertTrue(wait_until(lambda: self.entry.frontend.server.busy))
@@ -87,7 +92,7 @@
         self.assert_nothing_held(engine)
 
     def test_connection_is_reused(self):
-        engine = self.engine()
+        engine = self.start_engine()
         pool = urllib3.HTTPConnectionPool(*self.entry.address, maxsize=1)
         self.addCleanup(pool.close)
         for _ in range(3):
@@ -97,6 +102,6 @@
                 json={'model': MODEL, 'prompt': 'any cot?'},
                 headers={'Authorization': f'Bearer {CALLER_KEY}'},
             )
-            self.assertEqual(answer.json()['choices'][0]['text'], WHOLE)
+            self.assertEqual(answer.json()['choices'][0]['text'], FULL_TEXT)
         self.assertEqual(pool.num_connections, 1)
         self.assert_nothing_held(engine)
--- a/tests/test_entry_model_service.py
+++ b/tests/test_entry_model_service.py
@@ -1,4 +1,4 @@
-"""Tests of model requests through an entry, with the callers' own client."""
+"""Tests of model requests through an entry, with the OpenAI client."""
 
 import unittest
 
@@ -9,7 +9,7 @@
 from tests.standins.processes import StandIn
 
 
-def whole_text(tokens):
+def full_text(tokens):
     return ''.join(token_text(position) for position in range(tokens))
 
 
@@ -36,12 +36,12 @@
         answer = self.client.chat.completions.create(
             model='draft-desk', messages=messages
         )
-        self.assertEqual(answer.choices[0].message.content, whole_text(20))
+        self.assertEqual(answer.choices[0].message.content, full_text(20))
         self.assertEqual(answer.usage.completion_tokens, 20)
         plain = self.client.completions.create(
             model='draft-desk', prompt='any cot?', max_tokens=3
         )
-        self.assertEqual(plain.choices[0].text, whole_text(3))
+        self.assertEqual(plain.choices[0].text, full_text(3))
         chunks = list(
             self.client.chat.completions.create(
                 model='draft-desk',
@@ -55,7 +55,7 @@
             for chunk in chunks
             if chunk.choices
         )
-        self.assertEqual(text, whole_text(20))
+        self.assertEqual(text, full_text(20))
         self.assertEqual(chunks[-1].usage.completion_tokens, 20)
         self.assertEqual(self.entry.reservations.opened, 3)
         self.assertEqual(self.entry.reservations.released, 3)
--- a/tests/test_entry_reaper.py
+++ b/tests/test_entry_reaper.py
@@ -1,4 +1,4 @@
-"""Tests of cancels to engines that do not answer."""
+"""Tests of cancels to unresponsive engines."""
 
 import unittest
 
@@ -15,24 +15,24 @@
     UpstreamState,
 )
 
-SILENT = Address('127.0.0.1', 1)
-ANSWERING = Address('127.0.0.1', 2)
+UNRESPONSIVE = Address('127.0.0.1', 1)
+RESPONSIVE = Address('127.0.0.1', 2)
 
 
 class FakeClient:
-    """Answers cancels of one engine only."""
+    """Does not answer cancels to one engine while ``unresponsive`` is set."""
 
     def __init__(self):
-        self.asked = []
-        self.silent = True
+        self.cancelled_engines = []
+        self.unresponsive = True
 
-    def cancel(self, engine, attempt_id, limit):
-        self.asked.append(engine)
-        if engine == SILENT and self.silent:
+    def cancel(self, engine, attempt_id, timeout):
+        self.cancelled_engines.append(engine)
+        if engine == UNRESPONSIVE and self.unresponsive:
             raise EngineBrokenError('No answer.')
         return False
 
-    def holds(self, engine, limit):
+    def holds(self, engine, timeout):
         return ()
 
 
@@ -69,17 +69,19 @@
         self.reservations.live_by_id[attempt_id] = held
         self.reaper.cancel(held, (engine,), 0)
 
-    def test_silent_engine_does_not_hold_up_another(self):
+    def test_unresponsive_engine_does_not_delay_another(self):
         for number in range(20):
-            self.cancel(f'silent-{number}', SILENT)
-        self.cancel('answering', ANSWERING)
+            self.cancel(f'unresponsive-{number}', UNRESPONSIVE)
+        self.cancel('responsive', RESPONSIVE)
         self.reaper.start()
         live = self.reservations.live_by_id
-        self.assertTrue(wait_until(lambda: 'answering' not in live))
-        self.assertEqual(self.client.asked, [SILENT, ANSWERING])
-        # Kept until the engine answers, however long that takes.
+        self.assertTrue(wait_until(lambda: 'responsive' not in live))
+        self.assertEqual(
+            self.client.cancelled_engines, [UNRESPONSIVE, RESPONSIVE]
+        )
+        # Pending until the engine answers, however long that takes.
         self.assertEqual((len(live), self.reaper.pending), (20, 20))
-        self.client.silent = False
+        self.client.unresponsive = False
         self.clock.advance(5000)
         self.assertTrue(wait_until(lambda: not live))
         self.reaper.stop(0)
--- a/tests/test_entry_relay.py
+++ b/tests/test_entry_relay.py
@@ -1,4 +1,4 @@
-"""Tests of attempts: broken, crossed, doubled, late and cancelled answers."""
+"""Tests of relaying: faulty, late and cancelled answers of engines."""
 
 import json
 import socket
@@ -18,8 +18,8 @@
 
 TOKENS = 20
 MODEL = 'draft-desk'
-WHOLE = ''.join(token_text(position) for position in range(TOKENS))
-# Fault of the first engine, and how many attempts the request takes.
+FULL_TEXT = ''.join(token_text(position) for position in range(TOKENS))
+# Faults of the first engine, and the attempts that the request then takes.
 FAULTS = (
     (('--die-at', '0'), 2),
     (('--die-at', '7'), 2),
@@ -35,8 +35,8 @@
 )
 
 
-class RelayCase(unittest.TestCase):
-    # A busy machine must not pass for a reader that is too slow.
+class RelayTestCase(unittest.TestCase):
+    # Long, so that a busy machine is not mistaken for a slow reader.
     limits = LIMITS._replace(write_timeout=60_000)
     most_output_tokens = 100_000
 
@@ -48,7 +48,7 @@
         self.pool = urllib3.PoolManager(retries=False)
         self.addCleanup(self.pool.clear)
 
-    def engine(self, *options):
+    def start_engine(self, *options):
         engine = LocalStandIn('engine', *options)
         self.addCleanup(engine.stop)
         self.assertEqual(engine.announce(self.entry.address), 200)
@@ -64,7 +64,7 @@
             timeout=wait,
         )
 
-    def record(self, engine):
+    def upstream_record(self, engine):
         return self.entry.upstreams.get(engine.announcement['upstream_id'])
 
     def assert_nothing_held(self, *engines):
@@ -92,7 +92,7 @@
     return text
 
 
-class RelayFaultTest(RelayCase):
+class RelayFaultTest(RelayTestCase):
     def test_every_fault_yields_the_whole_answer(self):
         for options, attempts in FAULTS:
             for stream in (False, True):
@@ -103,20 +103,20 @@
         opened = self.entry.reservations.opened
         self.entry.upstreams.record_by_id.clear()
         self.entry.reservations.turns = iter(range(100))
-        broken = self.engine(*options)
-        whole = self.engine()
+        faulty = self.start_engine(*options)
+        healthy = self.start_engine()
         answer = self.complete(stream=stream)
         self.assertEqual(answer.status, 200)
         if stream:
-            self.assertEqual(streamed_text(answer.data), WHOLE)
+            self.assertEqual(streamed_text(answer.data), FULL_TEXT)
             self.assertTrue(answer.data.endswith(b'data: [DONE]\n\n'))
         else:
-            self.assertEqual(answer.json()['choices'][0]['text'], WHOLE)
+            self.assertEqual(answer.json()['choices'][0]['text'], FULL_TEXT)
         self.assertEqual(self.entry.reservations.opened - opened, attempts)
-        self.assert_nothing_held(broken, whole)
+        self.assert_nothing_held(faulty, healthy)
 
-    def test_no_other_engine_is_said_within_the_stream(self):
-        engine = self.engine('--die-at', '7')
+    def test_error_in_the_stream_if_no_engine_is_left(self):
+        engine = self.start_engine('--die-at', '7')
         client = openai.OpenAI(
             base_url=f'{self.entry.url}/v1', api_key=CALLER_KEY, max_retries=0
         )
@@ -138,37 +138,39 @@
 
     def check_late(self, options):
         self.entry.upstreams.record_by_id.clear()
-        engine = self.engine('--late', '0.6', *options)
+        engine = self.start_engine('--late', '0.6', *options)
         answer = self.complete((('X-Time-Limit-Ms', '200'),))
         self.assertEqual(answer.status, 504)
         self.assertEqual(answer.json()['error']['run_state'], 'may_have_run')
-        # The engine sees the order only after its cancel.
+        # The engine reads the request only after the cancel.
         self.assertTrue(wait_until(lambda: engine.state.received))
         if options:
-            self.entry.frontend.reaper.reconcile(self.record(engine))
+            self.entry.frontend.reaper.reconcile(self.upstream_record(engine))
         self.assert_nothing_held(engine)
-        # The connection of the late answer is not used again.
+        # The connection of the late answer is not reused.
         engine.options.late = 0
-        self.assertEqual(self.complete().json()['choices'][0]['text'], WHOLE)
+        self.assertEqual(
+            self.complete().json()['choices'][0]['text'], FULL_TEXT
+        )
 
     def test_killed_engine_is_released_once_gone(self):
         dying = StandIn('engine', '--decode-rate', '50')
         self.addCleanup(dying.kill)
         dying.announce(self.entry.address)
-        whole = self.engine()
+        healthy = self.start_engine()
         answer = self.complete(stream=True, preload=False)
         first = answer.read1()
         dying.kill()
         rest = answer.read()
-        self.assertEqual(streamed_text(first + rest), WHOLE)
+        self.assertEqual(streamed_text(first + rest), FULL_TEXT)
         fake = self.entry.reservations
         self.assertEqual((fake.opened, fake.released), (2, 1))
-        gone = self.record(dying)._replace(state=UpstreamState.GONE)
+        gone = self.upstream_record(dying)._replace(state=UpstreamState.GONE)
         self.entry.upstreams.record_by_id[gone.upstream_id] = gone
-        self.assert_nothing_held(whole)
+        self.assert_nothing_held(healthy)
 
-    def test_successor_cancels_what_a_killed_entry_left(self):
-        engine = self.engine('--decode-rate', '20')
+    def test_successor_cancels_attempts_of_a_killed_entry(self):
+        engine = self.start_engine('--decode-rate', '20')
         killed = StandIn('entry')
         self.addCleanup(killed.kill)
         engine.announce(killed.address)
@@ -187,7 +189,7 @@
 
     def test_slow_reader_gets_every_token_in_order(self):
         tokens = 45_000
-        engine = self.engine('--answer-tokens', str(tokens))
+        engine = self.start_engine('--answer-tokens', str(tokens))
         content = call(
             {
                 'model': MODEL,
@@ -201,11 +203,11 @@
             sock.settimeout(20)
             sock.connect(self.entry.address)
             sock.sendall(content)
-            # Nothing is read until the buffers towards the caller are full.
+            # Nothing is read until the send buffers of the entry are full.
             self.assertTrue(wait_until(lambda: engine.state.generated))
-            seen = -1
-            while seen < engine.state.generated:
-                seen = engine.state.generated
+            last_count = -1
+            while last_count < engine.state.generated:
+                last_count = engine.state.generated
                 time.sleep(0.2)
             self.assertEqual(self.entry.frontend.server.busy, 1)
             answer = HTTPResponse(sock)
@@ -215,7 +217,7 @@
         self.assert_nothing_held(engine)
 
     def test_holds_of_an_earlier_incarnation_are_cancelled(self):
-        engine = self.engine()
+        engine = self.start_engine()
         owners = (
             (Owner('entry-1', 0), False),
             (Owner('entry-1', 2), True),
@@ -232,32 +234,34 @@
                     },
                 }
             )
-        found = self.entry.frontend.reaper.reconcile(self.record(engine))
+        found = self.entry.frontend.reaper.reconcile(
+            self.upstream_record(engine)
+        )
         self.assertEqual(found, 1)
         for number, (owner, kept) in enumerate(owners):
             with self.subTest(owner=owner):
                 self.assertEqual(engine.state.holds(f'attempt-{number}'), kept)
 
 
-class GroupTest(RelayCase):
-    def test_each_engine_of_a_group_is_asked_for_its_share(self):
-        engines = [self.engine('--die-at', '7'), self.engine()]
-        # More than either engine has.
+class GroupTest(RelayTestCase):
+    def test_each_engine_of_a_group_reserves_its_share(self):
+        engines = [self.start_engine('--die-at', '7'), self.start_engine()]
+        # More than the memory of either engine.
         fake = self.entry.reservations
         fake.group_tokens = 600_000
         error = self.complete().json()['error']
         self.assertEqual(error['code'], 'no_upstream')
         self.assertEqual(error['run_state'], 'may_have_run')
         self.assertEqual(engines[0].state.generated, 7)
-        # The broken attempt was cancelled at both.
+        # The failed attempt was cancelled on both.
         self.assert_nothing_held(*engines)
         for engine in engines:
             self.assertTrue(engine.state.cancelled)
 
 
-class CallerGoneTest(RelayCase):
-    def test_gone_while_streaming(self):
-        engine = self.engine('--decode-rate', '20')
+class CallerDisconnectTest(RelayTestCase):
+    def test_disconnect_while_streaming(self):
+        engine = self.start_engine('--decode-rate', '20')
         answer = self.complete(stream=True, preload=False)
         answer.read1()
         self.assertEqual(len(engine.state.hold_by_attempt), 1)
@@ -266,16 +270,16 @@
         self.assert_nothing_held(engine)
         self.assertLess(engine.state.generated, TOKENS)
 
-    def test_gone_while_the_engine_says_nothing(self):
-        engine = self.engine('--late', '0.3')
+    def test_disconnect_before_the_first_token(self):
+        engine = self.start_engine('--late', '0.3')
         with self.assertRaises(urllib3.exceptions.TimeoutError):
             self.complete(wait=0.1)
         self.assertTrue(wait_until(lambda: engine.state.received))
         self.assert_nothing_held(engine)
         self.assertEqual(engine.state.generated, 0)
 
-    def test_gone_while_queued(self):
-        engine = self.engine()
+    def test_disconnect_while_queued(self):
+        engine = self.start_engine()
         self.entry.reservations.full.set()
         with self.assertRaises(urllib3.exceptions.TimeoutError):
             self.complete(wait=0.1)
