--- a/verbenathread/entry/connections.py
+++ b/verbenathread/entry/connections.py
@@ -106,7 +106,7 @@
             ) from exc
 
     def read_all(self, max_bytes: int, deadline: Millis) -> bytes:
-        """Return the rest of the answer, at most ``most`` bytes."""
+        """Return the rest of the body, at most ``max_bytes`` bytes."""
         blocks = []
         received = 0
         block = self.read1(max_bytes, deadline)
--- a/verbenathread/entry/relay.py
+++ b/verbenathread/entry/relay.py
@@ -135,7 +135,7 @@
     def run(self) -> Finish:
         """Relay all tokens into the sink; return how the answer finished.
 
-        Raises :class:`HttpError`, or :class:`CallerGoneError`.
+        Raises :class:`HttpError` or :class:`CallerDisconnectedError`.
         """
         work = self._request.work
         self._deps.retries.record_first_attempt(
