--- a/verbenathread/membership/__init__.py
+++ b/verbenathread/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which nodes and upstreams there are, and who owns what for how long."""
+"""Cell membership, gossip of upstream records, and leases."""
--- a/verbenathread/membership/cell.py
+++ b/verbenathread/membership/cell.py
@@ -1,8 +1,8 @@
-"""One node of a cell: a task for each peer and two for leases.
+"""One node of a cell, with a task for each peer and two for leases.
 
-Each peer's task sends a message at least once a second, and at once when
-there is news or a lease to ask for; the reply confirms it. The same message
-carries upstream records, questions about renewals and engine leases.
+The task of a peer sends a message at least once a second, and immediately
+when there is an update or a lease to request; the reply confirms it. The same
+message carries upstream records, renewal queries and engine lease requests.
 """
 
 import asyncio
@@ -33,19 +33,18 @@
     UpstreamState,
 )
 
-# A peer without news still gets a message this often.
+# A peer gets a message at least this often, even without updates.
 HEARTBEAT_INTERVAL_MS = 1000
-# Time that a peer has to reply.
 EXCHANGE_TIMEOUT_MS = 1000
-# Pause after a failed exchange; it doubles up to the idle time.
-_FIRST_RETRY_MS = 50
-# Messages to one peer are at least this far apart, to gather news.
-_GATHER_MS = 5
-# How often the leases of engines, and of upstreams, are looked at.
-_ENGINE_STEP_MS = 200
-_UPSTREAM_STEP_MS = 500
-# How long a leave waits for other entries.
-_LEAVE_MS = 2500
+# Delay after a failed exchange; doubles up to HEARTBEAT_INTERVAL_MS.
+_INITIAL_RETRY_MS = 50
+# Minimum time between messages to one peer, so that updates are batched.
+_BATCH_DELAY_MS = 5
+# Intervals between checks of the engine and of the upstream leases.
+_ENGINE_LEASE_INTERVAL_MS = 200
+_UPSTREAM_LEASE_INTERVAL_MS = 500
+# How long a leave waits for confirmation by other entries.
+_LEAVE_TIMEOUT_MS = 2500
 _LEAVE_POLL_MS = 20
 
 _NO_ADDRESS: Final = Address('', 0)
@@ -58,7 +57,7 @@
 
 
 class PeerTransport(Protocol):
-    """Carries a message to one peer and brings its reply."""
+    """Sends messages to peers and returns their replies."""
 
     async def exchange(
         self, peer_id: NodeId, message: peer_pb2.PeerMessage
@@ -67,17 +66,17 @@
 
 
 class MessageExtension(Protocol):
-    """Something else that travels with the messages of a cell."""
+    """Additional data exchanged in the messages of a cell."""
 
     def fill_message(
         self, peer_id: NodeId, message: peer_pb2.PeerMessage
     ) -> None:
-        """Put what is due for a peer into a message to it."""
+        """Add the data due for a peer to a message to it."""
 
     def handle_message(
         self, message: peer_pb2.PeerMessage, reply: peer_pb2.PeerReply
     ) -> None:
-        """Take what came with a message, and put what is due in its reply."""
+        """Process the data of a message and fill its reply."""
 
     def handle_reply(
         self,
@@ -85,22 +84,22 @@
         message: peer_pb2.PeerMessage,
         reply: peer_pb2.PeerReply,
     ) -> None:
-        """Take the reply to a message that was sent."""
+        """Process the reply to a message that was sent."""
 
 
 class NodeIdentity(NamedTuple):
-    """Who a node is; the incarnation grows with each start."""
+    """Identity of a node; the incarnation grows with each start."""
 
     node_id: NodeId
     incarnation: int
-    # All nodes of the cell, this one included.
+    # All nodes of the cell, including this one.
     cell_ids: tuple[NodeId, ...]
 
 
 class Cell:
-    """Upstreams, living peers and engine leases, as one node sees them.
+    """Upstreams, live peers and engine leases as seen by one node.
 
-    All methods but the reads of :attr:`table` run on one event loop.
+    All methods except reads of :attr:`table` run on one event loop.
     """
 
     def __init__(
@@ -112,7 +111,7 @@
         *,
         lease: Millis = MAX_LEASE_MS,
     ) -> None:
-        """Take what carries messages, and the upstream lease of a service."""
+        """Create a node; ``lease_of`` returns the upstream lease of a service."""
         self.identity = identity
         self.table = UpstreamTable()
         self.views = PeerViews(identity.node_id, identity.cell_ids)
@@ -126,7 +125,7 @@
             node_id=identity.node_id,
             lease=lease,
         )
-        self._riders: tuple[MessageExtension, ...] = ()
+        self._extensions: tuple[MessageExtension, ...] = ()
         self._clock = clock
         self._transport = transport
         self._upstream_leases = UpstreamLeases(
@@ -136,27 +135,27 @@
         self._event_by_peer = {
             peer_id: asyncio.Event() for peer_id in self.views.by_id
         }
-        self._questions: tuple[int, ...] = ()
+        self._lease_queries: tuple[int, ...] = ()
         self._tasks: tuple[asyncio.Task[None], ...] = ()
 
     def add_extensions(self, *extensions: MessageExtension) -> None:
-        """Let these travel with the messages; call it before the start."""
-        self._riders = (*self._riders, *extensions)
+        """Exchange additional data with peers; call before :meth:`start`."""
+        self._extensions = (*self._extensions, *extensions)
 
     def start(self) -> None:
         """Start one task for each peer and two for leases."""
         links = [
-            asyncio.create_task(self._link(peer_id))
+            asyncio.create_task(self._run_link(peer_id))
             for peer_id in self.views.by_id
         ]
         self._tasks = (
             *links,
-            asyncio.create_task(self._keep_engine_leases()),
+            asyncio.create_task(self._maintain_engine_leases()),
             asyncio.create_task(self._watch_upstream_leases()),
         )
 
     async def stop(self) -> None:
-        """Hand the leases over, tell the peers, and end all tasks."""
+        """Release the leases, notify the peers and end all tasks."""
         self.stopping = True
         self.engine_leases.release_all()
         for peer_id in self.views.by_id:
@@ -165,14 +164,14 @@
         await self.close()
 
     async def close(self) -> None:
-        """End all tasks and tell nobody."""
+        """End all tasks without notifying the peers."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self._tasks = ()
 
     def announce(self, record: UpstreamRecord) -> UpstreamRecord:
-        """Take an announcement or a renewal; return what holds now."""
+        """Apply an announcement or renewal; return the record now in force."""
         now = self._clock.now()
         if self.table.announce(record, now):
             self._gossip.enqueue(record.upstream_id)
@@ -182,7 +181,7 @@
         return held
 
     async def leave(self, upstream_id: UpstreamId, incarnation: int) -> bool:
-        """Take a leave; True once a majority of living peers has it."""
+        """Apply a leave; return whether a majority of live peers confirmed."""
         held = self.table.get(upstream_id)
         if held is not None and held.incarnation > incarnation:
             return True
@@ -190,12 +189,12 @@
             held = _unknown_record(upstream_id, incarnation)
         if held.state < UpstreamState.LEAVING:
             self._retire(held, UpstreamState.LEAVING)
-        return await self._spread_enough(upstream_id)
+        return await self._wait_for_majority(upstream_id)
 
     def handle_message(
         self, message: peer_pb2.PeerMessage
     ) -> peer_pb2.PeerReply:
-        """Take a peer's message and return the reply."""
+        """Process a peer's message and return the reply."""
         now = self._clock.now()
         reply = peer_pb2.PeerReply(
             number=message.number,
@@ -212,12 +211,12 @@
             )
         if not view.record_message(message.incarnation, message.stopping, now):
             raise PeerUnreachableError(
-                f'{message.node_id} sends as a former incarnation: stop the '
+                f'{message.node_id} uses an outdated incarnation: stop the '
                 + 'older process of the two that share this name'
             )
         self._gossip.handle_message(message.node_id, message, reply, now)
-        for rider in self._riders:
-            rider.handle_message(message, reply)
+        for extension in self._extensions:
+            extension.handle_message(message, reply)
         for upstream_hash in message.heard_asks:
             age = self._upstream_leases.renewal_age(upstream_hash, now)
             reply.heard_ages.append(0 if age is None else age + 1)
@@ -225,9 +224,12 @@
             reply,
             [
                 self.engine_leases.handle_request(
-                    message.node_id, message.incarnation, ask, message.lease_ms
+                    message.node_id,
+                    message.incarnation,
+                    request,
+                    message.lease_ms,
                 )
-                for ask in wire.decode_requests(message)
+                for request in wire.decode_requests(message)
             ],
         )
         return reply
@@ -242,11 +244,11 @@
         )
 
     def wake(self, peer_id: NodeId) -> None:
-        """Send a peer its next message now."""
+        """Send the next message to a peer without waiting."""
         self._event_by_peer[peer_id].set()
 
     def serving_ids(self) -> frozenset[NodeId]:
-        """Return the living nodes that do not stop, this one included."""
+        """Return the live nodes that are not stopping, including this one."""
         serving = self.views.serving_ids(self._clock.now())
         return serving if self.stopping else serving | {self.identity.node_id}
 
@@ -254,11 +256,11 @@
         if self.table.retire(record, state, self._clock.now()):
             self._gossip.enqueue(record.upstream_id)
 
-    async def _spread_enough(self, upstream_id: UpstreamId) -> bool:
+    async def _wait_for_majority(self, upstream_id: UpstreamId) -> bool:
         if not self.views.by_id:
             return True
-        limit = self._clock.now() + _LEAVE_MS
-        while self._clock.now() < limit:
+        deadline = self._clock.now() + _LEAVE_TIMEOUT_MS
+        while self._clock.now() < deadline:
             alive_ids = self.views.alive_ids(self._clock.now())
             confirmed = self._gossip.confirmed_ids(upstream_id) & alive_ids
             if len(confirmed) > len(alive_ids) // 2:
@@ -266,21 +268,21 @@
             await asyncio.sleep(seconds(_LEAVE_POLL_MS))
         return False
 
-    async def _link(self, peer_id: NodeId) -> None:
+    async def _run_link(self, peer_id: NodeId) -> None:
         number = 0
-        pause = _FIRST_RETRY_MS
+        delay = _INITIAL_RETRY_MS
         while True:
             number += 1
             try:
                 await self._exchange(peer_id, number)
             except PeerUnreachableError as error:
-                if pause == _FIRST_RETRY_MS:
+                if delay == _INITIAL_RETRY_MS:
                     _log.info('A peer is out of reach.', why=str(error))
-                await asyncio.sleep(seconds(pause))
-                pause = min(pause * 2, HEARTBEAT_INTERVAL_MS)
+                await asyncio.sleep(seconds(delay))
+                delay = min(delay * 2, HEARTBEAT_INTERVAL_MS)
                 continue
-            pause = _FIRST_RETRY_MS
-            await self._wait_for_news(peer_id)
+            delay = _INITIAL_RETRY_MS
+            await self._wait_for_update(peer_id)
 
     async def _exchange(self, peer_id: NodeId, number: int) -> None:
         view = self.views.by_id[peer_id]
@@ -294,13 +296,13 @@
             stopping=self.stopping,
         )
         self._gossip.fill_message(peer_id, message)
-        message.heard_asks.extend(self._questions)
-        for rider in self._riders:
-            rider.fill_message(peer_id, message)
-        asks = wire.order_requests(
+        message.heard_asks.extend(self._lease_queries)
+        for extension in self._extensions:
+            extension.fill_message(peer_id, message)
+        requests = wire.order_requests(
             self.engine_leases.take_requests(peer_id), view.incarnation
         )
-        wire.add_requests(message, asks, view.incarnation)
+        wire.add_requests(message, requests, view.incarnation)
         try:
             async with asyncio.timeout(seconds(EXCHANGE_TIMEOUT_MS)):
                 reply = await self._transport.exchange(peer_id, message)
@@ -313,51 +315,53 @@
             return
         view.record_clock(sent_at, reply.now_ms)
         self._gossip.handle_reply(peer_id, message, reply, now)
-        for rider in self._riders:
-            rider.handle_reply(peer_id, message, reply)
+        for extension in self._extensions:
+            extension.handle_reply(peer_id, message, reply)
         self._upstream_leases.handle_renewal_ages(
             peer_id, wire.decode_renewal_ages(message, reply), sent_at
         )
-        for ask, answer in zip(asks, wire.decode_responses(reply), strict=True):
+        for request, response in zip(
+            requests, wire.decode_responses(reply), strict=True
+        ):
             self.engine_leases.handle_response(
-                peer_id, reply.incarnation, ask, answer
+                peer_id, reply.incarnation, request, response
             )
 
-    async def _wait_for_news(self, peer_id: NodeId) -> None:
+    async def _wait_for_update(self, peer_id: NodeId) -> None:
         event = self._event_by_peer[peer_id]
         try:
             async with asyncio.timeout(seconds(HEARTBEAT_INTERVAL_MS)):
                 await event.wait()
         except TimeoutError:
             return
-        await asyncio.sleep(seconds(_GATHER_MS))
+        await asyncio.sleep(seconds(_BATCH_DELAY_MS))
 
-    async def _keep_engine_leases(self) -> None:
+    async def _maintain_engine_leases(self) -> None:
         while True:
             self.engine_leases.run_step(
                 self.engine_ids(),
                 self.serving_ids(),
                 self.views.stable_ids(self._clock.now()),
             )
-            await asyncio.sleep(seconds(_ENGINE_STEP_MS))
+            await asyncio.sleep(seconds(_ENGINE_LEASE_INTERVAL_MS))
 
     async def _watch_upstream_leases(self) -> None:
         while True:
             now = self._clock.now()
             alive_ids = self.views.alive_ids(now)
-            findings = self._upstream_leases.check(now, alive_ids)
-            self._questions = findings.queries
-            for record in findings.expired:
+            check = self._upstream_leases.check(now, alive_ids)
+            self._lease_queries = check.queries
+            for record in check.expired:
                 _log.info('A lease ended.', upstream=record.upstream_id)
                 self._retire(record, UpstreamState.GONE)
             self.table.expire_tombstones(now)
-            await asyncio.sleep(seconds(_UPSTREAM_STEP_MS))
+            await asyncio.sleep(seconds(_UPSTREAM_LEASE_INTERVAL_MS))
 
 
 def _unknown_record(
     upstream_id: UpstreamId, incarnation: int
 ) -> UpstreamRecord:
-    """Return a record for an upstream that leaves before it was known."""
+    """Return a record for an upstream that leaves without announcement."""
     return UpstreamRecord(
         upstream_id=upstream_id,
         incarnation=incarnation,
--- a/verbenathread/membership/engine_leases.py
+++ b/verbenathread/membership/engine_leases.py
@@ -1,12 +1,13 @@
-"""Leases of engines over the entries of one cell, without a disk.
+"""Engine leases among the entries of one cell, kept in memory only.
 
-The proposer of PaxosLease (Trencseni, Gazso and Reinhardt 2012). An owner
-renews at a third of its lease by proposing again at the same ballot, to the
-acceptors that promised it and in the life in which they did.
+Implements the proposer of PaxosLease (Trencseni, Gazso and Reinhardt 2012).
+An owner renews after a third of its lease by proposing again at the same
+ballot, to the acceptors that promised it and still run under the same
+incarnation.
 
 Clocks are monotonic and each node uses only its own. They may run fast or
-slow by DRIFT_PER_MILLE; an owner counts its lease from before its first
-message went out and shortens it by twice that bound.
+slow by DRIFT_PER_MILLE; an owner counts its lease from before it sends its
+first message and shortens it by twice that bound.
 """
 
 import enum
@@ -24,21 +25,21 @@
 )
 from verbenathread.types import Millis, NodeId, UpstreamId
 
-# Most that a clock gains or loses over true time.
+# Maximum drift of a clock in either direction.
 DRIFT_PER_MILLE = 10
 _MILLE = 1000
-# Clocks are read in whole milliseconds, once at each end.
+# Clocks are read in whole milliseconds, at the start and at the end.
 _ROUNDING_MS = 2
 _RENEWALS_PER_LEASE = 3
-# A round without a majority is given up and begun anew after this long.
-_ROUND_MS = 400
+# A round without a majority is abandoned and restarted after this long.
+_ROUND_TIMEOUT_MS = 400
 _ROUND_JITTER_MS = 400
-# An owner gives at most one engine back to its preferred node in this time.
-_HAND_BACK_MS = 5000
+# An owner hands at most one engine back to its preferred node per interval.
+_HAND_BACK_INTERVAL_MS = 5000
 
 
 class Phase(enum.Enum):
-    """The kinds of ask that a proposer sends."""
+    """Phase of the lease protocol to which a request belongs."""
 
     PREPARE = 'prepare'
     PROPOSE = 'propose'
@@ -46,29 +47,29 @@
 
 
 class LeaseRequest(NamedTuple):
-    """One ask to one acceptor."""
+    """One request of a proposer to one acceptor."""
 
     phase: Phase
     engine: int
     round: int
-    # Life of the acceptor that gave the promise behind a proposal.
+    # Incarnation under which the acceptor promised the proposed ballot.
     acceptor_incarnation: int
-    # When the lease starts to count; never sent.
+    # Start of the lease on the proposer's clock; not sent.
     started_at: Millis
 
 
 def safe_lease(lease: Millis) -> Millis:
-    """Return how long an owner may rely on a lease by its own clock."""
+    """Return how long an owner may rely on a lease on its own clock."""
     return lease - lease * 2 * DRIFT_PER_MILLE // _MILLE - _ROUNDING_MS
 
 
 def safe_wait(wait: Millis) -> Millis:
-    """Return how long to wait so that ``wait`` ms passed on any clock."""
+    """Return how long to wait so that ``wait`` ms pass on every clock."""
     return wait + wait * 2 * DRIFT_PER_MILLE // _MILLE + _ROUNDING_MS
 
 
 class _EngineState:
-    """What the proposer knows of one engine."""
+    """Proposer state of one engine."""
 
     def __init__(self, upstream_id: UpstreamId) -> None:
         self.upstream_id = upstream_id
@@ -76,18 +77,19 @@
         self.round = 0
         self.phase = Phase.RELEASE
         self.started_at: Millis = 0
-        # Whether the running proposal renews a lease without a prepare.
+        # Whether the current proposal renews a lease without a prepare.
         self.renewing = False
+        # Acceptors that promised the current ballot.
         self.incarnation_by_node: dict[NodeId, int] = {}
         self.accepted_ids: set[NodeId] = set()
         self.held_until: Millis = 0
-        # Grows with each acquisition after a time without the lease.
+        # Incremented when the lease is acquired, but not when it is renewed.
         self.term = 0
         self.next_action_at: Millis = 0
 
 
 class EngineLeases:
-    """The proposer of one node, for all engines of its cell."""
+    """Proposer of one node for all engines of its cell."""
 
     def __init__(
         self,
@@ -99,7 +101,7 @@
         node_id: NodeId,
         lease: Millis = MAX_LEASE_MS,
     ) -> None:
-        """Take the nodes of the cell, this one included."""
+        """Manage leases among ``cell_ids``, which include this node."""
         self.lease = lease
         self._node_id = node_id
         self._cell_ids = tuple(cell_ids)
@@ -108,20 +110,20 @@
         self._clock = clock
         self._wake = wake
         self._state_by_engine: dict[int, _EngineState] = {}
-        self._asks_by_node: dict[NodeId, dict[int, LeaseRequest]] = {}
+        self._requests_by_node: dict[NodeId, dict[int, LeaseRequest]] = {}
         self._highest_round = 0
-        self._hand_back_at: Millis = 0
-        self._preferences = PreferredNodeCache()
+        self._next_hand_back_at: Millis = 0
+        self._preferred_nodes = PreferredNodeCache()
 
     def holds(self, upstream_id: UpstreamId) -> bool:
-        """Tell whether this node owns the engine at this moment."""
+        """Return whether this node owns the engine now."""
         return self._clock.now() < self.held_until(upstream_id)
 
     def term(self, upstream_id: UpstreamId) -> int:
-        """Return which unbroken time of ownership this is; 0 if none.
+        """Return the number of the current ownership term; 0 if not owner.
 
-        What was read of an engine in one term is void in the next, since
-        another node may have owned it between them.
+        State read from an engine in one term is invalid in the next, since
+        another node may have owned the engine in between.
         """
         state = self._state_by_engine.get(hash64(upstream_id))
         if state is None or self._clock.now() >= state.held_until:
@@ -129,7 +131,7 @@
         return state.term
 
     def held_terms(self) -> dict[UpstreamId, int]:
-        """Return the present term of every engine that is held now."""
+        """Return the term of every engine that this node owns now."""
         now = self._clock.now()
         return {
             state.upstream_id: state.term
@@ -138,12 +140,12 @@
         }
 
     def held_until(self, upstream_id: UpstreamId) -> Millis:
-        """Return the end of this node's lease, 0 if it never had one."""
+        """Return the end of this node's lease; 0 if it never had one."""
         state = self._state_by_engine.get(hash64(upstream_id))
         return 0 if state is None else state.held_until
 
     def owner(self, upstream_id: UpstreamId) -> NodeId | None:
-        """Return who owns the engine as far as this node knows."""
+        """Return the owner of the engine, if known to this node."""
         holder = self._acceptor.holder(hash64(upstream_id))
         if self.holds(upstream_id):
             return self._node_id
@@ -157,11 +159,11 @@
         alive_ids: frozenset[NodeId],
         stable_ids: Collection[NodeId],
     ) -> None:
-        """Acquire, renew and hand back what is due.
+        """Acquire, renew and hand back the leases that are due.
 
-        ``alive_ids`` may own engines, this node included unless it stops;
-        an engine is handed back only to one of ``settled_ids``, which are
-        other nodes.
+        ``alive_ids`` are the nodes that may own engines, including this one
+        unless it is stopping; an engine is handed back only to one of
+        ``stable_ids``, which are other nodes.
         """
         now = self._clock.now()
         states = [self._state(upstream_id) for upstream_id in upstream_ids]
@@ -169,33 +171,33 @@
         if any(
             state.next_action_at <= now < state.held_until for state in states
         ):
-            # One message renews all that are due soon as well.
+            # Renew those that are due soon in the same message.
             due_by += self.lease // _RENEWALS_PER_LEASE // 2
         for state in states:
             if now < state.held_until:
-                self._keep(state, alive_ids, stable_ids, due_by)
+                self._maintain(state, alive_ids, stable_ids, due_by)
             elif now >= state.next_action_at and self._node_id in alive_ids:
                 self._acquire(state, alive_ids)
 
     def release(self, upstream_id: UpstreamId) -> None:
-        """Give a lease up; the caller has stopped to rely on it."""
+        """Release a lease; the caller must have stopped relying on it."""
         state = self._state(upstream_id)
         state.held_until = 0
         state.phase = Phase.RELEASE
         state.next_action_at = self._clock.now() + self.lease
-        for node_id, life in state.incarnation_by_node.items():
-            self._ask(node_id, self._new_ask(state, life))
+        for node_id, incarnation in state.incarnation_by_node.items():
+            self._send(node_id, self._make_request(state, incarnation))
 
     def release_all(self) -> None:
-        """Give up every lease, for a planned stop."""
+        """Release every lease before a planned stop."""
         for state in tuple(self._state_by_engine.values()):
             if self.holds(state.upstream_id):
                 self.release(state.upstream_id)
 
     def take_requests(self, node_id: NodeId) -> tuple[LeaseRequest, ...]:
-        """Return and forget the asks that wait for one acceptor."""
-        asks = self._asks_by_node.pop(node_id, {})
-        return tuple(asks.values())
+        """Return and clear the queued requests to one acceptor."""
+        requests = self._requests_by_node.pop(node_id, {})
+        return tuple(requests.values())
 
     def handle_response(
         self,
@@ -204,7 +206,7 @@
         request: LeaseRequest,
         response: LeaseResponse,
     ) -> None:
-        """Take one acceptor's answer to one ask."""
+        """Apply the response of one acceptor to a request."""
         state = self._state_by_engine.get(request.engine)
         if state is None:
             return
@@ -216,13 +218,13 @@
             return
         if response.verdict is not Verdict.GRANTED:
             if request.phase is Phase.PROPOSE:
-                # Its promise is gone; the next renewal prepares anew.
+                # The promise is lost; the next renewal starts with a prepare.
                 state.incarnation_by_node.pop(node_id, None)
             return
         if request.phase is Phase.PREPARE:
-            self._promised(state, node_id, acceptor_incarnation)
+            self._record_promise(state, node_id, acceptor_incarnation)
         elif request.phase is Phase.PROPOSE and request.phase is state.phase:
-            self._accepted(state, node_id)
+            self._record_acceptance(state, node_id)
 
     def handle_request(
         self,
@@ -231,7 +233,7 @@
         request: LeaseRequest,
         lease: Millis,
     ) -> LeaseResponse:
-        """Answer another proposer's ask, or this node's own."""
+        """Handle a request of another proposer or of this node."""
         ballot = Ballot(request.round, node_id, incarnation)
         if request.phase is Phase.PREPARE:
             return self._acceptor.prepare(request.engine, ballot)
@@ -244,23 +246,23 @@
     def _acquire(
         self, state: _EngineState, alive_ids: frozenset[NodeId]
     ) -> None:
-        preferred = self._preferences.get(state.upstream_id, alive_ids)
+        preferred = self._preferred_nodes.get(state.upstream_id, alive_ids)
         if preferred != self._node_id:
             return
         if self.owner(state.upstream_id) is None:
             self._prepare(state)
 
-    def _keep(
+    def _maintain(
         self,
         state: _EngineState,
         alive_ids: frozenset[NodeId],
-        settled_ids: Collection[NodeId],
+        stable_ids: Collection[NodeId],
         due_by: Millis,
     ) -> None:
         now = self._clock.now()
-        preferred = self._preferences.get(state.upstream_id, alive_ids)
-        if preferred in settled_ids and now >= self._hand_back_at:
-            self._hand_back_at = now + _HAND_BACK_MS
+        preferred = self._preferred_nodes.get(state.upstream_id, alive_ids)
+        if preferred in stable_ids and now >= self._next_hand_back_at:
+            self._next_hand_back_at = now + _HAND_BACK_INTERVAL_MS
             self.release(state.upstream_id)
             return
         if state.next_action_at > due_by:
@@ -284,31 +286,31 @@
         state.renewing = False
         state.incarnation_by_node = {}
         jitter = hash64(f'{self._node_id} {state.round}') % _ROUND_JITTER_MS
-        state.next_action_at = now + _ROUND_MS + jitter
-        ask = self._new_ask(state, 0)
+        state.next_action_at = now + _ROUND_TIMEOUT_MS + jitter
+        request = self._make_request(state, 0)
         for node_id in self._cell_ids:
-            self._ask(node_id, ask)
+            self._send(node_id, request)
 
-    def _promised(
-        self, state: _EngineState, node_id: NodeId, life: int
+    def _record_promise(
+        self, state: _EngineState, node_id: NodeId, incarnation: int
     ) -> None:
-        state.incarnation_by_node[node_id] = life
+        state.incarnation_by_node[node_id] = incarnation
         if state.phase is Phase.PROPOSE:
-            # A late promise joins the running proposal.
-            self._ask(node_id, self._new_ask(state, life))
+            # A late promise joins the current proposal.
+            self._send(node_id, self._make_request(state, incarnation))
         elif len(state.incarnation_by_node) >= self._majority:
             self._propose(state)
 
     def _propose(self, state: _EngineState) -> None:
         state.phase = Phase.PROPOSE
         state.accepted_ids = set()
-        for node_id, life in tuple(state.incarnation_by_node.items()):
-            self._ask(node_id, self._new_ask(state, life))
+        for node_id, incarnation in tuple(state.incarnation_by_node.items()):
+            self._send(node_id, self._make_request(state, incarnation))
 
-    def _accepted(self, state: _EngineState, node_id: NodeId) -> None:
+    def _record_acceptance(self, state: _EngineState, node_id: NodeId) -> None:
         now = self._clock.now()
         if state.renewing and now >= state.held_until:
-            # The lease lapsed; only a new prepare can bring it back.
+            # The lease lapsed; acquiring it again takes a new prepare.
             return
         state.accepted_ids.add(node_id)
         if len(state.accepted_ids) < self._majority:
@@ -322,18 +324,26 @@
             state.held_until, state.started_at + safe_lease(self.lease)
         )
 
-    def _ask(self, node_id: NodeId, ask: LeaseRequest) -> None:
+    def _send(self, node_id: NodeId, request: LeaseRequest) -> None:
         if node_id == self._node_id:
-            life = self._acceptor.incarnation
-            answer = self.handle_request(node_id, life, ask, self.lease)
-            self.handle_response(node_id, life, ask, answer)
+            incarnation = self._acceptor.incarnation
+            response = self.handle_request(
+                node_id, incarnation, request, self.lease
+            )
+            self.handle_response(node_id, incarnation, request, response)
             return
-        self._asks_by_node.setdefault(node_id, {})[ask.engine] = ask
+        self._requests_by_node.setdefault(node_id, {})[request.engine] = request
         self._wake(node_id)
 
-    def _new_ask(self, state: _EngineState, life: int) -> LeaseRequest:
+    def _make_request(
+        self, state: _EngineState, incarnation: int
+    ) -> LeaseRequest:
         return LeaseRequest(
-            state.phase, state.engine, state.round, life, state.started_at
+            state.phase,
+            state.engine,
+            state.round,
+            incarnation,
+            state.started_at,
         )
 
     def _state(self, upstream_id: UpstreamId) -> _EngineState:
--- a/verbenathread/membership/gossip.py
+++ b/verbenathread/membership/gossip.py
@@ -1,11 +1,11 @@
-"""Spread of upstream records between the entries of a cell.
+"""Gossip of upstream records between the entries of a cell.
 
 Each node keeps, for each peer, the identifiers of records that the peer has
-not confirmed yet. A message carries those records; its reply confirms them,
-so that a lost message delays news and never stalls it. Whoever hears news
-passes it on. Digests travel with each message; when two stay unequal, the
-nodes compare the ranks of all their records (anti-entropy, Demers et al.
-1987).
+not confirmed yet. A message carries those records and its reply confirms
+them, so a lost message delays an update but doesn't lose it. A node that
+receives a new record passes it on. Each message carries a digest; when the
+digests of two nodes stay unequal, the nodes compare the ranks of all their
+records (anti-entropy, Demers et al. 1987).
 """
 
 from collections.abc import Callable, Iterable
@@ -15,14 +15,14 @@
 from verbenathread.schema import peer_pb2
 from verbenathread.types import Millis, NodeId, UpstreamId, UpstreamRecord
 
-# Most records in one message.
-_BATCH = 200
-# Replies with another digest, and nothing to send, before ranks are compared.
-_UNEQUAL_REPLIES = 2
+_MAX_RECORDS_PER_MESSAGE = 200
+# Replies with a different digest, while no record is pending, after which the
+# ranks are compared.
+_MAX_DIGEST_MISMATCHES = 2
 
 
 class _PeerState:
-    """What one peer has not confirmed, and how its digest compares."""
+    """Unconfirmed records and digest mismatches of one peer."""
 
     def __init__(self) -> None:
         self.pending: dict[UpstreamId, None] = {}
@@ -30,7 +30,7 @@
 
 
 class Gossip:
-    """News for each peer, and what their messages bring."""
+    """Exchanges upstream records with each peer."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         peer_ids: Iterable[NodeId],
         wake: Callable[[NodeId], None],
     ) -> None:
-        """Take the table; ``wake`` is told which peer has news waiting."""
+        """Share ``table``; ``wake`` is called with a peer that has updates."""
         self._table = table
         self._wake = wake
         self._state_by_peer = {peer_id: _PeerState() for peer_id in peer_ids}
@@ -50,7 +50,7 @@
             self._wake(peer_id)
 
     def confirmed_ids(self, upstream_id: UpstreamId) -> frozenset[NodeId]:
-        """Return the peers that have the record as it stands here."""
+        """Return the peers that confirmed the current record."""
         return frozenset(
             peer_id
             for peer_id, state in self._state_by_peer.items()
@@ -60,16 +60,16 @@
     def fill_message(
         self, peer_id: NodeId, message: peer_pb2.PeerMessage
     ) -> None:
-        """Put news, the digest and, if due, all ranks into a message."""
+        """Add pending records, the digest and, if due, all ranks."""
         state = self._state_by_peer[peer_id]
-        for upstream_id in tuple(state.pending)[:_BATCH]:
+        for upstream_id in tuple(state.pending)[:_MAX_RECORDS_PER_MESSAGE]:
             record = self._table.get(upstream_id)
             if record is None:
                 state.pending.pop(upstream_id)
                 continue
             message.news.append(wire.encode_record(record))
         message.digest = self._table.digest()
-        if state.digest_mismatches >= _UNEQUAL_REPLIES:
+        if state.digest_mismatches >= _MAX_DIGEST_MISMATCHES:
             state.digest_mismatches = 0
             message.summary.extend(map(wire.encode_key, self._table.summary()))
 
@@ -80,15 +80,15 @@
         reply: peer_pb2.PeerReply,
         now: Millis,
     ) -> tuple[UpstreamRecord, ...]:
-        """Take a peer's message and fill the reply; return what was new."""
-        fresh = self._merge(peer_id, message.news, now)
+        """Apply a peer's message and fill the reply; return the new records."""
+        merged = self._merge(peer_id, message.news, now)
         if message.summary:
             ranks = map(wire.decode_key, message.summary)
-            differences = self._table.compare(ranks)
-            reply.wanted.extend(differences.newer_remote)
-            reply.news.extend(map(wire.encode_record, differences.newer_local))
+            diff = self._table.compare(ranks)
+            reply.wanted.extend(diff.newer_remote)
+            reply.news.extend(map(wire.encode_record, diff.newer_local))
         reply.digest = self._table.digest()
-        return fresh
+        return merged
 
     def handle_reply(
         self,
@@ -97,11 +97,11 @@
         reply: peer_pb2.PeerReply,
         now: Millis,
     ) -> tuple[UpstreamRecord, ...]:
-        """Take the reply to a message; return what was new."""
+        """Apply the reply to a message; return the new records."""
         state = self._state_by_peer[peer_id]
         for news in message.news:
             self._confirm(peer_id, wire.decode_record(news))
-        fresh = self._merge(peer_id, reply.news, now)
+        merged = self._merge(peer_id, reply.news, now)
         for upstream_id in reply.wanted:
             if self._table.get(upstream_id) is not None:
                 state.pending[upstream_id] = None
@@ -109,7 +109,7 @@
             state.digest_mismatches = 0
         else:
             state.digest_mismatches += 1
-        return fresh
+        return merged
 
     def _merge(
         self,
@@ -117,17 +117,17 @@
         messages: Iterable[peer_pb2.UpstreamNews],
         now: Millis,
     ) -> tuple[UpstreamRecord, ...]:
-        fresh = []
+        merged = []
         for news in messages:
             record = wire.decode_record(news)
             if self._table.merge(record, now):
-                fresh.append(record)
+                merged.append(record)
                 self.enqueue(record.upstream_id)
             self._confirm(peer_id, record)
-        return tuple(fresh)
+        return tuple(merged)
 
     def _confirm(self, peer_id: NodeId, record: UpstreamRecord) -> None:
-        """Note that a peer has a record, unless a greater one holds here."""
+        """Record that a peer has a record, unless a newer one is held here."""
         if self._table.get(record.upstream_id) == record:
             pending = self._state_by_peer[peer_id].pending
             pending.pop(record.upstream_id, None)
--- a/verbenathread/membership/hashing.py
+++ b/verbenathread/membership/hashing.py
@@ -1,4 +1,4 @@
-"""Hashes that all entries compute alike."""
+"""Hash functions that give the same result on every entry."""
 
 import functools
 import hashlib
@@ -13,14 +13,14 @@
 @functools.lru_cache(maxsize=_CACHED_HASHES)
 def hash64(text: str) -> int:
     """Return the first 8 bytes of the SHA-256 of ``text`` as an int."""
-    whole = hashlib.sha256(text.encode('utf-8')).digest()
-    return int.from_bytes(whole[:_HASH_BYTES], 'big')
+    digest = hashlib.sha256(text.encode('utf-8')).digest()
+    return int.from_bytes(digest[:_HASH_BYTES], 'big')
 
 
 def preferred_node(key: str, node_ids: Iterable[NodeId]) -> NodeId:
-    """Return the node that rendezvous hashing (Thaler 1996) gives a key.
+    """Return the node that rendezvous hashing (Thaler 1996) assigns to a key.
 
-    A node that comes or goes moves only the keys that it gains or loses.
+    Adding or removing a node moves only the keys that it gains or loses.
     """
     return max(
         node_ids, key=lambda node_id: (hash64(f'{node_id} {key}'), node_id)
@@ -28,15 +28,15 @@
 
 
 class PreferredNodeCache:
-    """Preferred nodes by key, kept for as long as the nodes stay the same."""
+    """Caches the preferred node of each key until the set of nodes changes."""
 
     def __init__(self) -> None:
-        """Start without nodes."""
+        """Start with an empty cache."""
         self._node_ids: frozenset[NodeId] = frozenset()
         self._node_by_key: dict[str, NodeId] = {}
 
     def get(self, key: str, node_ids: frozenset[NodeId]) -> NodeId:
-        """Return the preferred node of a key."""
+        """Return the preferred node of a key among ``node_ids``."""
         if node_ids != self._node_ids:
             self._node_ids = node_ids
             self._node_by_key.clear()
--- a/verbenathread/membership/lease_acceptor.py
+++ b/verbenathread/membership/lease_acceptor.py
@@ -1,14 +1,14 @@
-"""Acceptor of engine leases, without a disk.
+"""Acceptor of engine leases; keeps its state in memory only.
 
-One half of PaxosLease (Trencseni, Gazso and Reinhardt 2012). The other half
-is :mod:`verbenathread.membership.engine_leases`. Three rules go beyond the
-paper, because a renewal here skips the prepare phase:
+Implements the acceptor of PaxosLease (Trencseni, Gazso and Reinhardt 2012);
+the proposer is :mod:`verbenathread.membership.engine_leases`. Three rules go
+beyond the paper, because a renewal here skips the prepare phase:
 
 - a proposal is accepted only at exactly the ballot that was promised;
-- and only in the life of the acceptor that promised it, so that a promise
-  lost in a restart counts for nobody;
-- a restarted acceptor stays silent for one longest lease, after which every
-  lease that it may have accepted before has ended.
+- it is accepted only by the incarnation of the acceptor that made the
+  promise, so that a promise lost in a restart is not used;
+- a restarted acceptor rejects all requests for the maximum lease duration,
+  after which every lease that it may have accepted before has expired.
 """
 
 import enum
@@ -17,25 +17,25 @@
 from verbenathread.clock import Clock
 from verbenathread.types import Millis, NodeId
 
-# Longest lease that any node of a cell may ask for.
+# Longest lease that any node of a cell may request.
 MAX_LEASE_MS = 5000
 
 
 class Verdict(enum.IntEnum):
-    """What an acceptor answers to one ask."""
+    """Result of one lease request."""
 
-    # Prepared, and no other node holds the lease; or accepted.
+    # A prepare, and no other node holds the lease; or an accepted proposal.
     GRANTED = 1
-    # Prepared, but another node holds the lease.
+    # A prepare, but another node holds the lease.
     HELD = 2
-    # A greater ballot was promised, or the promise is of another life.
+    # A greater ballot was promised, or another incarnation promised this one.
     REFUSED = 3
-    # Started too short a time ago to know what was accepted before.
+    # Leases accepted before the restart may still be running.
     RECOVERING = 4
 
 
 class Ballot(NamedTuple):
-    """Order of proposals; unique by node and incarnation."""
+    """Orders proposals; unique by node and incarnation."""
 
     round: int
     node_id: NodeId
@@ -43,14 +43,14 @@
 
 
 class LeaseResponse(NamedTuple):
-    """The verdict on one ask, and the promised round on a refusal."""
+    """Verdict on one lease request; on a refusal, also the promised round."""
 
     verdict: Verdict
     promised_round: int = 0
 
 
 class _AcceptorState:
-    """What an acceptor remembers of one engine."""
+    """Promise and accepted lease for one engine."""
 
     def __init__(self, promised: Ballot) -> None:
         self.promised = promised
@@ -58,7 +58,7 @@
         self.expires_at: Millis = 0
 
     def holder(self, now: Millis) -> Ballot | None:
-        """Return the ballot whose lease has not ended here."""
+        """Return the accepted ballot if its lease has not expired here."""
         return self.accepted if now <= self.expires_at else None
 
 
@@ -67,32 +67,32 @@
 
 
 class LeaseAcceptor:
-    """Answers proposers; one for each node of a cell.
+    """Handles requests of proposers; each node of a cell runs one.
 
-    An engine is never forgotten within a life, because its promise would be
-    lost; an entry is a few hundred bytes for each engine ever seen.
+    State is kept for every engine until the process ends, since dropping it
+    would lose the promise. It takes a few hundred bytes for each engine.
     """
 
     def __init__(self, clock: Clock, incarnation: int) -> None:
         """Take the clock and the incarnation of this process."""
         self.incarnation = incarnation
         self._clock = clock
-        self._speaks_at = clock.now() + MAX_LEASE_MS
-        self._slot_by_engine: dict[int, _AcceptorState] = {}
+        self._recovered_at = clock.now() + MAX_LEASE_MS
+        self._state_by_engine: dict[int, _AcceptorState] = {}
 
     def is_recovering(self) -> bool:
-        """Tell whether a lease of the former life may still run."""
-        return self._clock.now() <= self._speaks_at
+        """Return whether a lease accepted before the restart may still run."""
+        return self._clock.now() <= self._recovered_at
 
     def prepare(self, engine: int, ballot: Ballot) -> LeaseResponse:
-        """Promise to accept nothing below a ballot."""
+        """Promise to accept no proposal below ``ballot``."""
         if self.is_recovering():
             return LeaseResponse(Verdict.RECOVERING)
-        slot = self._slot_by_engine.setdefault(engine, _AcceptorState(ballot))
-        if ballot < slot.promised:
-            return LeaseResponse(Verdict.REFUSED, slot.promised.round)
-        slot.promised = ballot
-        holder = slot.holder(self._clock.now())
+        state = self._state_by_engine.setdefault(engine, _AcceptorState(ballot))
+        if ballot < state.promised:
+            return LeaseResponse(Verdict.REFUSED, state.promised.round)
+        state.promised = ballot
+        holder = state.holder(self._clock.now())
         if holder is None or _same_owner(holder, ballot):
             return LeaseResponse(Verdict.GRANTED)
         return LeaseResponse(Verdict.HELD)
@@ -103,32 +103,32 @@
         """Accept or renew a lease at the promised ballot."""
         if self.is_recovering():
             return LeaseResponse(Verdict.RECOVERING)
-        slot = self._slot_by_engine.get(engine)
+        state = self._state_by_engine.get(engine)
         if (
-            slot is None
+            state is None
             or incarnation != self.incarnation
             or lease > MAX_LEASE_MS
         ):
             return LeaseResponse(Verdict.REFUSED)
-        if ballot != slot.promised:
-            return LeaseResponse(Verdict.REFUSED, slot.promised.round)
-        slot.accepted = ballot
-        slot.expires_at = self._clock.now() + lease
+        if ballot != state.promised:
+            return LeaseResponse(Verdict.REFUSED, state.promised.round)
+        state.accepted = ballot
+        state.expires_at = self._clock.now() + lease
         return LeaseResponse(Verdict.GRANTED)
 
     def release(self, engine: int, ballot: Ballot) -> LeaseResponse:
-        """Forget a lease that its owner gave up."""
-        slot = self._slot_by_engine.get(engine)
-        if slot is not None and slot.accepted == ballot:
-            slot.accepted = None
+        """Clear a lease that its owner released."""
+        state = self._state_by_engine.get(engine)
+        if state is not None and state.accepted == ballot:
+            state.accepted = None
         return LeaseResponse(Verdict.GRANTED)
 
     def holder(self, engine: int) -> Ballot | None:
-        """Return who holds a lease as far as this acceptor knows."""
-        slot = self._slot_by_engine.get(engine)
-        return None if slot is None else slot.holder(self._clock.now())
+        """Return the ballot of the unexpired lease that was accepted here."""
+        state = self._state_by_engine.get(engine)
+        return None if state is None else state.holder(self._clock.now())
 
     def promised_round(self, engine: int) -> int:
-        """Return the round of the greatest promise; 0 if there is none."""
-        slot = self._slot_by_engine.get(engine)
-        return 0 if slot is None else slot.promised.round
+        """Return the greatest promised round; 0 if there is none."""
+        state = self._state_by_engine.get(engine)
+        return 0 if state is None else state.promised.round
--- a/verbenathread/membership/peer_view.py
+++ b/verbenathread/membership/peer_view.py
@@ -1,80 +1,81 @@
-"""What a node knows of each other node of its cell."""
+"""Liveness and clock of each peer, as seen by one node of the cell."""
 
 from collections.abc import Iterable
 
 from verbenathread.membership.engine_leases import DRIFT_PER_MILLE
 from verbenathread.types import Millis, NodeId
 
-# A peer from which nothing was heard for this long is not asked for memory
-# and owns no engine anew.
+# A peer that sent no message for this long gets no reservation requests and
+# can't become the owner of an engine.
 ALIVE_TIMEOUT_MS = 3000
-# A peer gets engines back once it has been alive this long.
+# A peer gets its preferred engines back once it was alive for this long.
 STABLE_AFTER_MS = 30_000
 _MILLE = 1000
 
 
 class PeerView:
-    """One peer: its incarnation, when it was heard, and its clock."""
+    """Incarnation, time of the last message and clock of one peer."""
 
     def __init__(self, node_id: NodeId) -> None:
-        """Start as never heard."""
+        """Start as a peer that has sent no message."""
         self.node_id = node_id
         self.incarnation = 0
         self.stopping = False
-        self._heard_at: Millis | None = None
+        self._last_message_at: Millis | None = None
         self._alive_since: Millis = 0
         self._sent_at: Millis = 0
-        self._peer_now: Millis | None = None
+        self._peer_clock: Millis | None = None
 
     def record_message(
         self, incarnation: int, stopping: bool, now: Millis
     ) -> bool:
-        """Note a message; False if it comes from a former life."""
+        """Record a message; return False if its incarnation is outdated."""
         if incarnation < self.incarnation:
             return False
         if incarnation > self.incarnation or not self.is_alive(now):
             self._alive_since = now
         if incarnation > self.incarnation:
-            self._peer_now = None
+            self._peer_clock = None
         self.incarnation = incarnation
         self.stopping = stopping
-        self._heard_at = now
+        self._last_message_at = now
         return True
 
     def is_alive(self, now: Millis) -> bool:
-        """Tell whether the peer was heard a short time ago."""
+        """Return whether the peer sent a message within the timeout."""
         return (
-            self._heard_at is not None
-            and now - self._heard_at < ALIVE_TIMEOUT_MS
+            self._last_message_at is not None
+            and now - self._last_message_at < ALIVE_TIMEOUT_MS
         )
 
     def is_stable(self, now: Millis) -> bool:
-        """Tell whether the peer has been alive for long."""
+        """Return whether the peer has been alive for STABLE_AFTER_MS."""
         return self.is_alive(now) and now - self._alive_since >= STABLE_AFTER_MS
 
-    def record_clock(self, sent_at: Millis, peer_now: Millis) -> None:
-        """Note the peer's clock from a reply to a message sent then."""
+    def record_clock(self, sent_at: Millis, peer_clock: Millis) -> None:
+        """Record the peer's clock from the reply to a message."""
         self._sent_at = sent_at
-        self._peer_now = peer_now
+        self._peer_clock = peer_clock
 
     def earliest_local_time(self, peer_time: Millis) -> Millis | None:
-        """Return a local time that is surely not after a peer's moment.
+        """Return a lower bound of a peer's clock time on the local clock.
 
-        The peer read its clock after the message was sent, so that moment
-        can't lie before the sum; drift since then is taken off.
+        The peer read its clock after the message was sent, so ``peer_time``
+        is at least as long after the sending as it is after that reading;
+        the maximum drift in between is subtracted.
         """
-        if self._peer_now is None:
+        if self._peer_clock is None:
             return None
-        ahead = peer_time - self._peer_now
+        ahead = peer_time - self._peer_clock
         drift = abs(ahead) * 2 * DRIFT_PER_MILLE // _MILLE
         return self._sent_at + ahead - drift
 
 
 class PeerViews:
-    """The views of all peers of a cell, by node identifier."""
+    """Views of all peers of a cell by node identifier."""
 
     def __init__(self, node_id: NodeId, cell_ids: Iterable[NodeId]) -> None:
-        """Take the nodes of the cell, this one included."""
+        """Create a view of each node in ``cell_ids`` other than this one."""
         self.node_id = node_id
         self.by_id = {
             peer_id: PeerView(peer_id)
@@ -83,7 +84,7 @@
         }
 
     def alive_ids(self, now: Millis) -> frozenset[NodeId]:
-        """Return the peers heard a short time ago, this node not included."""
+        """Return the peers that are alive, without this node."""
         return frozenset(
             peer_id
             for peer_id, view in self.by_id.items()
@@ -91,7 +92,7 @@
         )
 
     def serving_ids(self, now: Millis) -> frozenset[NodeId]:
-        """Return the living peers that do not stop."""
+        """Return the live peers that are not stopping."""
         return frozenset(
             peer_id
             for peer_id in self.alive_ids(now)
@@ -99,7 +100,7 @@
         )
 
     def stable_ids(self, now: Millis) -> frozenset[NodeId]:
-        """Return the serving peers that have been alive for long."""
+        """Return the serving peers that have been alive for STABLE_AFTER_MS."""
         return frozenset(
             peer_id
             for peer_id in self.serving_ids(now)
--- a/verbenathread/membership/upstreams.py
+++ b/verbenathread/membership/upstreams.py
@@ -1,4 +1,4 @@
-"""Table of the upstreams that a node knows, merged from what others say."""
+"""Table of all known upstreams, merged from the records of all nodes."""
 
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple
@@ -12,32 +12,32 @@
 )
 
 # How long the record of a gone upstream is kept, so that an older record
-# from a peer that was cut off can't revive it.
+# from a peer that was isolated can't restore it.
 TOMBSTONE_TTL_MS = 3_600_000
 
 
 class UpstreamKey(NamedTuple):
-    """How one record ranks, without its details."""
+    """Rank of one record, without its details."""
 
     upstream_id: UpstreamId
     incarnation: int
     state: int
     version: int
-    # Hash of the whole record, for two that rank alike.
+    # Hash of the whole record; orders records that are otherwise equal.
     check: int
 
 
 class TableDiff(NamedTuple):
-    """What two tables do not share."""
+    """Records in which two tables differ."""
 
-    # Records that the other side lacks or holds in an older form.
+    # Records that the other table lacks or has in an older version.
     newer_local: tuple[UpstreamRecord, ...]
-    # Identifiers of records that the other side holds in a newer form.
+    # Identifiers of records that the other table has in a newer version.
     newer_remote: tuple[UpstreamId, ...]
 
 
 def record_checksum(record: UpstreamRecord) -> int:
-    """Return a hash of the whole record, alike on every node."""
+    """Return a hash of the whole record that is the same on every node."""
     return hash64(repr(tuple(record)))
 
 
@@ -53,9 +53,9 @@
 
 
 def _outranks(key: UpstreamKey, other: UpstreamKey | None) -> bool:
-    """Tell whether a node with the other rank needs the record.
+    """Return whether a node whose record ranks ``other`` needs this one.
 
-    One that never knew an upstream needs no news of its end.
+    A node that never had the upstream needs no record of its end.
     """
     if other is None:
         return key.state != UpstreamState.GONE
@@ -63,14 +63,14 @@
 
 
 class UpstreamTable:
-    """Upstream records by identifier; of two the greater one holds.
+    """Upstream records by identifier; the record of greater rank wins.
 
-    Only one thread changes a table. Others may call :meth:`get` and
-    :meth:`ready`, which read whole values that are replaced, not changed.
+    Only one thread changes a table. Other threads may call :meth:`get` and
+    :meth:`ready`, which read immutable values that are replaced as a whole.
     """
 
     def __init__(self) -> None:
-        """Start without upstreams."""
+        """Start with an empty table."""
         self._record_by_id: dict[UpstreamId, UpstreamRecord] = {}
         self._key_by_id: dict[UpstreamId, UpstreamKey] = {}
         self._id_by_hash: dict[int, UpstreamId] = {}
@@ -79,15 +79,15 @@
         self._digest = 0
 
     def __iter__(self) -> Iterator[UpstreamRecord]:
-        """Iterate over all records, in whatever state."""
+        """Iterate over all records, whatever their state."""
         return iter(tuple(self._record_by_id.values()))
 
     def __len__(self) -> int:
-        """Return how many records are held."""
+        """Return the number of records."""
         return len(self._record_by_id)
 
     def get(self, upstream_id: UpstreamId) -> UpstreamRecord | None:
-        """Return one upstream in whatever state, or None."""
+        """Return one upstream, whatever its state, or None."""
         return self._record_by_id.get(upstream_id)
 
     def by_hash(self, upstream_hash: int) -> UpstreamRecord | None:
@@ -96,14 +96,14 @@
         return None if upstream_id is None else self.get(upstream_id)
 
     def ready(self, service: str) -> tuple[UpstreamRecord, ...]:
-        """Return the upstreams of a service that may get new work."""
+        """Return the upstreams of a service that accept new requests."""
         return self._ready_by_service.get(service, ())
 
     def digest(self) -> int:
-        """Return the XOR of the checks of all records that aren't gone.
+        """Return the XOR of the checksums of all records that aren't gone.
 
-        Gone ones count only against a peer that still holds them in an
-        earlier state, and nodes may forget them at different times.
+        Gone records matter only to a peer that still has them in an earlier
+        state, and nodes may drop them at different times.
         """
         return self._digest
 
@@ -116,10 +116,10 @@
         return self._key_by_id.get(upstream_id)
 
     def merge(self, record: UpstreamRecord, now: Millis) -> bool:
-        """Take a record if it outranks the one held; say whether it did.
+        """Store a record if it outranks the held one; return whether it did.
 
-        A leave that came before the announcement carries no details; those
-        held here are kept, in a version that outranks it.
+        A leave that arrived before the announcement carries no details; the
+        ones held here are kept, in a version that outranks it.
         """
         record = self._with_details(record)
         key = record_key(record)
@@ -130,9 +130,9 @@
         return True
 
     def announce(self, record: UpstreamRecord, now: Millis) -> bool:
-        """Take an announcement or a renewal; say whether it was news.
+        """Apply an announcement or renewal; return whether the table changed.
 
-        A renewal never changes the state of an incarnation that leaves.
+        A renewal never changes the state of an incarnation that is leaving.
         """
         held = self.get(record.upstream_id)
         if held is None or record.incarnation > held.incarnation:
@@ -157,7 +157,7 @@
         )
 
     def compare(self, summary: Iterable[UpstreamKey]) -> TableDiff:
-        """Compare with the ranks that another node holds."""
+        """Compare with the ranks of another table."""
         key_by_id = {key.upstream_id: key for key in summary}
         newer_there = [
             key.upstream_id
@@ -172,7 +172,7 @@
         return TableDiff(tuple(newer_here), tuple(newer_there))
 
     def expire_tombstones(self, now: Millis) -> None:
-        """Drop the records that have been gone for long."""
+        """Drop the records that have been gone for TOMBSTONE_TTL_MS."""
         for upstream_id, gone_at in tuple(self._gone_at_by_id.items()):
             if now - gone_at < TOMBSTONE_TTL_MS:
                 continue
--- a/verbenathread/membership/wire.py
+++ b/verbenathread/membership/wire.py
@@ -1,4 +1,4 @@
-"""Messages between entries, to and from the types of this package."""
+"""Conversion between messages of entries and the types of this package."""
 
 from collections.abc import Iterable, Sequence
 
@@ -16,7 +16,7 @@
 
 
 def encode_record(record: UpstreamRecord) -> peer_pb2.UpstreamNews:
-    """Return the message for one record."""
+    """Encode one upstream record."""
     return peer_pb2.UpstreamNews(
         upstream_id=record.upstream_id,
         incarnation=record.incarnation,
@@ -34,7 +34,7 @@
 
 
 def decode_record(news: peer_pb2.UpstreamNews) -> UpstreamRecord:
-    """Return the record in one message."""
+    """Decode one upstream record."""
     return UpstreamRecord(
         upstream_id=news.upstream_id,
         incarnation=news.incarnation,
@@ -51,7 +51,7 @@
 
 
 def encode_key(key: UpstreamKey) -> peer_pb2.UpstreamKey:
-    """Return the message for the rank of one record."""
+    """Encode the rank of one record."""
     return peer_pb2.UpstreamKey(
         upstream_id=key.upstream_id,
         incarnation=key.incarnation,
@@ -62,7 +62,7 @@
 
 
 def decode_key(message: peer_pb2.UpstreamKey) -> UpstreamKey:
-    """Return the rank in one message."""
+    """Decode the rank of one record."""
     return UpstreamKey(
         message.upstream_id,
         message.incarnation,
@@ -73,46 +73,51 @@
 
 
 def order_requests(
-    asks: Iterable[LeaseRequest], life: int
+    requests: Iterable[LeaseRequest], incarnation: int
 ) -> tuple[LeaseRequest, ...]:
-    """Return the asks in the order of the wire.
+    """Return the requests in the order in which a message lists them.
 
-    A proposal whose promise came from another life of the acceptor than
-    ``life`` is left out: it would only be refused.
+    A proposal whose promise came from another incarnation of the acceptor is
+    left out, since the acceptor would refuse it.
     """
-    by_step: dict[Phase, list[LeaseRequest]] = {step: [] for step in Phase}
-    for ask in asks:
-        if ask.phase is Phase.PROPOSE and ask.acceptor_incarnation != life:
+    by_phase: dict[Phase, list[LeaseRequest]] = {phase: [] for phase in Phase}
+    for request in requests:
+        if (
+            request.phase is Phase.PROPOSE
+            and request.acceptor_incarnation != incarnation
+        ):
             continue
-        by_step[ask.phase].append(ask)
+        by_phase[request.phase].append(request)
     return (
-        *by_step[Phase.PREPARE],
-        *by_step[Phase.PROPOSE],
-        *by_step[Phase.RELEASE],
+        *by_phase[Phase.PREPARE],
+        *by_phase[Phase.PROPOSE],
+        *by_phase[Phase.RELEASE],
     )
 
 
 def add_requests(
-    message: peer_pb2.PeerMessage, asks: Sequence[LeaseRequest], life: int
+    message: peer_pb2.PeerMessage,
+    requests: Sequence[LeaseRequest],
+    incarnation: int,
 ) -> None:
-    """Put ordered asks into a message."""
-    batch_by_step = {
+    """Add ordered lease requests to a message."""
+    batch_by_phase = {
         Phase.PREPARE: message.prepare,
         Phase.PROPOSE: message.propose,
         Phase.RELEASE: message.release,
     }
-    for ask in asks:
-        batch_by_step[ask.phase].engines.append(ask.engine)
-        batch_by_step[ask.phase].rounds.append(ask.round)
+    for request in requests:
+        batch_by_phase[request.phase].engines.append(request.engine)
+        batch_by_phase[request.phase].rounds.append(request.round)
     if message.propose.engines:
-        message.acceptor_incarnation = life
+        message.acceptor_incarnation = incarnation
 
 
 def decode_requests(message: peer_pb2.PeerMessage) -> tuple[LeaseRequest, ...]:
-    """Return the asks in a message, in the order of the wire."""
-    asks = []
-    life = message.acceptor_incarnation
-    for step, batch in (
+    """Decode the lease requests of a message, in its order."""
+    requests = []
+    incarnation = message.acceptor_incarnation
+    for phase, batch in (
         (Phase.PREPARE, message.prepare),
         (Phase.PROPOSE, message.propose),
         (Phase.RELEASE, message.release),
@@ -120,21 +125,23 @@
         for engine, ballot_round in zip(
             batch.engines, batch.rounds, strict=True
         ):
-            asks.append(LeaseRequest(step, engine, ballot_round, life, 0))
-    return tuple(asks)
+            requests.append(
+                LeaseRequest(phase, engine, ballot_round, incarnation, 0)
+            )
+    return tuple(requests)
 
 
 def add_responses(
-    reply: peer_pb2.PeerReply, answers: Iterable[LeaseResponse]
+    reply: peer_pb2.PeerReply, responses: Iterable[LeaseResponse]
 ) -> None:
-    """Put the answers to a message's asks into its reply."""
-    for answer in answers:
-        reply.leases.verdicts.append(int(answer.verdict))
-        reply.leases.rounds.append(answer.promised_round)
+    """Add the responses to a message's lease requests to its reply."""
+    for response in responses:
+        reply.leases.verdicts.append(int(response.verdict))
+        reply.leases.rounds.append(response.promised_round)
 
 
 def decode_responses(reply: peer_pb2.PeerReply) -> tuple[LeaseResponse, ...]:
-    """Return the answers in a reply, in the order of the asks."""
+    """Decode the lease responses of a reply, in the order of the requests."""
     return tuple(
         LeaseResponse(Verdict(verdict), promised_round)
         for verdict, promised_round in zip(
@@ -146,7 +153,7 @@
 def decode_renewal_ages(
     message: peer_pb2.PeerMessage, reply: peer_pb2.PeerReply
 ) -> tuple[RenewalAge, ...]:
-    """Return what a reply says of the upstreams that were asked for."""
+    """Decode the renewal ages of the upstreams that a message queried."""
     return tuple(
         RenewalAge(upstream_hash, age - 1 if age else None)
         for upstream_hash, age in zip(
