--- a/verbenathread/observability/__init__.py
+++ b/verbenathread/observability/__init__.py
@@ -1,1 +1,1 @@
-"""Logs and metrics."""
+"""Logs, metrics, status endpoints and the history of a request."""
--- a/verbenathread/observability/logs.py
+++ b/verbenathread/observability/logs.py
@@ -1,8 +1,8 @@
-"""Structured logs on standard error, or on a stream of the caller's.
+"""Structured logs on standard error or on a given stream.
 
-Each part of the program logs through its own logger, whose prefix heads
-every sentence. Keys, prompts and answers are never logged; the names in
-``_SECRET_FIELDS`` are blanked as a second guard.
+Each component logs through its own logger, whose name prefixes the event of
+each line. Keys, prompts and responses are never logged; as a safeguard, the
+fields in ``_SECRET_FIELDS`` are redacted.
 """
 
 import contextvars
@@ -34,7 +34,7 @@
 
 
 def get_logger(component: str) -> structlog.typing.FilteringBoundLogger:
-    """Return the logger of one part; ``part`` heads each of its sentences."""
+    """Return the logger of a component; its name prefixes each event."""
     logger: structlog.typing.FilteringBoundLogger = structlog.get_logger(
         part=component
     )
@@ -42,20 +42,20 @@
 
 
 def set_request_id(request_id: str) -> None:
-    """Put ``request_id`` on every line that this thread or task logs."""
+    """Add ``request_id`` to every line that this thread or task logs."""
     _request_id.set(request_id)
 
 
 def configure(level: str, style: str, stream: Any = None) -> None:
-    """Write lines of at least ``level`` as ``json`` or ``text``."""
+    """Log lines of at least ``level``; ``style`` is ``json`` or ``text``."""
     renderer: Any = structlog.processors.JSONRenderer()
     if style == 'text':
         renderer = structlog.dev.ConsoleRenderer(colors=False)
     structlog.configure(
         processors=[
             _add_request_id,
-            _blank_secrets,
-            _prefix_part,
+            _redact_secrets,
+            _prefix_component,
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt='iso', utc=True),
             structlog.processors.format_exc_info,
@@ -76,13 +76,13 @@
     return event
 
 
-def _blank_secrets(logger: Any, method: str, event: _Event) -> _Event:
+def _redact_secrets(logger: Any, method: str, event: _Event) -> _Event:
     for name in _SECRET_FIELDS.intersection(event):
         event[name] = '(not logged)'
     return event
 
 
-def _prefix_part(logger: Any, method: str, event: _Event) -> _Event:
+def _prefix_component(logger: Any, method: str, event: _Event) -> _Event:
     part = event.pop('part', '')
     if part:
         event['event'] = f'{part}: {event["event"]}'
--- a/verbenathread/observability/metrics.py
+++ b/verbenathread/observability/metrics.py
@@ -1,8 +1,8 @@
-"""Metrics of the daemons, for Prometheus."""
+"""Prometheus metrics of the daemons."""
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram
 
-# Upper bounds of the prompt-length buckets, in tokens, and their labels.
+# Upper bounds of the prompt length buckets in tokens, and their labels.
 LENGTH_BUCKETS = (
     (4_096, '4k'),
     (32_768, '32k'),
@@ -29,7 +29,7 @@
 
 
 def length_label(prompt_tokens: int) -> str:
-    """Return the label of the length bucket that holds the prompt."""
+    """Return the label of the bucket for a prompt of this length."""
     for bound, label in LENGTH_BUCKETS:
         if prompt_tokens <= bound:
             return label
@@ -37,10 +37,10 @@
 
 
 class EntryMetrics:
-    """What one entry counts."""
+    """Metrics of one entry."""
 
     def __init__(self) -> None:
-        """Make the metrics on a registry of their own."""
+        """Create the metrics in a registry of their own."""
         self.registry = CollectorRegistry()
         self.first_token = Histogram(
             'verbenathread_first_token_seconds',
@@ -95,10 +95,10 @@
 
 
 class ControlMetrics:
-    """What one control process counts."""
+    """Metrics of one control process."""
 
     def __init__(self) -> None:
-        """Make the metrics on a registry of their own."""
+        """Create the metrics in a registry of their own."""
         self.registry = CollectorRegistry()
         self.leads = Gauge(
             'verbenathread_control_leads',
--- a/verbenathread/observability/request_history.py
+++ b/verbenathread/observability/request_history.py
@@ -1,15 +1,16 @@
-"""The story of one request, out of the log lines of all nodes."""
+"""History of one request, extracted from the log lines of all nodes."""
 
 import json
 from collections.abc import Iterable
 from typing import Any, NamedTuple
 
-# Lines that say what a node believes count from this long before a request.
-_BEFORE_MS = 5000
+# Lines about the state of a node are included from this long before the first
+# line of the request.
+_LOOKBACK_MS = 5000
 _DATE_LENGTH = len('2026-01-01T')
-_HIDDEN = frozenset(('event', 'level', 'timestamp', 'request_id'))
-_MS = 1000
-_SECONDS = (3600, 60, 1)
+_OMITTED_FIELDS = frozenset(('event', 'level', 'timestamp', 'request_id'))
+_MS_PER_SECOND = 1000
+_CLOCK_UNIT_SECONDS = (3600, 60, 1)
 
 
 class LogLine(NamedTuple):
@@ -17,76 +18,79 @@
 
     # Milliseconds since midnight, UTC.
     time_ms: int
-    # What stands before the JSON, such as the node that a collector names.
+    # Text before the JSON, such as the node name added by a log collector.
     source: str
     fields: dict[str, Any]
 
 
 def format_request_history(texts: Iterable[str], request_id: str) -> list[str]:
-    """Return the story of ``request_id``, a line for each decision."""
-    lines = [line for line in map(_read, texts) if line is not None]
-    own = [
+    """Return the lines that explain what happened to a request."""
+    lines = [line for line in map(_parse, texts) if line is not None]
+    request_lines = [
         line for line in lines if line.fields.get('request_id') == request_id
     ]
-    if not own:
+    if not request_lines:
         return []
-    first = min(line.time_ms for line in own) - _BEFORE_MS
-    last = max(line.time_ms for line in own)
-    workers = {line.fields.get('worker') for line in own} - {None}
-    sources = {line.source for line in own}
-    chosen = [
+    first = min(line.time_ms for line in request_lines) - _LOOKBACK_MS
+    last = max(line.time_ms for line in request_lines)
+    workers = {line.fields.get('worker') for line in request_lines} - {None}
+    sources = {line.source for line in request_lines}
+    selected = [
         line
         for line in lines
         if first <= line.time_ms <= last
-        and _is_about(line, request_id, workers, sources)
+        and _is_relevant(line, request_id, workers, sources)
     ]
-    chosen.sort(key=_moment)
-    return [_show(line) for line in chosen]
+    selected.sort(key=_time_of)
+    return [_format(line) for line in selected]
 
 
-def _is_about(
+def _is_relevant(
     line: LogLine, request_id: str, workers: set[Any], sources: set[str]
 ) -> bool:
-    """Tell whether a line is the request's or touches what decided it."""
-    own_id = line.fields.get('request_id')
-    if own_id is not None:
-        return bool(own_id == request_id)
+    """Return whether a line belongs to the request or may explain it."""
+    line_request_id = line.fields.get('request_id')
+    if line_request_id is not None:
+        return bool(line_request_id == request_id)
     worker = line.fields.get('worker')
     if worker is not None:
         return worker in workers
     return line.source in sources
 
 
-def _read(text: str) -> LogLine | None:
-    """Read one line; None for one that is not ours."""
+def _parse(text: str) -> LogLine | None:
+    """Parse a log line; return None for any other text."""
     start = text.find('{"')
     if start < 0:
         return None
     try:
-        said = json.loads(text[start:])
+        fields = json.loads(text[start:])
     except ValueError:
         return None
-    clock = str(said.get('timestamp', ''))[_DATE_LENGTH:].rstrip('Z')
+    clock = str(fields.get('timestamp', ''))[_DATE_LENGTH:].rstrip('Z')
     try:
         parts = [float(part) for part in clock.split(':')]
     except ValueError:
         return None
     seconds = sum(
-        part * unit for part, unit in zip(parts, _SECONDS, strict=False)
+        part * unit
+        for part, unit in zip(parts, _CLOCK_UNIT_SECONDS, strict=False)
     )
-    # The bench puts a time of its own before the node.
+    # The benchmark puts its own timestamp before the node.
     source = text[:start].split()
-    return LogLine(int(seconds * _MS), source[-1] if source else '', said)
+    return LogLine(
+        int(seconds * _MS_PER_SECOND), source[-1] if source else '', fields
+    )
 
 
-def _moment(line: LogLine) -> int:
+def _time_of(line: LogLine) -> int:
     return line.time_ms
 
 
-def _show(line: LogLine) -> str:
-    shown = []
-    for name, found in line.fields.items():
-        if name not in _HIDDEN and found is not None:
-            shown.append(f'{name}={found}')
+def _format(line: LogLine) -> str:
+    formatted = []
+    for name, value in line.fields.items():
+        if name not in _OMITTED_FIELDS and value is not None:
+            formatted.append(f'{name}={value}')
     clock = line.fields['timestamp'][_DATE_LENGTH:-4]
-    return f'{clock} {line.source} {line.fields["event"]} {" ".join(shown)}'
+    return f'{clock} {line.source} {line.fields["event"]} {" ".join(formatted)}'
--- a/verbenathread/observability/status_handler.py
+++ b/verbenathread/observability/status_handler.py
@@ -1,4 +1,4 @@
-"""Readiness and metrics over HTTP, for balancers and Prometheus."""
+"""Readiness and metrics over HTTP for load balancers and Prometheus."""
 
 from collections.abc import Callable
 
@@ -15,21 +15,21 @@
 
 
 class StatusHandler:
-    """Answers the balancer and whoever reads metrics."""
+    """Handles GET /readyz and /metrics."""
 
     def __init__(
         self, registry: CollectorRegistry, unready_reason: Callable[[], str]
     ) -> None:
-        """Show ``registry``; an empty reason means ready."""
+        """Export ``registry``; an empty reason means ready."""
         self._registry = registry
-        self._why_not_ready = unready_reason
+        self._unready_reason = unready_reason
 
     async def handle(self, request: Request, reply: ResponseWriter) -> None:
-        """Answer one question."""
+        """Handle one request."""
         if request.path == b'/readyz':
-            fault = self._why_not_ready()
-            status = _UNAVAILABLE if fault else _OK
-            reply.send(status, (), f'{fault or "ready"}\n'.encode())
+            reason = self._unready_reason()
+            status = _UNAVAILABLE if reason else _OK
+            reply.send(status, (), f'{reason or "ready"}\n'.encode())
         elif request.path == b'/metrics':
             reply.send(_OK, _TEXT, generate_latest(self._registry))
         else:
--- a/verbenathread/observability/status_server.py
+++ b/verbenathread/observability/status_server.py
@@ -1,4 +1,4 @@
-"""GET /metrics, /healthz and /readyz on a port of their own."""
+"""Server for GET /metrics, /healthz and /readyz on a separate port."""
 
 import http
 import threading
@@ -11,13 +11,13 @@
 
 from verbenathread.types import Address
 
-_WORKERS = 2
+_THREADS = 2
 _TEXT_TYPE = 'text/plain; charset=utf-8'
 _StartResponse = Callable[[str, list[tuple[str, str]]], Any]
 
 
 class StatusServer:
-    """Tells the balancer and the operators how a process fares."""
+    """Reports the health of a process to load balancers and operators."""
 
     def __init__(
         self,
@@ -25,11 +25,11 @@
         registry: CollectorRegistry,
         unready_reason: Callable[[], str],
     ) -> None:
-        """Serve ``registry``; ``ready`` returns why not, empty if it is."""
+        """Export ``registry``; an empty ``unready_reason`` means ready."""
         self._registry = registry
-        self._ready = unready_reason
+        self._unready_reason = unready_reason
         self._server = Server(
-            (listen.host, listen.port), self._answer, numthreads=_WORKERS
+            (listen.host, listen.port), self._answer, numthreads=_THREADS
         )
         self._server.shutdown_timeout = 1
         self._thread = threading.Thread(
@@ -38,17 +38,17 @@
 
     @property
     def address(self) -> Address:
-        """Return where the server listens; the port is the real one."""
+        """Return the address that is listened on, with the actual port."""
         host, port = self._server.bind_addr[:2]
         return Address(host, port)
 
     def start(self) -> None:
-        """Listen and serve in threads of their own."""
+        """Listen and serve in background threads."""
         self._server.prepare()
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop listening."""
+        """Stop the server and join its thread."""
         self._server.stop()
         self._thread.join()
 
@@ -72,8 +72,8 @@
         if path != '/readyz':
             text = b'Ask for /metrics, /healthz or /readyz.\n'
             return http.HTTPStatus.NOT_FOUND, _TEXT_TYPE, text
-        fault = self._ready()
-        if fault:
-            text = f'{fault}\n'.encode()
+        reason = self._unready_reason()
+        if reason:
+            text = f'{reason}\n'.encode()
             return http.HTTPStatus.SERVICE_UNAVAILABLE, _TEXT_TYPE, text
         return http.HTTPStatus.OK, _TEXT_TYPE, b'ready\n'
