--- a/tests/cell_network.py
+++ b/tests/cell_network.py
@@ -1,4 +1,4 @@
-"""A cell of nodes in one virtual loop, whose messages a test may cut."""
+"""Cell of nodes on a virtual event loop; tests may drop its messages."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,7 +18,7 @@
 NEVER_S = 3600
 
 
-def engine(name: str, incarnation: int = 1, version: int = 1):
+def engine_record(name: str, incarnation: int = 1, version: int = 1):
     return UpstreamRecord(
         upstream_id=name,
         incarnation=incarnation,
@@ -33,14 +33,14 @@
 
 
 class CellNetwork:
-    """Nodes by identifier; ``passes`` decides whether a message arrives."""
+    """Nodes by identifier; ``delivers`` decides if a message arrives."""
 
     def __init__(self, size: int):
         self.ids = tuple(f'entry-{number}' for number in range(size))
         self.cell_by_id: dict[str, Cell] = {}
-        self.passes: Callable[[str, str], bool] = _always
+        self.delivers: Callable[[str, str], bool] = _always_deliver
         self.bytes_sent = 0
-        self.messages = 0
+        self.message_count = 0
 
     def start(self, node_id: str, incarnation: int = 1) -> Cell:
         cell = Cell(
@@ -57,7 +57,7 @@
         return [self.start(node_id) for node_id in self.ids]
 
     async def kill(self, node_id: str) -> None:
-        """End a node at once; it says nothing more."""
+        """Stop a node abruptly, without any further message."""
         await self.cell_by_id.pop(node_id).close()
 
     async def close(self) -> None:
@@ -66,16 +66,16 @@
         )
 
     def isolate(self, *node_ids: str) -> None:
-        """Cut the named nodes off from all others."""
+        """Drop the messages between the named nodes and all others."""
         group = set(node_ids)
 
-        def passes(source: str, target: str) -> bool:
+        def delivers(source: str, target: str) -> bool:
             return (source in group) == (target in group)
 
-        self.passes = passes
+        self.delivers = delivers
 
     def heal(self) -> None:
-        self.passes = _always
+        self.delivers = _always_deliver
 
     def owners(self, name: str) -> list[str]:
         return [
@@ -88,27 +88,27 @@
         records = [cell.table.get(name) for cell in self.cell_by_id.values()]
         return {record.state if record else None for record in records}
 
-    async def carry(
+    async def deliver(
         self, source: str, target: str, message: peer_pb2.PeerMessage
     ) -> peer_pb2.PeerReply:
-        await self._travel(source, target, message.ByteSize())
+        await self._transmit(source, target, message.ByteSize())
         cell = self.cell_by_id.get(target)
         if cell is None:
             await asyncio.sleep(NEVER_S)
-            raise AssertionError('a dead node can not reply')
+            raise AssertionError('a stopped node cannot reply')
         reply = cell.handle_message(message)
-        await self._travel(target, source, reply.ByteSize())
+        await self._transmit(target, source, reply.ByteSize())
         return reply
 
-    async def _travel(self, source: str, target: str, size: int) -> None:
-        if not self.passes(source, target):
+    async def _transmit(self, source: str, target: str, size: int) -> None:
+        if not self.delivers(source, target):
             await asyncio.sleep(NEVER_S)
         self.bytes_sent += size
-        self.messages += 1
+        self.message_count += 1
         await asyncio.sleep(seconds(ONE_WAY_MS))
 
 
-def _always(source: str, target: str) -> bool:
+def _always_deliver(source: str, target: str) -> bool:
     return True
 
 
@@ -118,14 +118,14 @@
         self._node_id = node_id
 
     async def exchange(self, peer_id, message):
-        return await self._network.carry(self._node_id, peer_id, message)
+        return await self._network.deliver(self._node_id, peer_id, message)
 
 
-async def until(condition, limit_ms: int) -> bool:
-    """Wait in loop time; tell whether the condition came to hold."""
+async def wait_until(condition, limit_ms: int) -> bool:
+    """Wait in loop time; return whether the condition became true."""
     clock = LoopClock()
-    end = clock.now() + limit_ms
-    while clock.now() < end:
+    deadline = clock.now() + limit_ms
+    while clock.now() < deadline:
         if condition():
             return True
         await asyncio.sleep(0.01)
--- a/tests/node_network.py
+++ b/tests/node_network.py
@@ -3,7 +3,7 @@
 import asyncio
 import random
 
-from tests.cell_network import engine
+from tests.cell_network import engine_record
 from verbenathread.clock import LoopClock
 from verbenathread.entry.cell_node import CellNode, NodeContext
 from verbenathread.entry.peer_server import bound_socket
@@ -112,7 +112,7 @@
         for name in names:
             for node_id, node in self.node_by_id.items():
                 if node_id not in self.isolated_ids:
-                    node.cell.announce(engine(name))
+                    node.cell.announce(engine_record(name))
 
     async def keep_announcing(self, *names):
         while True:
--- a/tests/test_entry_cell_node.py
+++ b/tests/test_entry_cell_node.py
@@ -8,7 +8,7 @@
 from grpclib.const import Cardinality, Handler
 from grpclib.server import Server
 
-from tests.cell_network import engine, until
+from tests.cell_network import engine_record, wait_until
 from tests.node_network import FakeEngines, node_settings, tree_update
 from verbenathread.clock import LoopClock, SystemClock
 from verbenathread.entry.cell_node import CellNode, NodeContext
@@ -62,7 +62,7 @@
 
     async def wait_reports(self, count):
         expected_count = len(self.reports) + count
-        await until(lambda: len(self.reports) >= expected_count, LIMIT_MS)
+        await wait_until(lambda: len(self.reports) >= expected_count, LIMIT_MS)
 
     async def Session(self, stream):  # noqa: N802 - the name in the schema
         self.reports.append(await stream.recv_message())
@@ -144,7 +144,7 @@
 
 async def keep_announcing(node):
     while True:
-        node.cell.announce(engine('e1'))
+        node.cell.announce(engine_record('e1'))
         await asyncio.sleep(1)
 
 
@@ -159,11 +159,11 @@
             cell = Nodes(3)
             nodes = await asyncio.gather(*map(cell.start, range(3)))
             renewals = asyncio.create_task(keep_announcing(nodes[0]))
-            owned = await until(
+            owned = await wait_until(
                 lambda: any(node.host.owned_ids() for node in nodes), LIMIT_MS
             )
             self.assertTrue(owned)
-            known = await until(
+            known = await wait_until(
                 lambda: all(
                     node.cell.engine_leases.owner('e1') for node in nodes
                 ),
@@ -191,7 +191,7 @@
             cell = Nodes(2)
             first = await cell.start(0)
             await cell.start(1, key='another')
-            first.cell.announce(engine('e1'))
+            first.cell.announce(engine_record('e1'))
             await asyncio.sleep(1)
             self.assertEqual(first.cell.serving_ids(), {'entry-0'})
             second = cell.nodes[1].cell
@@ -226,9 +226,9 @@
             second.publish(tree_update(2))
             cell = Nodes(1, f'{first.address},{second.address}')
             node = await cell.start(0, revision=0)
-            await until(node.settings_store.revision, LIMIT_MS)
+            await wait_until(node.settings_store.revision, LIMIT_MS)
             await first.stop()
-            replaced = await until(
+            replaced = await wait_until(
                 lambda: node.settings_store.revision() == 2, LIMIT_MS
             )
             self.assertTrue(replaced)
@@ -243,7 +243,7 @@
             nodes = await asyncio.gather(
                 cell.start(0, 4), cell.start(1, 9), cell.start(2, 0)
             )
-            same = await until(
+            same = await wait_until(
                 lambda: (
                     {node.settings_store.revision() for node in nodes} == {9}
                 ),
@@ -316,9 +316,9 @@
         thread.start()
         self.assertFalse(thread.ready())
         ports = thread.interfaces
-        ports.upstreams.announce(engine('e1'))
+        ports.upstreams.announce(engine_record('e1'))
         self.assertEqual(
-            ports.upstreams.by_service('draft-desk'), (engine('e1'),)
+            ports.upstreams.by_service('draft-desk'), (engine_record('e1'),)
         )
         self.assertTrue(ports.upstreams.leave('e1', 1))
         self.assertIs(ports.upstreams.get('e1').state, UpstreamState.LEAVING)
--- a/tests/test_entry_reservation_stream.py
+++ b/tests/test_entry_reservation_stream.py
@@ -7,7 +7,7 @@
 from grpclib.const import Cardinality, Handler
 from grpclib.server import Server
 
-from tests.cell_network import until
+from tests.cell_network import wait_until
 from verbenathread.entry.peer_server import bound_socket
 from verbenathread.entry.reservation_stream import (
     ReservationStream,
@@ -99,10 +99,10 @@
         leaving = send(stream, 'leaving', True)
         late = send(stream, 'late', True, 300)
         staying = send(stream, 'staying', True)
-        await until(lambda: len(host.waiting) == 3, LIMIT_MS)
+        await wait_until(lambda: len(host.waiting) == 3, LIMIT_MS)
         leaving.cancel()
         self.assertTrue(
-            await until(lambda: host.waiting == {'staying'}, LIMIT_MS)
+            await wait_until(lambda: host.waiting == {'staying'}, LIMIT_MS)
         )
         self.assertIsInstance(late.exception(), TimeoutError)
         host.released.set()
@@ -113,10 +113,10 @@
         self, host, stream, channel
     ):
         waiting = send(stream, 'waiting', True)
-        await until(lambda: host.waiting, LIMIT_MS)
+        await wait_until(lambda: host.waiting, LIMIT_MS)
         channel.close()
         with self.assertRaises(ConnectionResetError):
             await waiting
-        self.assertTrue(await until(lambda: not host.waiting, LIMIT_MS))
+        self.assertTrue(await wait_until(lambda: not host.waiting, LIMIT_MS))
         reply = await send(stream, 'again')
         self.assertEqual(reply.reservation_id, 'again')
--- a/tests/test_entry_reservations.py
+++ b/tests/test_entry_reservations.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from tests.cell_network import until
+from tests.cell_network import wait_until
 from tests.node_network import NodeNetwork
 from tests.virtual_loop import run_virtual
 from verbenathread.entry import reservation_messages
@@ -27,7 +27,7 @@
                 for node_id in network.ids:
                     await network.start(node_id)  # noqa: WPS476 - in order
                 renewals = asyncio.create_task(network.keep_announcing(*names))
-                owned = await until(
+                owned = await wait_until(
                     lambda: all(map(network.owner, names)), OWNED_MS
                 )
                 case.assertTrue(owned)
@@ -199,7 +199,7 @@
     async def new_owner(self, network, name, old):
         """Wait for a new owner; return it and its takeover delay in ms."""
         loop = asyncio.get_running_loop()
-        leased = await until(
+        leased = await wait_until(
             lambda: any(
                 node.cell.engine_leases.holds(name)
                 for node_id, node in network.node_by_id.items()
@@ -209,7 +209,7 @@
         )
         self.assertTrue(leased)
         began = loop.time()
-        moved = await until(
+        moved = await wait_until(
             lambda: network.owner(name) not in {None, old}, 20_000
         )
         self.assertTrue(moved)
@@ -241,10 +241,10 @@
         old = network.owner('e1')
         network.engines.unreadable.add('e1')
         await network.kill(old)
-        moved = await until(lambda: network.owner('e1'), 20_000)
+        moved = await wait_until(lambda: network.owner('e1'), 20_000)
         self.assertFalse(moved)
         network.engines.unreadable.clear()
-        moved = await until(lambda: network.owner('e1'), 2000)
+        moved = await wait_until(lambda: network.owner('e1'), 2000)
         self.assertTrue(moved)
 
     @with_engines(5, 'e1', 'e2')
--- a/tests/test_membership_engine_leases.py
+++ b/tests/test_membership_engine_leases.py
@@ -1,4 +1,4 @@
-"""Property test of engine leases: never two owners at one moment."""
+"""Property test of engine leases: never two owners at the same time."""
 
 import random
 import unittest
@@ -30,7 +30,7 @@
 
 
 class DriftingClock:
-    """A clock of one node that runs fast or slow within the bound."""
+    """Clock of one node that drifts within the bound."""
 
     def __init__(self, world, per_mille, offset):
         self._world = world
@@ -38,31 +38,33 @@
         self._offset = offset
 
     def now(self):
-        gained = self._world.true_now * self._per_mille // 1000
-        return self._world.true_now + gained + self._offset
+        drift = self._world.true_now * self._per_mille // 1000
+        return self._world.true_now + drift + self._offset
 
     def wall(self):
         return self.now()
 
 
 class World:
-    """Three nodes whose messages are lost, late, doubled and reordered."""
+    """Three nodes whose messages are lost, delayed, doubled and reordered."""
 
-    def __init__(self, seed, calm=False, step=STEP_MS):
+    def __init__(self, seed, reliable=False, step=STEP_MS):
         self.rng = random.Random(seed)
-        self.cut_id = ''
+        self.isolated_id = ''
         self.alive_ids = frozenset(IDS)
-        self.calm = calm
+        self.reliable = reliable
         self.step = step
         self.true_now = 0
         self.in_flight = []
-        self.lives = 0
+        self.last_incarnation = 0
         self.clock_by_id = {}
         self.leases_by_id = {}
-        self.life_by_id = {}
-        self.frozen_until_by_id = dict.fromkeys(IDS, 0)
-        self.loss = 0 if calm else self.rng.choice((0, 1, 4))
-        self.longest_delay = 20 if calm else self.rng.choice((20, 400, 7000))
+        self.incarnation_by_id = {}
+        self.paused_until_by_id = dict.fromkeys(IDS, 0)
+        self.loss = 0 if reliable else self.rng.choice((0, 1, 4))
+        self.longest_delay = (
+            20 if reliable else self.rng.choice((20, 400, 7000))
+        )
         for node_id in IDS:
             self.clock_by_id[node_id] = DriftingClock(
                 self,
@@ -72,10 +74,10 @@
             self.restart(node_id)
 
     def restart(self, node_id):
-        self.lives += 1
+        self.last_incarnation += 1
         clock = self.clock_by_id[node_id]
-        acceptor = LeaseAcceptor(clock, self.lives)
-        self.life_by_id[node_id] = self.lives
+        acceptor = LeaseAcceptor(clock, self.last_incarnation)
+        self.incarnation_by_id[node_id] = self.last_incarnation
         self.leases_by_id[node_id] = EngineLeases(
             IDS, acceptor, clock, lambda node_id: None, node_id=node_id
         )
@@ -87,8 +89,8 @@
             if leases.holds(ENGINE)
         ]
 
-    def later(self, action):
-        """Carry out an action after a delay, perhaps never or twice."""
+    def schedule(self, action):
+        """Run an action after a delay, possibly twice or not at all."""
         for _ in range(self.rng.choice((1, 1, 1, 2))):
             if self.rng.randrange(10) >= self.loss:
                 delay = self.rng.randrange(1, self.longest_delay)
@@ -105,45 +107,54 @@
             self.run_node(node_id)
 
     def run_node(self, node_id):
-        if self.true_now < self.frozen_until_by_id[node_id]:
+        if self.true_now < self.paused_until_by_id[node_id]:
             return
-        chance = 1000 if self.calm else self.rng.randrange(1000)
+        chance = 1000 if self.reliable else self.rng.randrange(1000)
         if chance < 2:
             self.restart(node_id)
         elif chance < 7:
             pause = self.rng.randrange(100, 9000)
-            self.frozen_until_by_id[node_id] = self.true_now + pause
+            self.paused_until_by_id[node_id] = self.true_now + pause
         elif chance < 12 and self.leases_by_id[node_id].holds(ENGINE):
             self.leases_by_id[node_id].release(ENGINE)
         alive_ids = self.alive_ids
-        if not self.calm and self.rng.randrange(3) == 0:
+        if not self.reliable and self.rng.randrange(3) == 0:
             alive_ids = frozenset((node_id,))
         self.leases_by_id[node_id].run_step([ENGINE], alive_ids, ())
         for peer_id in IDS:
-            if peer_id != node_id and self.cut_id not in {node_id, peer_id}:
+            if peer_id != node_id and self.isolated_id not in {
+                node_id,
+                peer_id,
+            }:
                 self.send(node_id, peer_id)
 
     def send(self, node_id, peer_id):
         leases = self.leases_by_id[node_id]
-        life = self.life_by_id[node_id]
-        for ask in leases.take_requests(peer_id):
-            self.later(
-                partial(self.deliver, leases, life, node_id, peer_id, ask)
+        incarnation = self.incarnation_by_id[node_id]
+        for request in leases.take_requests(peer_id):
+            self.schedule(
+                partial(
+                    self.deliver, leases, incarnation, node_id, peer_id, request
+                )
             )
 
-    def deliver(self, leases, life, node_id, peer_id, ask):
-        if self.true_now < self.frozen_until_by_id[peer_id]:
+    def deliver(self, leases, incarnation, node_id, peer_id, request):
+        if self.true_now < self.paused_until_by_id[peer_id]:
             return
         peer = self.leases_by_id[peer_id]
-        answer = peer.handle_request(node_id, life, ask, leases.lease)
-        peer_life = self.life_by_id[peer_id]
+        response = peer.handle_request(
+            node_id, incarnation, request, leases.lease
+        )
+        peer_incarnation = self.incarnation_by_id[peer_id]
 
         def reply():
-            awake = self.true_now >= self.frozen_until_by_id[node_id]
-            if self.leases_by_id[node_id] is leases and awake:
-                leases.handle_response(peer_id, peer_life, ask, answer)
+            running = self.true_now >= self.paused_until_by_id[node_id]
+            if self.leases_by_id[node_id] is leases and running:
+                leases.handle_response(
+                    peer_id, peer_incarnation, request, response
+                )
 
-        self.later(reply)
+        self.schedule(reply)
 
 
 class EngineLeaseTest(unittest.TestCase):
@@ -156,17 +167,17 @@
             owners = world.owners()
             self.assertLessEqual(len(owners), 1, (seed, world.true_now))
 
-    def test_a_calm_cell_keeps_one_owner(self):
-        """The invariant is not met by nobody ever owning anything."""
-        world = World(seed=1, calm=True)
+    def test_reliable_cell_keeps_one_owner(self):
+        """Guards against meeting the invariant by never owning an engine."""
+        world = World(seed=1, reliable=True)
         owned = 0
         for _ in range(STEPS):
             world.advance()
             owned += len(world.owners())
         self.assertGreater(owned, STEPS * 4 // 5)
 
-    def test_a_slow_owner_ends_before_fast_acceptors(self):
-        world = World(seed=1, calm=True, step=1)
+    def test_slow_owner_expires_before_fast_acceptors(self):
+        world = World(seed=1, reliable=True, step=1)
         world.longest_delay = 2
         owner = preferred_node(ENGINE, IDS)
         for node_id in IDS:
@@ -176,7 +187,7 @@
         for _ in range(8000):
             world.advance()
         self.assertEqual(world.owners(), [owner])
-        world.cut_id = owner
+        world.isolated_id = owner
         world.alive_ids = frozenset(IDS) - {owner}
         for _ in range(8000):
             world.advance()
@@ -184,8 +195,8 @@
         self.assertTrue(world.alive_ids.issuperset(world.owners()))
 
 
-class RulesTest(unittest.TestCase):
-    """The rules that go beyond the paper, one at a time."""
+class ProtocolRulesTest(unittest.TestCase):
+    """Tests of each rule that goes beyond the PaxosLease paper."""
 
     def setUp(self):
         self.clock = ManualClock()
@@ -195,64 +206,70 @@
         )
         self.clock.advance(MAX_LEASE_MS + 1)
 
-    def ask(self):
-        """Let the proposer act and return what it asks of ``b``."""
+    def next_request(self):
+        """Run the proposer and return its request to ``b``."""
         self.leases.run_step([ENGINE], frozenset(IDS[:2]), ())
         return self.leases.take_requests('b')[0]
 
-    def absorb(self, ask):
-        self.leases.handle_response('b', 9, ask, LeaseResponse(Verdict.GRANTED))
+    def grant(self, request):
+        self.leases.handle_response(
+            'b', 9, request, LeaseResponse(Verdict.GRANTED)
+        )
 
     def acquire(self):
-        self.absorb(self.ask())
-        self.absorb(self.leases.take_requests('b')[0])
+        self.grant(self.next_request())
+        self.grant(self.leases.take_requests('b')[0])
         self.assertTrue(self.leases.holds(ENGINE))
 
-    def test_acceptor_takes_only_what_it_promised(self):
+    def test_acceptor_accepts_only_promised_ballot(self):
         promised = Ballot(5, 'b', 1)
-        for name, ballot, life, verdict in (
+        for name, ballot, incarnation, verdict in (
             ('same', promised, 1, Verdict.GRANTED),
             ('lower', Ballot(4, 'c', 1), 1, Verdict.REFUSED),
             ('greater, unprepared', Ballot(6, 'c', 1), 1, Verdict.REFUSED),
-            ('promise of a former life', promised, 0, Verdict.REFUSED),
+            ('promise of another incarnation', promised, 0, Verdict.REFUSED),
         ):
             with self.subTest(name):
                 acceptor = LeaseAcceptor(self.clock, 1)
                 self.clock.advance(MAX_LEASE_MS + 1)
                 acceptor.prepare(1, promised)
-                answer = acceptor.propose(1, ballot, life, MAX_LEASE_MS)
-                self.assertIs(answer.verdict, verdict)
+                response = acceptor.propose(
+                    1, ballot, incarnation, MAX_LEASE_MS
+                )
+                self.assertIs(response.verdict, verdict)
 
-    def test_a_lapsed_lease_needs_a_new_prepare(self):
+    def test_lapsed_lease_needs_new_prepare(self):
         self.acquire()
         self.clock.advance(MAX_LEASE_MS // 2)
-        renewal = self.ask()
+        renewal = self.next_request()
         self.assertIs(renewal.phase, Phase.PROPOSE)
         self.clock.advance(MAX_LEASE_MS // 2)
-        self.absorb(renewal)
+        self.grant(renewal)
         self.assertFalse(self.leases.holds(ENGINE))
 
-    def test_old_answer_confirms_no_later_renewal(self):
+    def test_old_response_does_not_confirm_later_renewal(self):
         self.acquire()
         held_until = self.leases.held_until(ENGINE)
         renewals = []
         for _ in range(2):
             self.clock.advance(MAX_LEASE_MS // 3 + 1)
-            renewals.append(self.ask())
-        self.absorb(renewals[0])
+            renewals.append(self.next_request())
+        self.grant(renewals[0])
         self.assertEqual(self.leases.held_until(ENGINE), held_until)
-        self.absorb(renewals[1])
+        self.grant(renewals[1])
         self.assertGreater(self.leases.held_until(ENGINE), held_until)
 
 
 class WireTest(unittest.TestCase):
-    def test_a_proposal_of_another_life_is_not_sent(self):
+    def test_proposal_for_another_incarnation_is_not_sent(self):
         leases = World(1).leases_by_id['a']
         leases.run_step([ENGINE], frozenset('a'), ())
-        asks = leases.take_requests('b')
-        self.assertEqual(wire.order_requests(asks, 7), asks)
+        requests = leases.take_requests('b')
+        self.assertEqual(wire.order_requests(requests, 7), requests)
         stale = [
-            ask._replace(phase=type(ask.phase).PROPOSE, acceptor_incarnation=6)
-            for ask in asks
+            request._replace(
+                phase=type(request.phase).PROPOSE, acceptor_incarnation=6
+            )
+            for request in requests
         ]
         self.assertEqual(wire.order_requests(stale, 7), ())
--- a/tests/test_observability.py
+++ b/tests/test_observability.py
@@ -1,4 +1,4 @@
-"""Log output that never blocks, and the story of one request."""
+"""Tests of non-blocking log output and of the request history."""
 
 import io
 import json
@@ -11,18 +11,22 @@
 from verbenathread.observability.request_history import format_request_history
 
 
-def line(node, clock, event, **said):
-    """Return a line as a collector writes it."""
-    said |= {'event': event, 'timestamp': f'2026-12-04T{clock}Z'}
-    return f'{node} {json.dumps(said)}'
+def log_line(node, clock, event, **fields):
+    """Return a line as a log collector writes it."""
+    fields |= {'event': event, 'timestamp': f'2026-12-04T{clock}Z'}
+    return f'{node} {json.dumps(fields)}'
 
 
 LINES = (
-    line('g1', '10:00:00.100000', 'gateway: A worker changed.', worker='w1'),
-    line('g1', '10:00:00.200000', 'gateway: A worker changed.', worker='w9'),
-    line('g1', '10:00:01.500000', 'gateway: The directory is lost.'),
-    line('g2', '10:00:01.600000', 'gateway: The directory is lost.'),
-    line(
+    log_line(
+        'g1', '10:00:00.100000', 'gateway: A worker changed.', worker='w1'
+    ),
+    log_line(
+        'g1', '10:00:00.200000', 'gateway: A worker changed.', worker='w9'
+    ),
+    log_line('g1', '10:00:01.500000', 'gateway: The directory is lost.'),
+    log_line('g2', '10:00:01.600000', 'gateway: The directory is lost.'),
+    log_line(
         'g1',
         '10:00:02.500000',
         'gateway: A request ended.',
@@ -30,7 +34,7 @@
         outcome='failed',
         reason='broken',
     ),
-    line(
+    log_line(
         'g1',
         '10:00:02.400000',
         'gateway: A send ended.',
@@ -39,7 +43,7 @@
         verdict='broken',
         first=None,
     ),
-    line(
+    log_line(
         'g1',
         '10:00:02.300000',
         'gateway: A send ended.',
@@ -51,11 +55,11 @@
 )
 
 
-class StoryTest(unittest.TestCase):
-    def test_the_story_is_in_order_and_about_one_request(self):
-        told = format_request_history(LINES, 'r1')
+class RequestHistoryTest(unittest.TestCase):
+    def test_history_is_ordered_and_about_one_request(self):
+        history = format_request_history(LINES, 'r1')
         self.assertEqual(
-            told,
+            history,
             [
                 '10:00:00.100 g1 gateway: A worker changed. worker=w1',
                 '10:00:01.500 g1 gateway: The directory is lost. ',
@@ -66,13 +70,13 @@
             ],
         )
 
-    def test_the_command(self):
+    def test_debug_command(self):
         with patch('sys.stdin', io.StringIO('\n'.join(LINES))):
             with patch('sys.stdout', io.StringIO()) as printed:
                 self.assertEqual(cmdline.main(['debug', '--request', 'r1']), 0)
         self.assertIn('verdict=broken', printed.getvalue())
 
-    def test_an_unknown_request_is_an_error_with_a_remedy(self):
+    def test_unknown_request_is_an_error_with_advice(self):
         with patch('sys.stdin', io.StringIO('')):
             with patch('sys.stderr', io.StringIO()) as printed:
                 self.assertEqual(cmdline.main(['debug', '--request', 'x']), 2)
@@ -80,7 +84,7 @@
 
 
 class BoundedOutputTest(unittest.TestCase):
-    def test_a_reader_that_stops_blocks_nobody(self):
+    def test_stalled_reader_does_not_block(self):
         reader, writer = os.pipe()
         output = BoundedOutput(writer)
         text = 'x' * 199 + '\n'
@@ -88,13 +92,13 @@
             output.write(text)
         self.assertGreater(output.dropped, 1000)
         os.set_blocking(reader, False)
-        whole = b''
+        output_bytes = b''
         for _ in range(100):
             try:
-                whole += os.read(reader, 0x10000)
+                output_bytes += os.read(reader, 0x10000)
             except BlockingIOError:
                 output.write('last\n')
-        lines = whole.decode().splitlines()
+        lines = output_bytes.decode().splitlines()
         self.assertIn('last', lines)
         self.assertTrue(any('Lines were dropped' in one for one in lines))
         for one in lines:
@@ -102,10 +106,10 @@
         os.close(reader)
         os.close(writer)
 
-    def test_a_closed_reader_is_survived(self):
+    def test_closed_reader_is_tolerated(self):
         reader, writer = os.pipe()
         os.close(reader)
         output = BoundedOutput(writer)
-        output.write('nobody reads\n')
+        output.write('unread\n')
         output.flush()
         os.close(writer)
--- a/tools/cell_cost.py
+++ b/tools/cell_cost.py
@@ -18,7 +18,7 @@
 from grpclib import server as grpclib_server
 from grpclib.protocol import H2Protocol
 
-from tests.cell_network import engine
+from tests.cell_network import engine_record
 from tests.node_network import FakeEngines, node_settings, tree_update
 from verbenathread.clock import SystemClock, seconds
 from verbenathread.entry.cell_node import CellNode, NodeContext
@@ -138,13 +138,13 @@
         name = self._rng.choice(self._names)
         models = (f'model-{self._rng.random()}',)
         node = self._rng.choice(self.nodes)
-        node.cell.announce(engine(name)._replace(models=models))
+        node.cell.announce(engine_record(name)._replace(models=models))
 
     async def _renew(self) -> None:
         pause = _RENEW_S / len(self._names)
         for name in itertools.cycle(self._names):
             node = self._rng.choice(self.nodes)
-            held = node.cell.table.get(name) or engine(name)
+            held = node.cell.table.get(name) or engine_record(name)
             node.cell.announce(held)
             await asyncio.sleep(pause)  # noqa: WPS476 - spread over time
 
--- a/verbenathread/membership/cell.py
+++ b/verbenathread/membership/cell.py
@@ -111,7 +111,7 @@
         *,
         lease: Millis = MAX_LEASE_MS,
     ) -> None:
-        """Create a node; ``lease_of`` returns the upstream lease of a service."""
+        """Create a node; ``lease_of`` returns the lease of a service."""
         self.identity = identity
         self.table = UpstreamTable()
         self.views = PeerViews(identity.node_id, identity.cell_ids)
