--- a/tests/control_commands.py
+++ b/tests/control_commands.py
@@ -68,7 +68,7 @@
         """Apply a change and return its reply."""
         return control_pb2.ChangeReply.FromString(self.apply(command, now))
 
-    def through_snapshot(self) -> None:
+    def restore_from_snapshot(self) -> None:
         """Go on with a machine that was restored from a snapshot."""
         restored = ControlMachine()
         restored.restore(self.machine.snapshot())
--- a/tests/control_processes.py
+++ b/tests/control_processes.py
@@ -99,7 +99,7 @@
     def __init__(self, group: ControlGroup, node_id: str, *names: str) -> None:
         self.node_id = node_id
         self.revision = 0
-        self.fell = False
+        self.regressed = False
         # Loop time at which each revision was first run.
         self.time_by_revision: dict[int, float] = {}
         self._addresses = [group.address_by_name[name] for name in names]
@@ -112,14 +112,14 @@
             turn += 1
             channel = Channel(address.host, address.port)
             with contextlib.suppress(GRPCError, StreamTerminatedError, OSError):
-                await self._hold(ControlStub(channel))
+                await self._exchange_messages(ControlStub(channel))
             channel.close()
             await asyncio.sleep(0.05)
 
-    def take(self, update: control_pb2.TreeUpdate) -> None:
+    def apply_update(self, update: control_pb2.TreeUpdate) -> None:
         """Run what an update brings, and note if it were older."""
         if update.branches and update.revision < self.revision:
-            self.fell = True
+            self.regressed = True
         if update.revision <= self.revision:
             return
         self.revision = update.revision
@@ -137,11 +137,11 @@
             node_key=NODE_KEY,
         )
 
-    async def _hold(self, stub: ControlStub) -> None:
+    async def _exchange_messages(self, stub: ControlStub) -> None:
         async with stub.Session.open() as stream:
             while True:
                 await stream.send_message(self.report())
                 update = await asyncio.wait_for(stream.recv_message(), 4)
                 if update is None:
                     return
-                self.take(update)
+                self.apply_update(update)
--- a/tests/test_control_claims.py
+++ b/tests/test_control_claims.py
@@ -12,7 +12,7 @@
 )
 
 from tests.control_commands import Log
-from verbenathread.control.claim_replies import MOST_ANSWER_BYTES
+from verbenathread.control.claim_replies import MAX_ANSWER_BYTES
 from verbenathread.control.claims import ClaimTable
 from verbenathread.schema import commands_pb2, control_pb2
 
@@ -91,7 +91,7 @@
                 log = Log()
                 for step in before:
                     log.apply(_command(step))
-                log.through_snapshot()
+                log.restore_from_snapshot()
                 reply = log.apply(_command(asked), now)
                 state = control_pb2.ClaimReply.FromString(reply).state
                 self.assertEqual(state, expected)
@@ -117,9 +117,9 @@
             self.assertEqual(reply.answer.code, control_pb2.CONFLICT)
 
     def test_bounds(self):
-        table = ClaimTable(most_bytes=400)
+        table = ClaimTable(max_bytes=400)
         table.claim(claim('a'), 0)
-        table.settle(settle('a', COMPLETED, b'x' * MOST_ANSWER_BYTES * 2), 1)
+        table.settle(settle('a', COMPLETED, b'x' * MAX_ANSWER_BYTES * 2), 1)
         reply = table.claim(claim('b'), 2)
         self.assertTrue(reply.stored.body_omitted)
         self.assertEqual(reply.stored.status, 201)
@@ -151,7 +151,7 @@
         self.now = 0
         self.number = 0
         self.sent: set[str] = set()
-        self.excused: set[str] = set()
+        self.not_run: set[str] = set()
         self.asked: dict[str, control_pb2.ClaimRequest] = {}
         self.settled: dict[str, tuple[control_pb2.SettleRequest, int]] = {}
         self.incarnation = {'e1': 1, 'e2': 1}
@@ -179,7 +179,7 @@
         attempt = waiting[pick % len(waiting)]
         request = settle(attempt, state)
         if state == NOT_RUN:
-            self.excused.add(attempt)
+            self.not_run.add(attempt)
         reply = control_pb2.SettleReply.FromString(
             self.log.apply(_command(request), self.now)
         )
@@ -212,11 +212,11 @@
 
     @rule()
     def restore(self) -> None:
-        self.log.through_snapshot()
+        self.log.restore_from_snapshot()
 
     @invariant()
     def at_most_one_run(self) -> None:
-        assert len(self.sent - self.excused) <= 1, self.sent
+        assert len(self.sent - self.not_run) <= 1, self.sent
 
     def _ask(self, request: control_pb2.ClaimRequest) -> None:
         attempt = request.attempt_id
--- a/tests/test_control_load_limit.py
+++ b/tests/test_control_load_limit.py
@@ -3,7 +3,7 @@
 import unittest
 
 from verbenathread.clock import ManualClock
-from verbenathread.control.load_limit import LoadLimit
+from verbenathread.control.load_limit import WeightLoadLimiter
 from verbenathread.scheduling.weight_loads import LOAD_TIMEOUT
 
 
@@ -11,7 +11,7 @@
     def setUp(self):
         self.clock = ManualClock()
         self.most = 2
-        self.limit = LoadLimit(lambda: self.most, self.clock)
+        self.limit = WeightLoadLimiter(lambda: self.most, self.clock)
 
     def storm(self, engines=20, model='m'):
         return [
@@ -23,11 +23,11 @@
     def test_a_storm_of_restarts_loads_a_few_at_a_time(self):
         self.assertEqual(self.storm(), [0, 1])
         self.assertEqual(self.storm(), [0, 1])
-        self.limit.shown('e0', ('m',))
+        self.limit.record_models('e0', ('m',))
         self.assertEqual(len(self.storm()), 2)
 
     def test_what_nobody_serves_goes_first(self):
-        self.limit.shown('e9', ('common',))
+        self.limit.record_models('e9', ('common',))
         self.most = 0
         self.assertFalse(self.limit.may_load('e1', 'common'))
         self.assertFalse(self.limit.may_load('e2', 'rare'))
@@ -38,7 +38,7 @@
     def test_places_come_back(self):
         cases = (
             ('refused or gone', lambda: self.limit.forget('e0')),
-            ('shown', lambda: self.limit.shown('e0', ('m',))),
+            ('shown', lambda: self.limit.record_models('e0', ('m',))),
             ('too late', lambda: self.clock.advance(LOAD_TIMEOUT + 1)),
         )
         for name, act in cases:
--- a/tests/test_control_machine.py
+++ b/tests/test_control_machine.py
@@ -64,8 +64,8 @@
             )
             revision = reply.revision
             if count == 250:
-                self.log.through_snapshot()
-        self.log.through_snapshot()
+                self.log.restore_from_snapshot()
+        self.log.restore_from_snapshot()
         for command in (won, lost):
             answer = self.log.apply(command)
             self.assertEqual(answer, first_by_id[command.change.operation_id])
@@ -128,7 +128,7 @@
     def test_removed_branch_keeps_its_revision(self):
         self.log.apply(make.change('a', '', 0))
         self.log.apply(make.change('b', '', 1, remove=True))
-        self.log.through_snapshot()
+        self.log.restore_from_snapshot()
         self.assertEqual(
             self.log.machine.tree.delta(1).removed_paths, ('/desk',)
         )
@@ -150,7 +150,7 @@
             )
         snapshot = self.log.machine.snapshot()
         self.assertEqual(self.log.replay().snapshot(), snapshot)
-        self.log.through_snapshot()
+        self.log.restore_from_snapshot()
         self.assertEqual(self.log.machine.snapshot(), snapshot)
 
     def test_unreadable_snapshots_stop(self):
@@ -178,7 +178,7 @@
             reply = control_pb2.OrderReply.FromString(self.log.apply(command))
             self.assertGreater(reply.fencing, last)
             last = reply.fencing
-            self.log.through_snapshot()
+            self.log.restore_from_snapshot()
             wanted = next(iter(self.log.machine.wanted.images()))
             # The newest order of a slot replaces the older ones.
             self.assertEqual([item.action for item in wanted.items], [action])
--- a/tests/test_control_orders.py
+++ b/tests/test_control_orders.py
@@ -10,10 +10,10 @@
 from verbenathread.clock import ManualClock
 from verbenathread.consensus.settings import ReplicaStatus
 from verbenathread.control.order_http import (
-    HttpUpstreams,
+    HttpOrderTransport,
     LeadershipLostError,
     OrderRefusedError,
-    Shown,
+    ReportedState,
 )
 from verbenathread.control.orders import ORDER_TIMEOUT, OrderSender
 from verbenathread.exceptions import UnavailableError
@@ -22,7 +22,7 @@
 LEASE = 1000
 
 
-class Leadership:
+class FakeControlLog:
     """The log as one process sees it."""
 
     def __init__(self, term: int) -> None:
@@ -33,16 +33,16 @@
         return ReplicaStatus('', '', self.is_leader, self.term, 0, 0, (), 0, '')
 
 
-class Engine:
+class FakeEngine:
     """An engine in memory; it may check fencing numbers or ignore them."""
 
     def __init__(self, *, checked: bool) -> None:
         self.checked = checked
-        self.shown = Shown(0, (), 'both', '')
-        self.taken: list[tuple[int, str]] = []
+        self.shown = ReportedState(0, (), 'both', '')
+        self.accepted: list[tuple[int, str]] = []
         self.before_check: list[Any] = []
         self.after_check: list[Any] = []
-        self.lost = 0
+        self.lost_sends = 0
 
     def read(self, address, limit):
         return self.shown
@@ -54,12 +54,12 @@
             raise LeadershipLostError
         while self.after_check:
             self.after_check.pop()()
-        if self.lost:
-            self.lost -= 1
+        if self.lost_sends:
+            self.lost_sends -= 1
             raise UnavailableError('lost')
         if self.checked and order.fencing < self.shown.fencing:
             raise OrderRefusedError('old number')
-        self.taken.append((order.fencing, order.subject))
+        self.accepted.append((order.fencing, order.subject))
         self.shown = self.shown._replace(
             fencing=order.fencing, role=order.subject
         )
@@ -94,11 +94,11 @@
 
 
 def make_sender(log, engine, clock, term):
-    leadership = Leadership(term)
+    leadership = FakeControlLog(term)
     sender = OrderSender(
         log=leadership,
         machine=log.machine,
-        upstreams=engine,
+        transport=engine,
         clock=clock,
         lease=LEASE,
     )
@@ -121,7 +121,7 @@
     """Freeze the old leader at one step of an order; return what came."""
     log = service_log('checked' if checked else 'ignored')
     order(log, 'role', 'prefill')
-    engine = Engine(checked=checked)
+    engine = FakeEngine(checked=checked)
     clock = ManualClock(1000)
     old, old_lead = make_sender(log, engine, clock, 1)
     later = Log()
@@ -138,11 +138,11 @@
     advance(old, clock, 15, step=210)
     wanted = next(iter(log.machine.wanted.images()))
     getattr(engine, frozen).append(freeze)
-    engine.taken.clear()
+    engine.accepted.clear()
     engine.shown = engine.shown._replace(role='both', fencing=0)
     with contextlib.suppress(LeadershipLostError, OrderRefusedError):
         old.reconcile(wanted, 1, checked=checked)
-    taken = list(engine.taken)
+    taken = list(engine.accepted)
     advance(new, clock, 60)
     late = [entry for entry in taken if entry[1] == 'prefill']
     return len(late), engine.shown.role
@@ -154,14 +154,14 @@
             with self.subTest(fencing=fencing):
                 log = service_log(fencing)
                 order(log, 'role', 'prefill')
-                engine = Engine(checked=not waits)
+                engine = FakeEngine(checked=not waits)
                 clock = ManualClock(1000)
                 sender, _ = make_sender(log, engine, clock, 2)
                 steps = (LEASE + ORDER_TIMEOUT) // 200
                 advance(sender, clock, steps)
-                self.assertEqual(not engine.taken, waits)
+                self.assertEqual(not engine.accepted, waits)
                 advance(sender, clock, 5)
-                self.assertEqual(engine.taken, [(2, 'prefill')])
+                self.assertEqual(engine.accepted, [(2, 'prefill')])
 
     def test_frozen_leader_wakes_and_orders(self):
         """Frozen before the check: not sent. After it: put right."""
@@ -179,15 +179,15 @@
     def test_lost_orders_are_repeated_until_shown(self):
         log = service_log('checked')
         order(log, 'role', 'decode')
-        engine = Engine(checked=True)
-        engine.lost = 3
+        engine = FakeEngine(checked=True)
+        engine.lost_sends = 3
         clock = ManualClock(1000)
         sender, leadership = make_sender(log, engine, clock, 1)
         advance(sender, clock, 60)
         self.assertEqual(engine.shown.role, 'decode')
         self.assertEqual(sender.statuses()[0].state, 'shown')
         # An engine that restarted and forgot is brought back too.
-        engine.shown = Shown(0, (), 'both', '')
+        engine.shown = ReportedState(0, (), 'both', '')
         advance(sender, clock, 600)
         self.assertEqual(engine.shown.role, 'decode')
         leadership.is_leader = False
@@ -212,7 +212,7 @@
             order(log, 'unload', 'adapter-7', address)
             order(log, 'load', 'adapter-9', address)
             clock = ManualClock(100_000)
-            sender, _ = make_sender(log, HttpUpstreams(), clock, 1)
+            sender, _ = make_sender(log, HttpOrderTransport(), clock, 1)
             advance(sender, clock, 30)
             with self.subTest(fencing=fencing):
                 states = {status.state for status in sender.statuses()}
@@ -229,5 +229,5 @@
 
     def test_dead_upstream_is_named(self):
         with self.assertRaises(UnavailableError) as caught:
-            HttpUpstreams().read('127.0.0.1:1', 500)
+            HttpOrderTransport().read('127.0.0.1:1', 500)
         self.assertIn('127.0.0.1:1', str(caught.exception))
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -63,7 +63,7 @@
     return revision
 
 
-async def ask(group, request, call='Claim', node_key=NODE_KEY):
+async def call_leader(group, request, call='Claim', node_key=NODE_KEY):
     """Send a node's call to each process in turn until one leads."""
     request.cluster = CLUSTER
     request.node_key = node_key
@@ -163,7 +163,7 @@
                 # Followers tell the new leader within a second.
                 while await nodes_at(client, revision) < 9:
                     await asyncio.sleep(0.1)
-            self.assertFalse(any(node.fell for node in nodes))
+            self.assertFalse(any(node.regressed for node in nodes))
             for task in tasks:
                 task.cancel()
             await asyncio.wait(tasks)
@@ -221,15 +221,15 @@
 
     def test_claim_outlives_leader_and_owner(self):
         async def scene(group, processes, client):
-            held = await ask(group, claim('a'))
+            held = await call_leader(group, claim('a'))
             self.assertEqual(held.state, control_pb2.CLAIM_HELD)
             with self.assertRaises(GRPCError):
-                await ask(group, claim('x'), node_key='wrong')
+                await call_leader(group, claim('x'), node_key='wrong')
             leader = (await client.status()).leader
             processes.by_name[leader].send(signal.SIGKILL)
-            other = await ask(group, claim('b', node='e2'))
+            other = await call_leader(group, claim('b', node='e2'))
             self.assertEqual(other.state, control_pb2.CLAIM_IN_PROGRESS)
-            restarted = await ask(group, claim('c', incarnation=2))
+            restarted = await call_leader(group, claim('c', incarnation=2))
             self.assertEqual(restarted.state, control_pb2.CLAIM_OUTCOME_UNKNOWN)
             client.close()
 
--- a/tests/test_control_proposals.py
+++ b/tests/test_control_proposals.py
@@ -17,8 +17,8 @@
 from verbenathread.control.machine import ControlMachine
 from verbenathread.control.nodes import NodeTable
 from verbenathread.control.operator_calls import OperatorCalls
-from verbenathread.control.proposals import Proposals
-from verbenathread.control.sweeper import OWNER_SILENCE, ClaimSweeper
+from verbenathread.control.proposals import Proposer
+from verbenathread.control.sweeper import OWNER_TIMEOUT, ClaimSweeper
 from verbenathread.schema import control_pb2
 
 HELD = control_pb2.CLAIM_HELD
@@ -51,7 +51,7 @@
         """Return what the process of one replica proposes with."""
         machine = group.machine_by_id[node_id]
         clock = ManualClock(1000)
-        return Proposals(group.replicas[node_id], machine, clock)
+        return Proposer(group.replicas[node_id], machine, clock)
 
     def test_isolated_leader_with_operators_on_both_sides(self):
         async def scene():
@@ -227,8 +227,8 @@
 
     def test_claim_of_a_silent_or_replaced_owner(self):
         for name, wait, incarnation, expected in (
-            ('heard', 3 * OWNER_SILENCE, 1, control_pb2.CLAIM_IN_PROGRESS),
-            ('silent', OWNER_SILENCE + 1000, None, UNKNOWN),
+            ('heard', 3 * OWNER_TIMEOUT, 1, control_pb2.CLAIM_IN_PROGRESS),
+            ('silent', OWNER_TIMEOUT + 1000, None, UNKNOWN),
             ('not silent for long', 1000, None, control_pb2.CLAIM_IN_PROGRESS),
             ('replaced', 1000, 2, UNKNOWN),
         ):
@@ -250,7 +250,7 @@
             while left > 0:
                 left -= 500
                 if incarnation is not None:
-                    nodes.take_report(
+                    nodes.record_report(
                         control_pb2.NodeReport(
                             node_id='e1', incarnation=incarnation
                         )
--- a/tests/test_control_sessions.py
+++ b/tests/test_control_sessions.py
@@ -16,8 +16,8 @@
     """A node whose session loses messages in both directions."""
 
     def __init__(self, chance, share, revision=0) -> None:
-        self.chance = chance
-        self.share = share
+        self.rng = chance
+        self.loss = share
         self.revision = revision
         self.reports: asyncio.Queue[control_pb2.NodeReport] = asyncio.Queue()
         self.sent: list[tuple[int, int]] = []
@@ -33,7 +33,7 @@
 
     async def send_message(self, message):
         self.sent.append((self.revision, message.revision))
-        if self.chance.random() < self.share:
+        if self.rng.random() < self.loss:
             return
         if message.revision <= self.revision:
             return
@@ -48,7 +48,7 @@
     async def heartbeat(self):
         while True:
             await asyncio.sleep(1)
-            if self.chance.random() >= self.share:
+            if self.rng.random() >= self.loss:
                 self.reports.put_nowait(self.report())
 
 
--- a/tests/test_control_tree.py
+++ b/tests/test_control_tree.py
@@ -63,7 +63,7 @@
 
     @rule()
     def restore(self) -> None:
-        self.log.through_snapshot()
+        self.log.restore_from_snapshot()
 
     @invariant()
     def stands_as_accepted(self) -> None:
--- a/tools/control_cost.py
+++ b/tools/control_cost.py
@@ -31,7 +31,7 @@
 from tools.processes import Processes, running
 from verbenathread.clock import MS_PER_SECOND, SystemClock
 from verbenathread.control.machine import ControlMachine
-from verbenathread.control.proposals import Proposals
+from verbenathread.control.proposals import Proposer
 from verbenathread.schema import commands_pb2, control_pb2
 from verbenathread.schema.control_grpc import ControlStub
 from verbenathread.settings.node import parse_address
@@ -309,9 +309,7 @@
         async with Group() as group:
             leader = await group.leader()
             machine = group.machine_by_id[leader]
-            proposals = Proposals(
-                group.replicas[leader], machine, SystemClock()
-            )
+            proposals = Proposer(group.replicas[leader], machine, SystemClock())
             before = syncs_by_node(group)
             revision = 0
             left = _CHANGES
--- a/verbenathread/admin/commands.py
+++ b/verbenathread/admin/commands.py
@@ -10,7 +10,7 @@
     with_client,
 )
 from verbenathread.command import Argument, Command, argument
-from verbenathread.control.wanted import ACTIONS, SWITCH
+from verbenathread.control.wanted import ACTIONS, SWITCH_VALUES
 from verbenathread.settings.tree import ROOT_PATH
 
 _PROGRAM = 'verbenathread'
@@ -140,7 +140,7 @@
         fleet.run_upstream_drain,
         'worker-7 on',
         _UPSTREAM,
-        argument('switch', choices=SWITCH, nargs='?', default='on'),
+        argument('switch', choices=SWITCH_VALUES, nargs='?', default='on'),
         _ADDRESS,
         _SERVICE,
     )
--- a/verbenathread/control/answers.py
+++ b/verbenathread/control/answers.py
@@ -7,7 +7,7 @@
 )
 from verbenathread.schema import control_pb2
 
-_ASK_AGAIN = 500
+_RETRY_AFTER_MS = 500
 
 
 def answer_of(error: VerbenathreadError) -> control_pb2.Answer:
@@ -17,13 +17,13 @@
             code=control_pb2.NOT_LEADER,
             message=str(error),
             leader=error.leader,
-            retry_after_ms=_ASK_AGAIN,
+            retry_after_ms=_RETRY_AFTER_MS,
         )
     code = control_pb2.NO_QUORUM
     if isinstance(error, UnknownOutcomeError):
         code = control_pb2.UNKNOWN_OUTCOME
     return control_pb2.Answer(
-        code=code, message=str(error), retry_after_ms=_ASK_AGAIN
+        code=code, message=str(error), retry_after_ms=_RETRY_AFTER_MS
     )
 
 
--- a/verbenathread/control/audit.py
+++ b/verbenathread/control/audit.py
@@ -11,8 +11,8 @@
 from verbenathread.schema import control_pb2
 from verbenathread.settings.tree import covers
 
-MOST_RECORDS = 10_000
-MOST_TEXT_BYTES = 16_777_216
+MAX_RECORDS = 10_000
+MAX_BYTES = 16_777_216
 ACCEPTED = 'accepted'
 
 
@@ -20,11 +20,11 @@
     """Records in the order of the log."""
 
     def __init__(
-        self, most: int = MOST_RECORDS, most_bytes: int = MOST_TEXT_BYTES
+        self, max_records: int = MAX_RECORDS, max_bytes: int = MAX_BYTES
     ) -> None:
         """Keep at most ``most`` records and ``most_bytes`` of them."""
-        self._most = most
-        self._most_bytes = most_bytes
+        self._max_records = max_records
+        self._max_bytes = max_bytes
         self._records: deque[control_pb2.AuditRecord] = deque()
         self._bytes = 0
 
@@ -36,7 +36,7 @@
         """Append a record and drop the oldest beyond the bounds."""
         self._records.append(record)
         self._bytes += record.ByteSize()
-        while len(self._records) > self._most or self._over_bytes():
+        while len(self._records) > self._max_records or self._over_bytes():
             self._bytes -= self._records.popleft().ByteSize()
 
     def after(
@@ -52,7 +52,7 @@
         for record in self._records:
             if len(found) >= limit:
                 break
-            if record.index <= index or not _concerns(record, path):
+            if record.index <= index or not _is_under(record, path):
                 continue
             found.append(record)
         return found
@@ -77,7 +77,7 @@
         self._bytes = sum(record.ByteSize() for record in self._records)
 
     def _over_bytes(self) -> bool:
-        return self._bytes > self._most_bytes and len(self._records) > 1
+        return self._bytes > self._max_bytes and len(self._records) > 1
 
     def _newest(self, limit: int, path: str) -> list[control_pb2.AuditRecord]:
         """Return the last ``limit`` records, oldest first."""
@@ -85,11 +85,11 @@
         for record in reversed(self._records):
             if len(found) >= limit:
                 break
-            if _concerns(record, path):
+            if _is_under(record, path):
                 found.append(record)
         found.reverse()
         return found
 
 
-def _concerns(record: control_pb2.AuditRecord, path: str) -> bool:
+def _is_under(record: control_pb2.AuditRecord, path: str) -> bool:
     return not path or covers(path, record.subject)
--- a/verbenathread/control/changes.py
+++ b/verbenathread/control/changes.py
@@ -13,7 +13,7 @@
 from verbenathread.control.tree import BranchTree
 from verbenathread.schema import commands_pb2, control_pb2
 
-_MOST_PROBLEMS_TOLD = 20
+_MAX_REPORTED_PROBLEMS = 20
 
 RESULT_BY_CODE: Mapping[int, str] = MappingProxyType(
     {
@@ -52,7 +52,7 @@
     problems = tree.problems(change.path, text)
     if problems:
         return _refuse(
-            control_pb2.INVALID, '\n'.join(problems[:_MOST_PROBLEMS_TOLD])
+            control_pb2.INVALID, '\n'.join(problems[:_MAX_REPORTED_PROBLEMS])
         )
     return _accept()
 
--- a/verbenathread/control/claim_replies.py
+++ b/verbenathread/control/claim_replies.py
@@ -2,14 +2,16 @@
 
 from verbenathread.schema import control_pb2
 
-MOST_ANSWER_BYTES = 65_536
+MAX_ANSWER_BYTES = 65_536
 # How long a caller waits before it asks again, in ms.
-ASK_AGAIN = 1000
+RETRY_AFTER_MS = 1000
 
 
-def bounded(stored: control_pb2.StoredAnswer) -> control_pb2.StoredAnswer:
+def without_large_body(
+    stored: control_pb2.StoredAnswer,
+) -> control_pb2.StoredAnswer:
     """Return an answer as it is stored; a body over the limit is left out."""
-    if len(stored.body) <= MOST_ANSWER_BYTES:
+    if len(stored.body) <= MAX_ANSWER_BYTES:
         return stored
     return control_pb2.StoredAnswer(
         status=stored.status,
@@ -30,7 +32,7 @@
     )
 
 
-def refused(message: str) -> control_pb2.ClaimReply:
+def invalid_claim(message: str) -> control_pb2.ClaimReply:
     """Return the answer to a claim that can't be used as written."""
     return control_pb2.ClaimReply(
         answer=control_pb2.Answer(code=control_pb2.INVALID, message=message)
@@ -43,24 +45,26 @@
         answer=control_pb2.Answer(
             code=control_pb2.NO_QUORUM,
             message='the claim table is full; lower claim_retention',
-            retry_after_ms=ASK_AGAIN,
+            retry_after_ms=RETRY_AFTER_MS,
         )
     )
 
 
-def settled(code: control_pb2.Code, message: str) -> control_pb2.SettleReply:
+def settle_reply(
+    code: control_pb2.Code, message: str
+) -> control_pb2.SettleReply:
     """Return the answer to an outcome."""
     return control_pb2.SettleReply(
         answer=control_pb2.Answer(code=code, message=message)
     )
 
 
-def settled_again(
+def repeated_settle_reply(
     stands: control_pb2.ClaimState, asked: control_pb2.ClaimState
 ) -> control_pb2.SettleReply:
     """Return the answer to an outcome that was recorded before."""
     if stands == asked:
-        return settled(control_pb2.OK, '')
-    return settled(
+        return settle_reply(control_pb2.OK, '')
+    return settle_reply(
         control_pb2.CONFLICT, 'the attempt was settled with another outcome'
     )
--- a/verbenathread/control/claims.py
+++ b/verbenathread/control/claims.py
@@ -13,13 +13,13 @@
 from typing import NamedTuple
 
 from verbenathread.control.claim_replies import (
-    ASK_AGAIN,
-    bounded,
+    RETRY_AFTER_MS,
     claim_reply,
-    refused,
-    settled,
-    settled_again,
+    invalid_claim,
+    repeated_settle_reply,
+    settle_reply,
     table_full,
+    without_large_body,
 )
 from verbenathread.schema import commands_pb2, control_pb2
 
@@ -30,12 +30,12 @@
 _NOT_RUN = control_pb2.CLAIM_NOT_RUN
 _OUTCOME_UNKNOWN = control_pb2.CLAIM_OUTCOME_UNKNOWN
 
-MOST_TABLE_BYTES = 33_554_432
-MOST_KEY_BYTES = 255
-MOST_ENDED_ATTEMPTS = 16
-_LONGEST_LIMIT = 3_600_000
-_LEAST_RETENTION = 60_000
-_LONGEST_RETENTION = 2_592_000_000
+MAX_TABLE_BYTES = 33_554_432
+MAX_KEY_BYTES = 255
+MAX_ENDED_ATTEMPTS = 16
+_MAX_TIME_LIMIT_MS = 3_600_000
+_MIN_RETENTION_MS = 60_000
+_MAX_RETENTION_MS = 2_592_000_000
 _MS_PER_SECOND = 1000
 _SETTLED_STATES = frozenset((_COMPLETED, _NOT_RUN, _OUTCOME_UNKNOWN))
 
@@ -58,16 +58,16 @@
 class ClaimTable:
     """Claims by key; the state machine is its only writer."""
 
-    def __init__(self, most_bytes: int = MOST_TABLE_BYTES) -> None:
+    def __init__(self, max_bytes: int = MAX_TABLE_BYTES) -> None:
         """Keep at most ``most_bytes`` of claims and stored answers."""
-        self._most_bytes = most_bytes
+        self._max_bytes = max_bytes
         self._bytes = 0
         # Serialised, since a message takes three times the memory.
         self._claim_by_key: dict[ClaimKey, bytes] = {}
         self._held_by_owner: dict[Owner, set[ClaimKey]] = {}
         self._incarnation_by_node: dict[str, int] = {}
         # (wall time to forget at, key); entries that moved are stale.
-        self._forget_queue: list[tuple[int, ClaimKey]] = []
+        self._removal_queue: list[tuple[int, ClaimKey]] = []
 
     def __len__(self) -> int:
         """Return how many claims are kept."""
@@ -81,7 +81,7 @@
         self, request: control_pb2.ClaimRequest, now: int
     ) -> control_pb2.ClaimReply:
         """Let the attempt in, or answer what became of the earlier one."""
-        refusal = self._refuse(request)
+        refusal = self._check_request(request)
         if refusal is not None:
             return refusal
         key = _key_of(request)
@@ -90,9 +90,9 @@
             return self._open(request, now, ())
         if claim.body_sha256 != request.body_sha256:
             return claim_reply(_MISMATCH)
-        self._lapse(key, claim, now)
+        self._expire_if_overdue(key, claim, now)
         if claim.state == _NOT_RUN:
-            if _ended(claim, request.attempt_id) is not None:
+            if _ended_state(claim, request.attempt_id) is not None:
                 return claim_reply(_NOT_RUN)
             return self._open(request, now, claim.ended_attempts)
         if claim.state == _HELD:
@@ -106,29 +106,29 @@
         key = _key_of(request)
         claim = self._get(key)
         if claim is None:
-            return settled(
+            return settle_reply(
                 control_pb2.NOT_FOUND,
                 'the claim is not known or was forgotten; claim it first',
             )
         if request.state not in _SETTLED_STATES:
-            return settled(
+            return settle_reply(
                 control_pb2.INVALID,
                 'the outcome must be completed, not run or unknown',
             )
-        ended = _ended(claim, request.attempt_id)
+        ended = _ended_state(claim, request.attempt_id)
         if ended is None and claim.attempt_id != request.attempt_id:
-            return settled(
+            return settle_reply(
                 control_pb2.CONFLICT,
                 'another attempt holds this claim; do not send the call',
             )
-        self._lapse(key, claim, now)
+        self._expire_if_overdue(key, claim, now)
         stands = claim.state if ended is None else ended
         if stands not in {_HELD, _OUTCOME_UNKNOWN}:
-            return settled_again(stands, request.state)
+            return repeated_settle_reply(stands, request.state)
         self._settle(key, claim, request, now)
-        return settled(control_pb2.OK, '')
+        return settle_reply(control_pb2.OK, '')
 
-    def owner_gone(self, gone: commands_pb2.OwnerGone) -> int:
+    def mark_owner_gone(self, gone: commands_pb2.OwnerGone) -> int:
         """Turn the claims of a gone owner to unknown; return how many."""
         turned = 0
         for owner in self.owners():
@@ -145,14 +145,14 @@
                     self._put(key, claim)
         return turned
 
-    def forget(self, now: int) -> None:
+    def remove_expired(self, now: int) -> None:
         """Drop the claims whose retention is over."""
-        while self._forget_queue and self._forget_queue[0][0] <= now:
-            moment, key = heapq.heappop(self._forget_queue)
+        while self._removal_queue and self._removal_queue[0][0] <= now:
+            moment, key = heapq.heappop(self._removal_queue)
             claim = self._get(key)
             if claim is None or claim.forget_ms != moment:
                 continue
-            self._release(key, claim)
+            self._remove_from_owner(key, claim)
             self._bytes -= len(self._claim_by_key.pop(key))
 
     def images(self) -> Iterable[commands_pb2.ClaimImage]:
@@ -183,37 +183,41 @@
         }
         self._held_by_owner = {}
         self._bytes = 0
-        self._forget_queue = []
+        self._removal_queue = []
         for claim in claims:
             key = _key_of(claim)
             self._put(key, claim)
-            self._forget_queue.append((claim.forget_ms, key))
+            self._removal_queue.append((claim.forget_ms, key))
             if claim.state == _HELD:
-                self._hold(key, claim)
-        heapq.heapify(self._forget_queue)
+                self._add_to_owner(key, claim)
+        heapq.heapify(self._removal_queue)
 
-    def _refuse(
+    def _check_request(
         self, request: control_pb2.ClaimRequest
     ) -> control_pb2.ClaimReply | None:
         if not request.attempt_id or not request.idempotency_key:
-            return refused('a claim needs an idempotency key and an attempt')
-        if len(request.idempotency_key.encode()) > MOST_KEY_BYTES:
-            return refused(
-                f'the idempotency key is over {MOST_KEY_BYTES} bytes; '
+            return invalid_claim(
+                'a claim needs an idempotency key and an attempt'
+            )
+        if len(request.idempotency_key.encode()) > MAX_KEY_BYTES:
+            return invalid_claim(
+                f'the idempotency key is over {MAX_KEY_BYTES} bytes; '
                 + 'send a shorter one'
             )
         newest = self._incarnation_by_node.get(request.node_id, 0)
         if request.node_incarnation < newest:
-            return refused('this run of the node was replaced; restart it')
-        self._replace(request.node_id, request.node_incarnation)
+            return invalid_claim(
+                'this run of the node was replaced; restart it'
+            )
+        self._record_incarnation(request.node_id, request.node_incarnation)
         return None
 
-    def _replace(self, node_id: str, incarnation: int) -> None:
+    def _record_incarnation(self, node_id: str, incarnation: int) -> None:
         newest = self._incarnation_by_node.get(node_id, 0)
         if incarnation <= newest:
             return
         self._incarnation_by_node[node_id] = incarnation
-        self.owner_gone(
+        self.mark_owner_gone(
             commands_pb2.OwnerGone(node_id=node_id, incarnation=incarnation - 1)
         )
 
@@ -223,8 +227,8 @@
         now: int,
         ended: Iterable[commands_pb2.AttemptEnd],
     ) -> control_pb2.ClaimReply:
-        limit = min(request.time_limit_ms, _LONGEST_LIMIT)
-        retention = _retention_of(request)
+        limit = min(request.time_limit_ms, _MAX_TIME_LIMIT_MS)
+        retention = _retention_ms(request)
         claim = commands_pb2.ClaimImage(
             account=request.account,
             service=request.service,
@@ -241,11 +245,11 @@
         )
         key = _key_of(request)
         earlier = len(self._claim_by_key.get(key, b''))
-        if self._bytes + claim.ByteSize() - earlier > self._most_bytes:
+        if self._bytes + claim.ByteSize() - earlier > self._max_bytes:
             return table_full()
         self._put(key, claim)
-        self._hold(key, claim)
-        heapq.heappush(self._forget_queue, (claim.forget_ms, key))
+        self._add_to_owner(key, claim)
+        heapq.heappush(self._removal_queue, (claim.forget_ms, key))
         return claim_reply(_HELD)
 
     def _answer_held(
@@ -263,7 +267,9 @@
             # The first answer may have been lost on its way.
             return claim_reply(_HELD)
         reply = claim_reply(_IN_PROGRESS)
-        reply.retry_after_ms = min(max(1, claim.lapses_ms - now), ASK_AGAIN)
+        reply.retry_after_ms = min(
+            max(1, claim.lapses_ms - now), RETRY_AFTER_MS
+        )
         return reply
 
     def _settle(
@@ -273,23 +279,23 @@
         request: control_pb2.SettleRequest,
         now: int,
     ) -> None:
-        self._release(key, claim)
+        self._remove_from_owner(key, claim)
         claim.state = request.state
         forget_ms = max(now, claim.lapses_ms) + claim.retention_ms
         if forget_ms != claim.forget_ms:
             claim.forget_ms = forget_ms
-            heapq.heappush(self._forget_queue, (forget_ms, key))
+            heapq.heappush(self._removal_queue, (forget_ms, key))
         if request.state == _COMPLETED:
-            claim.stored.CopyFrom(bounded(request.stored))
+            claim.stored.CopyFrom(without_large_body(request.stored))
         if request.state == _NOT_RUN:
             _end_attempt(claim, request.attempt_id)
         self._put(key, claim)
 
-    def _lapse(
+    def _expire_if_overdue(
         self, key: ClaimKey, claim: commands_pb2.ClaimImage, now: int
     ) -> None:
         if claim.state == _HELD and now > claim.lapses_ms:
-            self._release(key, claim)
+            self._remove_from_owner(key, claim)
             claim.state = _OUTCOME_UNKNOWN
             self._put(key, claim)
 
@@ -304,10 +310,14 @@
         self._bytes += len(serialised) - len(self._claim_by_key.get(key, b''))
         self._claim_by_key[key] = serialised
 
-    def _hold(self, key: ClaimKey, claim: commands_pb2.ClaimImage) -> None:
+    def _add_to_owner(
+        self, key: ClaimKey, claim: commands_pb2.ClaimImage
+    ) -> None:
         self._held_by_owner.setdefault(_owner_of(claim), set()).add(key)
 
-    def _release(self, key: ClaimKey, claim: commands_pb2.ClaimImage) -> None:
+    def _remove_from_owner(
+        self, key: ClaimKey, claim: commands_pb2.ClaimImage
+    ) -> None:
         owner = _owner_of(claim)
         keys = self._held_by_owner.get(owner)
         if keys is None:
@@ -336,12 +346,12 @@
     return Owner(claim.node_id, claim.node_incarnation)
 
 
-def _retention_of(request: control_pb2.ClaimRequest) -> int:
+def _retention_ms(request: control_pb2.ClaimRequest) -> int:
     asked = request.retention_s * _MS_PER_SECOND
-    return min(max(asked, _LEAST_RETENTION), _LONGEST_RETENTION)
+    return min(max(asked, _MIN_RETENTION_MS), _MAX_RETENTION_MS)
 
 
-def _ended(
+def _ended_state(
     claim: commands_pb2.ClaimImage, attempt_id: str
 ) -> control_pb2.ClaimState | None:
     for end in claim.ended_attempts:
@@ -355,4 +365,4 @@
     ended.append(commands_pb2.AttemptEnd(attempt_id=attempt_id, state=_NOT_RUN))
     claim.ClearField('ended_attempts')
     # A sender that gave up so many attempts ago is not heard again.
-    claim.ended_attempts.extend(ended[-MOST_ENDED_ATTEMPTS:])
+    claim.ended_attempts.extend(ended[-MAX_ENDED_ATTEMPTS:])
--- a/verbenathread/control/daemon.py
+++ b/verbenathread/control/daemon.py
@@ -12,12 +12,12 @@
 from verbenathread.consensus.rpc import ConsensusService, RpcTransport
 from verbenathread.consensus.settings import ReplicaSettings
 from verbenathread.control.machine import ControlMachine
-from verbenathread.control.node_reports import REPORT_EVERY, NodeReporter
+from verbenathread.control.node_reports import REPORT_INTERVAL, NodeReporter
 from verbenathread.control.nodes import NodeTable
 from verbenathread.control.operator_calls import OperatorCalls
-from verbenathread.control.order_http import HttpUpstreams
+from verbenathread.control.order_http import HttpOrderTransport
 from verbenathread.control.orders import OrderSender
-from verbenathread.control.proposals import Proposals
+from verbenathread.control.proposals import Proposer
 from verbenathread.control.service import ControlService
 from verbenathread.control.sessions import Sessions
 from verbenathread.control.sweeper import ClaimSweeper
@@ -27,11 +27,11 @@
 from verbenathread.settings.node import parse_address, parse_peers
 from verbenathread.types import Millis, Peer
 
-_ORDER_STEP: Millis = 200
-_SWEEP_STEP: Millis = 500
-_WAKE_STEP: Millis = 1000
+_ORDER_INTERVAL: Millis = 200
+_SWEEP_INTERVAL: Millis = 500
+_APPLY_TIMEOUT: Millis = 1000
 # Time for the last answers to leave before connections close, in ms.
-_LAST_ANSWERS: Millis = 100
+_DRAIN_DELAY: Millis = 100
 
 _log = get_logger('control')
 
@@ -58,12 +58,12 @@
         )
         self.sessions = Sessions(self.machine.tree, self.nodes)
         self._reporter = NodeReporter(node.cluster, node.node_key, self.nodes)
-        proposals = Proposals(self.replica, self.machine, clock)
+        proposals = Proposer(self.replica, self.machine, clock)
         self._sweeper = ClaimSweeper(self.machine, self.nodes, proposals, clock)
         self.orders = OrderSender(
             log=self.replica,
             machine=self.machine,
-            upstreams=HttpUpstreams(),
+            transport=HttpOrderTransport(),
             clock=clock,
             lease=control.election_timeout,
         )
@@ -101,7 +101,12 @@
         else:
             await self._server.start(sock=sock)
         await self.replica.start()
-        for duty in (self._wake, self._lead, self._order, self._report):
+        for duty in (
+            self._notify_sessions,
+            self._sweep_while_leading,
+            self._send_orders,
+            self._report_nodes,
+        ):
             self._tasks.append(asyncio.create_task(duty()))
         _log.info('Control runs.', listen=str(self._listen))
 
@@ -112,27 +117,27 @@
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        await asyncio.sleep(seconds(_LAST_ANSWERS))
+        await asyncio.sleep(seconds(_DRAIN_DELAY))
         self._reporter.close()
         self._transport.close()
         self._server.close()
         await self._server.wait_closed()
         _log.info('Control stopped.')
 
-    async def failed(self) -> str:
+    async def wait_failed(self) -> str:
         """Return why the replica stopped by itself, once it did."""
         while not self.replica.status().failure:
-            await asyncio.sleep(seconds(_SWEEP_STEP))
+            await asyncio.sleep(seconds(_SWEEP_INTERVAL))
         return self.replica.status().failure
 
-    async def _wake(self) -> None:
+    async def _notify_sessions(self) -> None:
         """Let sessions look for what is newer after each command."""
         applied = 0
         while True:
-            applied = await self.replica.wait_applied(applied, _WAKE_STEP)
+            applied = await self.replica.wait_applied(applied, _APPLY_TIMEOUT)
             self.sessions.wake(self.replica.status().leader_address)
 
-    async def _lead(self) -> None:
+    async def _sweep_while_leading(self) -> None:
         led = False
         while True:
             leads = self.replica.status().is_leader
@@ -141,7 +146,7 @@
             led = leads
             if leads:
                 await self._sweep()
-            await asyncio.sleep(seconds(_SWEEP_STEP))
+            await asyncio.sleep(seconds(_SWEEP_INTERVAL))
 
     async def _sweep(self) -> None:
         try:
@@ -149,18 +154,18 @@
         except VerbenathreadError as error:
             _log.warning('Claims of a gone owner wait.', reason=str(error))
 
-    async def _order(self) -> None:
+    async def _send_orders(self) -> None:
         while True:
             self.orders.step()
-            await asyncio.sleep(seconds(_ORDER_STEP))
+            await asyncio.sleep(seconds(_ORDER_INTERVAL))
 
-    async def _report(self) -> None:
+    async def _report_nodes(self) -> None:
         """Tell the leader of this process's sessions, each second."""
         while True:
             status = self.replica.status()
             if status.leader_address and not status.is_leader:
                 await self._reporter.report(status.leader_address)
-            await asyncio.sleep(seconds(REPORT_EVERY))
+            await asyncio.sleep(seconds(REPORT_INTERVAL))
 
 
 def _replica_settings(settings: settings_pb2.NodeSettings) -> ReplicaSettings:
--- a/verbenathread/control/load_limit.py
+++ b/verbenathread/control/load_limit.py
@@ -15,31 +15,31 @@
 )
 
 
-class LoadLimit:
+class WeightLoadLimiter:
     """At most so many loads in progress over the fleet, by need.
 
     A model that no engine shows goes first, then the one that the fewest do.
     A load is in progress from its order until the engine shows the model.
     """
 
-    def __init__(self, most: Callable[[], int], clock: Clock) -> None:
+    def __init__(self, read_limit: Callable[[], int], clock: Clock) -> None:
         """Read the limit in force from ``most`` each time."""
-        self._most = most
+        self._read_limit = read_limit
         self._clock = clock
         self._lock = threading.Lock()
-        self._queue = WeightLoadQueue(most())
+        self._queue = WeightLoadQueue(read_limit())
         self._models_by_upstream: dict[str, tuple[str, ...]] = {}
 
     def may_load(self, upstream_id: str, model: str) -> bool:
         """Tell whether this load may be ordered now; if not, it waits."""
         load = WeightLoad(upstream_id, model)
         with self._lock:
-            self._queue.limit = self._most()
+            self._queue.limit = self._read_limit()
             self._queue.enqueue(load)
-            self._queue.start(self._need_by_model(), self._clock.now())
+            self._queue.start(self._demand_by_model(), self._clock.now())
             return self._queue.is_started(load)
 
-    def shown(self, upstream_id: str, models: tuple[str, ...]) -> None:
+    def record_models(self, upstream_id: str, models: tuple[str, ...]) -> None:
         """Note the models that an engine shows, which ends their loads."""
         with self._lock:
             self._models_by_upstream[upstream_id] = models
@@ -52,7 +52,7 @@
             self._models_by_upstream.pop(upstream_id, None)
             self._queue.forget(upstream_id)
 
-    def _need_by_model(self) -> dict[str, ModelDemand]:
+    def _demand_by_model(self) -> dict[str, ModelDemand]:
         engines = Counter(
             model
             for models in self._models_by_upstream.values()
--- a/verbenathread/control/machine.py
+++ b/verbenathread/control/machine.py
@@ -60,13 +60,13 @@
         parsed = _parse(command, index)
         self._applied = index
         self._now = max(self._now, parsed.time_ms)
-        self.claims.forget(self._now)
+        self.claims.remove_expired(self._now)
         kind = parsed.WhichOneof('kind')
         if kind is None:
             return b''
         return self._apply_by_kind[kind](index, getattr(parsed, kind))
 
-    def remembered(self, operation_id: str, digest: str) -> bytes | None:
+    def recorded_reply(self, operation_id: str, digest: str) -> bytes | None:
         """Return the first answer of an operation, or None if unknown.
 
         Raises :class:`ReusedOperationError` when the operation id was used
@@ -93,7 +93,7 @@
         if not may_change(tree, order.credential, path):
             return denied(order.credential.operator_name, path)
         problem = order_problem(order.action, order.subject)
-        if not problem and self.wanted.full(order.upstream_id):
+        if not problem and self.wanted.is_full(order.upstream_id):
             problem = 'too many orders are kept; forget an upstream first'
         if problem:
             return control_pb2.Answer(code=control_pb2.INVALID, message=problem)
@@ -144,7 +144,7 @@
     ) -> bytes:
         digest = digest_of_change(change)
         try:
-            earlier = self.remembered(change.operation_id, digest)
+            earlier = self.recorded_reply(change.operation_id, digest)
         except ReusedOperationError as error:
             return self._refuse_reused(index, change, error)
         if earlier is not None:
@@ -164,11 +164,11 @@
             revision=reply.revision,
             result=RESULT_BY_CODE[code],
             before=before,
-            after=_shown_after(change, code),
+            after=_audited_text(change, code),
             operation_id=change.operation_id,
             comment=change.comment,
         )
-        return self._remember(change.operation_id, digest, reply)
+        return self._record_reply(change.operation_id, digest, reply)
 
     def _refuse_reused(
         self,
@@ -183,7 +183,7 @@
             subject=change.path,
             expected_revision=change.expected_revision,
             result='operation identifier used again',
-            after=hidden(change.text),
+            after=redacted(change.text),
             operation_id=change.operation_id,
         )
         return error.change_reply().SerializeToString()
@@ -194,7 +194,9 @@
         remembers = bool(refusal.digest)
         if remembers:
             try:
-                earlier = self.remembered(refusal.operation_id, refusal.digest)
+                earlier = self.recorded_reply(
+                    refusal.operation_id, refusal.digest
+                )
             except ReusedOperationError as error:
                 return error.change_reply().SerializeToString()
             if earlier is not None:
@@ -213,7 +215,7 @@
         )
         if not remembers:
             return refusal.reply.SerializeToString()
-        return self._remember(
+        return self._record_reply(
             refusal.operation_id, refusal.digest, refusal.reply
         )
 
@@ -232,7 +234,7 @@
     ) -> bytes:
         digest = order.digest or digest_of(order)
         try:
-            earlier = self.remembered(order.operation_id, digest)
+            earlier = self.recorded_reply(order.operation_id, digest)
         except ReusedOperationError as error:
             return error.order_reply().SerializeToString()
         if earlier is not None:
@@ -254,12 +256,12 @@
             after=order.subject,
             operation_id=order.operation_id,
         )
-        return self._remember(order.operation_id, digest, reply)
+        return self._record_reply(order.operation_id, digest, reply)
 
     def _apply_owner_gone(
         self, _index: int, gone: commands_pb2.OwnerGone
     ) -> bytes:
-        self.claims.owner_gone(gone)
+        self.claims.mark_owner_gone(gone)
         return b''
 
     def _apply_member(
@@ -281,16 +283,14 @@
             control_pb2.AuditRecord(index=index, time_ms=self._now, **fields)
         )
 
-    def _remember(
+    def _record_reply(
         self, operation_id: str, digest: str, reply: Message
     ) -> bytes:
         serialised = reply.SerializeToString()
         code: int = reply.answer.code  # type: ignore[attr-defined]
         if operation_id and code != control_pb2.DENIED:
             # A denied stranger must not use up an operator's identifier.
-            self.operations.remember(
-                operation_id, digest, serialised, self._now
-            )
+            self.operations.record(operation_id, digest, serialised, self._now)
         return serialised
 
 
@@ -316,7 +316,7 @@
         return control_pb2.Answer(code=control_pb2.INVALID, message=str(self))
 
 
-def hidden(text: str) -> str:
+def redacted(text: str) -> str:
     """Return a text by its hash, since it may hold a secret."""
     hashed = hashlib.sha256(text.encode()).hexdigest()
     return f'sha256:{hashed}'
@@ -334,9 +334,9 @@
     return parsed
 
 
-def _shown_after(
+def _audited_text(
     change: commands_pb2.ChangeCommand, code: control_pb2.Code
 ) -> str:
     if change.remove:
         return ''
-    return change.text if code == control_pb2.OK else hidden(change.text)
+    return change.text if code == control_pb2.OK else redacted(change.text)
--- a/verbenathread/control/node_reports.py
+++ b/verbenathread/control/node_reports.py
@@ -12,8 +12,8 @@
 from verbenathread.types import Millis
 
 # Time between two reports to the leader, in ms.
-REPORT_EVERY: Millis = 1000
-_REPORT_LIMIT = 2.0
+REPORT_INTERVAL: Millis = 1000
+_REPORT_TIMEOUT_S = 2.0
 
 
 class NodeReporter:
@@ -27,7 +27,7 @@
         self._leader = ''
         self._channel: Channel | None = None
         # What this leader has of the upstreams; only what differs is sent.
-        self._told_by_upstream: dict[str, control_pb2.UpstreamStatus] = {}
+        self._reported_by_upstream: dict[str, control_pb2.UpstreamStatus] = {}
 
     async def report(self, leader: str) -> bool:
         """Send one report to the leader; False when it did not arrive."""
@@ -37,7 +37,7 @@
         if self._channel is None:
             address = parse_address(leader)
             self._channel = PeerChannel(address.host, address.port)
-        upstreams = self._upstreams_untold()
+        upstreams = self._changed_upstreams()
         request = control_pb2.NodesReport(
             cluster=self._cluster,
             node_key=self._node_key,
@@ -46,12 +46,13 @@
         )
         try:
             await asyncio.wait_for(
-                ControlStub(self._channel).ReportNodes(request), _REPORT_LIMIT
+                ControlStub(self._channel).ReportNodes(request),
+                _REPORT_TIMEOUT_S,
             )
         except BROKEN_CALL:
             return False
         for status in upstreams:
-            self._told_by_upstream[status.upstream_id] = status
+            self._reported_by_upstream[status.upstream_id] = status
         return True
 
     def close(self) -> None:
@@ -59,11 +60,11 @@
         if self._channel is not None:
             self._channel.close()
         self._channel = None
-        self._told_by_upstream.clear()
+        self._reported_by_upstream.clear()
 
-    def _upstreams_untold(self) -> list[control_pb2.UpstreamStatus]:
+    def _changed_upstreams(self) -> list[control_pb2.UpstreamStatus]:
         return [
             status
             for status in self._nodes.upstreams()
-            if self._told_by_upstream.get(status.upstream_id) != status
+            if self._reported_by_upstream.get(status.upstream_id) != status
         ]
--- a/verbenathread/control/node_service.py
+++ b/verbenathread/control/node_service.py
@@ -10,7 +10,7 @@
 
 from verbenathread.control.answers import ok
 from verbenathread.control.nodes import NodeTable
-from verbenathread.control.proposals import Proposals
+from verbenathread.control.proposals import Proposer
 from verbenathread.control.sessions import Sessions
 from verbenathread.schema import control_pb2 as messages
 
@@ -32,7 +32,7 @@
         *,
         cluster: str,
         node_key: str,
-        proposals: Proposals,
+        proposals: Proposer,
         sessions: Sessions,
         nodes: NodeTable,
     ) -> None:
@@ -87,7 +87,7 @@
         self, request: messages.NodesReport
     ) -> messages.NodesReply:
         self._check_node(request)
-        self._nodes.take_nodes(request)
+        self._nodes.record_peer_report(request)
         return messages.NodesReply(answer=ok())
 
     def _check_node(self, call: _NodeCall) -> None:
--- a/verbenathread/control/nodes.py
+++ b/verbenathread/control/nodes.py
@@ -12,16 +12,16 @@
 from verbenathread.types import Millis
 
 # A node is forgotten after this long without a report, in ms.
-FORGET_AFTER = 600_000
-MOST_UPSTREAMS = 16_384
-_RANK_BY_STATE = ('', 'ready', 'leaving', 'gone')
+NODE_RETENTION = 600_000
+MAX_UPSTREAMS = 16_384
+_STATES_BY_RANK = ('', 'ready', 'leaving', 'gone')
 
 
-class HeardNode(NamedTuple):
+class NodeRecord(NamedTuple):
     """The last report of a node and the monotonic time it was heard."""
 
     status: control_pb2.NodeStatus
-    heard: Millis
+    reported_at: Millis
 
 
 class NodeTable:
@@ -30,12 +30,12 @@
     def __init__(self, clock: Clock) -> None:
         """Start with nobody heard."""
         self._clock = clock
-        self._heard_by_node: dict[str, HeardNode] = {}
+        self._record_by_node: dict[str, NodeRecord] = {}
         self._upstream_by_id: dict[str, control_pb2.UpstreamStatus] = {}
 
-    def take_report(self, report: control_pb2.NodeReport) -> None:
+    def record_report(self, report: control_pb2.NodeReport) -> None:
         """Take what a node reported over its own session."""
-        self._take(
+        self._record_node(
             control_pb2.NodeStatus(
                 node_id=report.node_id,
                 data_centre=report.data_centre,
@@ -47,28 +47,28 @@
             ),
             self._clock.now(),
         )
-        self._take_upstreams(report.upstreams)
+        self._record_upstreams(report.upstreams)
 
-    def take_nodes(self, report: control_pb2.NodesReport) -> None:
+    def record_peer_report(self, report: control_pb2.NodesReport) -> None:
         """Take what another control process heard."""
         now = self._clock.now()
         for status in report.nodes:
-            self._take(status, now - status.silent_ms)
-        self._take_upstreams(report.upstreams)
+            self._record_node(status, now - status.silent_ms)
+        self._record_upstreams(report.upstreams)
 
-    def get(self, node_id: str) -> HeardNode | None:
+    def get(self, node_id: str) -> NodeRecord | None:
         """Return what was last heard of one node, or None."""
-        return self._heard_by_node.get(node_id)
+        return self._record_by_node.get(node_id)
 
     def statuses(self) -> list[control_pb2.NodeStatus]:
         """Return every node heard lately, with how long it is silent."""
         now = self._clock.now()
-        self._forget(now)
+        self._remove_stale(now)
         statuses = []
-        for _, heard in sorted(self._heard_by_node.items()):
+        for _, heard in sorted(self._record_by_node.items()):
             status = control_pb2.NodeStatus()
             status.CopyFrom(heard.status)
-            status.silent_ms = max(0, now - heard.heard)
+            status.silent_ms = max(0, now - heard.reported_at)
             statuses.append(status)
         return statuses
 
@@ -80,15 +80,17 @@
         """Return one upstream, or None."""
         return self._upstream_by_id.get(upstream_id)
 
-    def _take(self, status: control_pb2.NodeStatus, heard: Millis) -> None:
-        known = self._heard_by_node.get(status.node_id)
+    def _record_node(
+        self, status: control_pb2.NodeStatus, heard: Millis
+    ) -> None:
+        known = self._record_by_node.get(status.node_id)
         if known is not None:
             order = (status.incarnation, heard)
-            if order < (known.status.incarnation, known.heard):
+            if order < (known.status.incarnation, known.reported_at):
                 return
-        self._heard_by_node[status.node_id] = HeardNode(status, heard)
+        self._record_by_node[status.node_id] = NodeRecord(status, heard)
 
-    def _take_upstreams(
+    def _record_upstreams(
         self, upstreams: Iterable[control_pb2.UpstreamStatus]
     ) -> None:
         for status in upstreams:
@@ -96,17 +98,17 @@
             if known is not None and _rank(status) < _rank(known):
                 continue
             self._upstream_by_id[status.upstream_id] = status
-        while len(self._upstream_by_id) > MOST_UPSTREAMS:
+        while len(self._upstream_by_id) > MAX_UPSTREAMS:
             self._upstream_by_id.pop(next(iter(self._upstream_by_id)))
 
-    def _forget(self, now: Millis) -> None:
-        for node_id, heard in list(self._heard_by_node.items()):
-            if now - heard.heard > FORGET_AFTER:
-                self._heard_by_node.pop(node_id)
+    def _remove_stale(self, now: Millis) -> None:
+        for node_id, heard in list(self._record_by_node.items()):
+            if now - heard.reported_at > NODE_RETENTION:
+                self._record_by_node.pop(node_id)
 
 
 def _rank(status: control_pb2.UpstreamStatus) -> tuple[int, int]:
     state = status.state.lower()
-    if state not in _RANK_BY_STATE:
+    if state not in _STATES_BY_RANK:
         return (status.incarnation, 0)
-    return (status.incarnation, _RANK_BY_STATE.index(state))
+    return (status.incarnation, _STATES_BY_RANK.index(state))
--- a/verbenathread/control/operations.py
+++ b/verbenathread/control/operations.py
@@ -12,8 +12,8 @@
 
 from verbenathread.schema import commands_pb2
 
-MOST_OPERATIONS = 10_000
-LONGEST_AGE = 172_800_000  # ms; two days
+MAX_OPERATIONS = 10_000
+MAX_AGE_MS = 172_800_000  # ms; two days
 
 
 def digest_of(request: Message) -> str:
@@ -26,9 +26,9 @@
 class OperationTable:
     """Remembered answers by operation id, oldest first."""
 
-    def __init__(self, most: int = MOST_OPERATIONS) -> None:
+    def __init__(self, max_operations: int = MAX_OPERATIONS) -> None:
         """Keep at most ``most`` answers."""
-        self._most = most
+        self._max_operations = max_operations
         self._image_by_id: OrderedDict[str, commands_pb2.OperationImage] = (
             OrderedDict()
         )
@@ -41,7 +41,7 @@
         """Return what was answered to one operation, or None."""
         return self._image_by_id.get(operation_id)
 
-    def remember(
+    def record(
         self, operation_id: str, digest: str, reply: bytes, now: int
     ) -> None:
         """Keep the answer of an operation decided at wall time ``now``."""
@@ -51,7 +51,7 @@
             reply=reply,
             time_ms=now,
         )
-        self._forget(now)
+        self._evict(now)
 
     def images(self) -> Iterable[commands_pb2.OperationImage]:
         """Return the answers for a snapshot, oldest first."""
@@ -63,10 +63,10 @@
             (image.operation_id, image) for image in images
         )
 
-    def _forget(self, now: int) -> None:
+    def _evict(self, now: int) -> None:
         while self._image_by_id:
             oldest = next(iter(self._image_by_id.values()))
-            young = oldest.time_ms + LONGEST_AGE >= now
-            if young and len(self._image_by_id) <= self._most:
+            young = oldest.time_ms + MAX_AGE_MS >= now
+            if young and len(self._image_by_id) <= self._max_operations:
                 return
             self._image_by_id.popitem(last=False)
--- a/verbenathread/control/operator_calls.py
+++ b/verbenathread/control/operator_calls.py
@@ -9,9 +9,9 @@
 from verbenathread.control.operations import digest_of
 from verbenathread.control.ports import ControlLog
 from verbenathread.control.proposals import (
-    CHANGE_LIMIT,
-    Proposals,
-    RefusedOperatorError,
+    CHANGE_TIMEOUT,
+    OperatorDeniedError,
+    Proposer,
 )
 from verbenathread.exceptions import (
     SettingsError,
@@ -22,12 +22,12 @@
 from verbenathread.settings.node import parse_address
 from verbenathread.types import Peer
 
-_MOST_RECORDS = 1000
-_USUAL_RECORDS = 50
-_MEMBER_LIMIT = 30_000
+_MAX_RECORDS = 1000
+_DEFAULT_RECORDS = 50
+_MEMBER_TIMEOUT = 30_000
 
 OrderStates = Callable[[], Sequence[control_pb2.OrderStatus]]
-_Credentials = (
+_OperatorRequest = (
     control_pb2.ChangeRequest
     | control_pb2.ReadTreeRequest
     | control_pb2.HistoryRequest
@@ -46,7 +46,7 @@
         *,
         log: ControlLog,
         machine: ControlMachine,
-        proposals: Proposals,
+        proposals: Proposer,
         nodes: NodeTable,
         orders: OrderStates,
         root_key_sha256: str,
@@ -81,8 +81,8 @@
         """Return the branches at and below a path."""
         try:
             await self._allow_read(request)
-        except (VerbenathreadError, RefusedOperatorError) as error:
-            return control_pb2.ReadTreeReply(answer=_refusal(error))
+        except (VerbenathreadError, OperatorDeniedError) as error:
+            return control_pb2.ReadTreeReply(answer=_error_answer(error))
         return control_pb2.ReadTreeReply(
             answer=ok(),
             revision=self._machine.tree.revision(),
@@ -95,12 +95,12 @@
         """Return the last accepted changes of one branch, newest first."""
         try:
             await self._proposals.require_operator(self._credential(request))
-        except (VerbenathreadError, RefusedOperatorError) as error:
-            return control_pb2.HistoryReply(answer=_refusal(error))
+        except (VerbenathreadError, OperatorDeniedError) as error:
+            return control_pb2.HistoryReply(answer=_error_answer(error))
         return control_pb2.HistoryReply(
             answer=ok(),
             records=self._machine.audit.history(
-                request.path, _bounded(request.limit)
+                request.path, _record_limit(request.limit)
             ),
         )
 
@@ -110,12 +110,12 @@
         """Return records of the audit trail, oldest first."""
         try:
             await self._proposals.require_operator(self._credential(request))
-        except (VerbenathreadError, RefusedOperatorError) as error:
-            return control_pb2.AuditReply(answer=_refusal(error))
+        except (VerbenathreadError, OperatorDeniedError) as error:
+            return control_pb2.AuditReply(answer=_error_answer(error))
         return control_pb2.AuditReply(
             answer=ok(),
             records=self._machine.audit.after(
-                request.after_index, _bounded(request.limit), request.path
+                request.after_index, _record_limit(request.limit), request.path
             ),
         )
 
@@ -129,16 +129,16 @@
         credential = self._credential(request)
         answer = ok()
         try:
-            await self._log.barrier(CHANGE_LIMIT)
+            await self._log.barrier(CHANGE_TIMEOUT)
         except VerbenathreadError as error:
             answer = answer_of(error)
         if answer.code == control_pb2.NOT_LEADER:
             return control_pb2.StatusReply(answer=answer)
         try:
             self._proposals.check_operator(credential)
-        except RefusedOperatorError as refused:
+        except OperatorDeniedError as refused:
             return control_pb2.StatusReply(answer=refused.answer)
-        return self._view(answer)
+        return self._status_reply(answer)
 
     async def place_order(
         self, request: control_pb2.OrderRequest
@@ -148,10 +148,10 @@
         Its address and service may be left out once they are known.
         """
         try:
-            await self._log.barrier(CHANGE_LIMIT)
+            await self._log.barrier(CHANGE_TIMEOUT)
             order = self._order(request)
         except VerbenathreadError as error:
-            return control_pb2.OrderReply(answer=_refusal(error))
+            return control_pb2.OrderReply(answer=_error_answer(error))
         return await self._proposals.order(order)
 
     async def change_member(
@@ -160,8 +160,8 @@
         """Add, promote or remove a member of the control group."""
         try:
             await self._change_member(request)
-        except (VerbenathreadError, RefusedOperatorError) as error:
-            return control_pb2.MemberReply(answer=_refusal(error))
+        except (VerbenathreadError, OperatorDeniedError) as error:
+            return control_pb2.MemberReply(answer=_error_answer(error))
         return control_pb2.MemberReply(answer=ok())
 
     async def _change_member(self, request: control_pb2.MemberRequest) -> None:
@@ -176,15 +176,15 @@
             result='asked',
         )
         peer = self._peer(request)
-        await self._record(record)
+        await self._record_audit(record)
         try:
-            await self._log.change_member(request.action, peer, _MEMBER_LIMIT)
+            await self._log.change_member(request.action, peer, _MEMBER_TIMEOUT)
         except VerbenathreadError as error:
             record.result = f'refused: {error}'
-            await self._record(record)
+            await self._record_audit(record)
             raise
         record.result = 'accepted'
-        await self._record(record)
+        await self._record_audit(record)
 
     def _order(
         self, request: control_pb2.OrderRequest
@@ -211,9 +211,9 @@
         parse_address(order.address)
         return order
 
-    async def _record(self, record: commands_pb2.MemberCommand) -> None:
+    async def _record_audit(self, record: commands_pb2.MemberCommand) -> None:
         await self._proposals.propose(
-            commands_pb2.Command(member=record), CHANGE_LIMIT
+            commands_pb2.Command(member=record), CHANGE_TIMEOUT
         )
 
     def _peer(self, request: control_pb2.MemberRequest) -> Peer:
@@ -231,14 +231,16 @@
             return
         await self._proposals.require_operator(credential)
 
-    def _credential(self, request: _Credentials) -> commands_pb2.Credential:
+    def _credential(self, request: _OperatorRequest) -> commands_pb2.Credential:
         return credential_of(
             request.operator_name,
             request.operator_key,
             self._root_key_sha256,
         )
 
-    def _view(self, answer: control_pb2.Answer) -> control_pb2.StatusReply:
+    def _status_reply(
+        self, answer: control_pb2.Answer
+    ) -> control_pb2.StatusReply:
         status = self._log.status()
         reply = control_pb2.StatusReply(
             answer=answer,
@@ -260,8 +262,8 @@
         return reply
 
 
-def _refusal(error: Exception) -> control_pb2.Answer:
-    if isinstance(error, RefusedOperatorError):
+def _error_answer(error: Exception) -> control_pb2.Answer:
+    if isinstance(error, OperatorDeniedError):
         return error.answer
     if isinstance(error, (SettingsError, UsageError)):
         return invalid(str(error))
@@ -270,5 +272,5 @@
     raise error
 
 
-def _bounded(limit: int) -> int:
-    return min(limit or _USUAL_RECORDS, _MOST_RECORDS)
+def _record_limit(limit: int) -> int:
+    return min(limit or _DEFAULT_RECORDS, _MAX_RECORDS)
--- a/verbenathread/control/order_http.py
+++ b/verbenathread/control/order_http.py
@@ -21,10 +21,10 @@
 from verbenathread.types import Millis
 
 _PATH = '/v1/orders'
-_MOST_REPLY_BYTES = 65_536
-_FENCED = 409
-_REFUSED = 400
-_BROKEN = (HTTPError, OSError, ValueError)
+_MAX_REPLY_BYTES = 65_536
+_STATUS_FENCED = 409
+_FIRST_ERROR_STATUS = 400
+_CONNECTION_ERRORS = (HTTPError, OSError, ValueError)
 _RESET_ON_CLOSE = struct.pack('ii', 1, 0)
 
 MaySend = Callable[[], bool]
@@ -39,7 +39,7 @@
     subject: str
 
 
-class Shown(NamedTuple):
+class ReportedState(NamedTuple):
     """What an upstream shows of the orders it follows."""
 
     fencing: int
@@ -57,15 +57,15 @@
     """The lead was lost before the order was sent."""
 
 
-class Upstreams(Protocol):
+class OrderTransport(Protocol):
     """How orders reach upstreams."""
 
-    def read(self, address: str, limit: Millis) -> Shown:
+    def read(self, address: str, limit: Millis) -> ReportedState:
         """Return what the upstream shows; UnavailableError if it does not."""
 
     def send(
         self, address: str, order: Order, limit: Millis, may_send: MaySend
-    ) -> Shown:
+    ) -> ReportedState:
         """Send one order and return what the upstream shows then.
 
         Raises :class:`OrderRefusedError`, :class:`LeadershipLostError` or
@@ -73,27 +73,27 @@
         """
 
 
-class HttpUpstreams:
+class HttpOrderTransport:
     """Upstreams that speak the HTTP interface of docs/UPSTREAMS.md."""
 
-    def read(self, address: str, limit: Millis) -> Shown:
+    def read(self, address: str, limit: Millis) -> ReportedState:
         """Return what the upstream shows."""
         connection = _connection(address, limit)
         try:
             return _exchange(connection, 'GET', None)
-        except _BROKEN as error:
+        except _CONNECTION_ERRORS as error:
             raise _unavailable(address, error) from error
         finally:
             connection.close()
 
     def send(
         self, address: str, order: Order, limit: Millis, may_send: MaySend
-    ) -> Shown:
+    ) -> ReportedState:
         """Send one order, if this process may once it is connected."""
         connection = _connection(address, limit)
         try:
             return _send(connection, order, may_send)
-        except _BROKEN as error:
+        except _CONNECTION_ERRORS as error:
             raise _unavailable(address, error) from error
         finally:
             connection.close()
@@ -113,7 +113,9 @@
     )
 
 
-def _send(connection: HTTPConnection, order: Order, may_send: MaySend) -> Shown:
+def _send(
+    connection: HTTPConnection, order: Order, may_send: MaySend
+) -> ReportedState:
     body = json.dumps(order._asdict()).encode()
     connection.connect()
     if not may_send():
@@ -123,7 +125,7 @@
 
 def _exchange(
     connection: HTTPConnection, method: str, body: bytes | None
-) -> Shown:
+) -> ReportedState:
     connection.request(
         method,
         _PATH,
@@ -132,18 +134,18 @@
         preload_content=False,
     )
     response = connection.getresponse()
-    content = response.read(_MOST_REPLY_BYTES)
-    if response.status == _FENCED:
+    content = response.read(_MAX_REPLY_BYTES)
+    if response.status == _STATUS_FENCED:
         raise OrderRefusedError('it knows a higher fencing number')
-    if response.status >= _REFUSED:
+    if response.status >= _FIRST_ERROR_STATUS:
         raise OrderRefusedError(f'it answered status {response.status}')
-    return _shown(json.loads(content))
+    return _parse_state(json.loads(content))
 
 
-def _shown(members: Any) -> Shown:
+def _parse_state(members: Any) -> ReportedState:
     if not isinstance(members, Mapping):
         raise ValueError('the answer is no JSON object')
-    return Shown(
+    return ReportedState(
         fencing=int(members.get('fencing', 0)),
         models=tuple(str(name) for name in members.get('models', ())),
         role=str(members.get('role', '')),
--- a/verbenathread/control/orders.py
+++ b/verbenathread/control/orders.py
@@ -13,14 +13,14 @@
 from typing import NamedTuple
 
 from verbenathread.clock import Clock
-from verbenathread.control.load_limit import LoadLimit
+from verbenathread.control.load_limit import WeightLoadLimiter
 from verbenathread.control.machine import ControlMachine
 from verbenathread.control.order_http import (
     LeadershipLostError,
     Order,
     OrderRefusedError,
-    Shown,
-    Upstreams,
+    OrderTransport,
+    ReportedState,
 )
 from verbenathread.control.ports import ControlLog
 from verbenathread.exceptions import UnavailableError
@@ -31,22 +31,22 @@
 # Longest time that one order may take, from its connect to its answer.
 ORDER_TIMEOUT: Millis = 2000
 # Clocks of two machines may differ in rate by this share.
-DRIFT_SHARE = 0.05
-FIRST_RECHECK: Millis = 1000
-LONGEST_RETRY: Millis = 30_000
-LONGEST_RECHECK: Millis = 600_000
-MOST_AT_ONCE = 16
+MAX_CLOCK_DRIFT = 0.05
+MIN_RECHECK_DELAY: Millis = 1000
+MAX_RETRY_DELAY: Millis = 30_000
+MAX_RECHECK_DELAY: Millis = 600_000
+MAX_CONCURRENT_UPSTREAMS = 16
 _CHECKED = 'checked'
 
 _log = get_logger('orders')
 
 
-class _Follow(NamedTuple):
+class _Progress(NamedTuple):
     """When one upstream is looked at next, and what was seen last."""
 
     fencing: int
-    due: Millis
-    wait: Millis
+    next_check: Millis
+    delay: Millis
     state: str = 'waiting'
     message: str = ''
 
@@ -59,21 +59,23 @@
         *,
         log: ControlLog,
         machine: ControlMachine,
-        upstreams: Upstreams,
+        transport: OrderTransport,
         clock: Clock,
         lease: Millis,
     ) -> None:
         """Send over ``upstreams``; a leader's lease lasts ``lease`` ms."""
         self._log = log
         self._machine = machine
-        self._upstreams = upstreams
+        self._transport = transport
         self._clock = clock
-        self._quiet_for = int(lease * (1 + DRIFT_SHARE)) + ORDER_TIMEOUT
-        self._loads = LoadLimit(self._most_loads, clock)
+        self._takeover_delay = (
+            int(lease * (1 + MAX_CLOCK_DRIFT)) + ORDER_TIMEOUT
+        )
+        self._load_limiter = WeightLoadLimiter(self._load_limit, clock)
         self._term = 0
         self._stopped = False
-        self._quiet_until = 0
-        self._follow_by_upstream: dict[str, _Follow] = {}
+        self._takeover_ends = 0
+        self._progress_by_upstream: dict[str, _Progress] = {}
         self._task_by_upstream: dict[str, asyncio.Task[None]] = {}
 
     def step(self) -> None:
@@ -81,13 +83,13 @@
         status = self._log.status()
         if self._stopped or not status.is_leader:
             self._term = 0
-            self._follow_by_upstream.clear()
+            self._progress_by_upstream.clear()
             return
         now = self._clock.now()
         if status.term != self._term:
             self._term = status.term
-            self._quiet_until = now + self._quiet_for
-            self._follow_by_upstream.clear()
+            self._takeover_ends = now + self._takeover_delay
+            self._progress_by_upstream.clear()
         for wanted in self._machine.wanted.images():
             self._start_due(wanted, now)
 
@@ -95,7 +97,7 @@
         """Return how far each order has come, as this process saw it."""
         statuses = []
         for wanted in self._machine.wanted.images():
-            follow = self._follow_by_upstream.get(wanted.upstream_id)
+            follow = self._progress_by_upstream.get(wanted.upstream_id)
             for wanted_item in wanted.items:
                 statuses.append(
                     control_pb2.OrderStatus(
@@ -125,7 +127,7 @@
 
         Asked from worker threads right before the first byte.
         """
-        if not checked and self._clock.now() < self._quiet_until:
+        if not checked and self._clock.now() < self._takeover_ends:
             return False
         try:
             status = self._log.status()
@@ -141,13 +143,15 @@
 
         Blocks; runs in a worker thread.
         """
-        shown = self._upstreams.read(wanted.address, ORDER_TIMEOUT)
-        self._loads.shown(wanted.upstream_id, tuple(shown.models))
+        shown = self._transport.read(wanted.address, ORDER_TIMEOUT)
+        self._load_limiter.record_models(
+            wanted.upstream_id, tuple(shown.models)
+        )
         fencing = newest_fencing(wanted)
         missing = []
         may_send = partial(self.may_send, term, checked=checked)
         for wanted_item in wanted.items:
-            if shows(shown, wanted_item, fencing):
+            if satisfies(shown, wanted_item, fencing):
                 continue
             if not self._may_order(wanted.upstream_id, wanted_item):
                 missing.append(wanted_item.slot)
@@ -160,38 +164,40 @@
                 action=wanted_item.action,
                 subject=wanted_item.subject,
             )
-            shown = self._upstreams.send(
+            shown = self._transport.send(
                 wanted.address, order, ORDER_TIMEOUT, may_send
             )
-            if not shows(shown, wanted_item, fencing):
+            if not satisfies(shown, wanted_item, fencing):
                 missing.append(wanted_item.slot)
         return ', '.join(missing)
 
     def _start_due(self, wanted: commands_pb2.WantedImage, now: Millis) -> None:
         name = wanted.upstream_id
         fencing = newest_fencing(wanted)
-        follow = self._follow_by_upstream.get(name)
+        follow = self._progress_by_upstream.get(name)
         if follow is None or follow.fencing != fencing:
-            follow = _Follow(fencing, now, FIRST_RECHECK)
-            self._follow_by_upstream[name] = follow
+            follow = _Progress(fencing, now, MIN_RECHECK_DELAY)
+            self._progress_by_upstream[name] = follow
         busy = name in self._task_by_upstream
-        if busy or follow.due > now:
+        if busy or follow.next_check > now:
             return
-        if len(self._task_by_upstream) >= MOST_AT_ONCE:
+        if len(self._task_by_upstream) >= MAX_CONCURRENT_UPSTREAMS:
             return
-        checked = self._is_checked(wanted.service)
-        if not checked and now < self._quiet_until:
+        checked = self._checks_fencing(wanted.service)
+        if not checked and now < self._takeover_ends:
             return
         image = commands_pb2.WantedImage()
         image.CopyFrom(wanted)
-        task = asyncio.create_task(self._follow(image, follow, checked=checked))
+        task = asyncio.create_task(
+            self._reconcile_upstream(image, follow, checked=checked)
+        )
         self._task_by_upstream[name] = task
         task.add_done_callback(lambda _: self._task_by_upstream.pop(name))
 
-    async def _follow(
+    async def _reconcile_upstream(
         self,
         wanted: commands_pb2.WantedImage,
-        follow: _Follow,
+        follow: _Progress,
         *,
         checked: bool,
     ) -> None:
@@ -203,32 +209,32 @@
         except LeadershipLostError:
             return
         except OrderRefusedError as refusal:
-            self._loads.forget(wanted.upstream_id)
-            self._note(wanted, follow, 'refused', str(refusal))
+            self._load_limiter.forget(wanted.upstream_id)
+            self._record_progress(wanted, follow, 'refused', str(refusal))
         except UnavailableError as error:
-            self._loads.forget(wanted.upstream_id)
-            self._note(wanted, follow, 'waiting', str(error))
+            self._load_limiter.forget(wanted.upstream_id)
+            self._record_progress(wanted, follow, 'waiting', str(error))
         else:
             state = 'waiting' if missing else 'shown'
-            self._note(wanted, follow, state, missing)
+            self._record_progress(wanted, follow, state, missing)
 
-    def _note(
+    def _record_progress(
         self,
         wanted: commands_pb2.WantedImage,
-        follow: _Follow,
+        follow: _Progress,
         state: str,
         message: str,
     ) -> None:
         name = wanted.upstream_id
-        if self._follow_by_upstream.get(name) is not follow:
+        if self._progress_by_upstream.get(name) is not follow:
             return
         if state != follow.state:
             _log.info('An order moved on.', upstream=name, state=state)
-        longest = LONGEST_RECHECK if state == 'shown' else LONGEST_RETRY
-        self._follow_by_upstream[name] = _Follow(
+        longest = MAX_RECHECK_DELAY if state == 'shown' else MAX_RETRY_DELAY
+        self._progress_by_upstream[name] = _Progress(
             follow.fencing,
-            self._clock.now() + follow.wait,
-            min(2 * follow.wait, longest),
+            self._clock.now() + follow.delay,
+            min(2 * follow.delay, longest),
             state,
             message,
         )
@@ -238,13 +244,13 @@
     ) -> bool:
         if wanted_item.action != 'load':
             return True
-        return self._loads.may_load(upstream_id, wanted_item.subject)
+        return self._load_limiter.may_load(upstream_id, wanted_item.subject)
 
-    def _most_loads(self) -> int:
+    def _load_limit(self) -> int:
         # The weight store is one for the fleet: the root's policy counts.
         return self._machine.tree.effective().policy('').weight_loads
 
-    def _is_checked(self, service: str) -> bool:
+    def _checks_fencing(self, service: str) -> bool:
         settings = self._machine.tree.effective().service(service)
         return settings is not None and settings.fencing == _CHECKED
 
@@ -254,8 +260,8 @@
     return max((entry.fencing for entry in wanted.items), default=0)
 
 
-def shows(
-    shown: Shown, wanted_item: commands_pb2.WantedItem, fencing: int
+def satisfies(
+    shown: ReportedState, wanted_item: commands_pb2.WantedItem, fencing: int
 ) -> bool:
     """Tell whether the upstream shows what one order wants."""
     if wanted_item.action == 'load':
--- a/verbenathread/control/proposals.py
+++ b/verbenathread/control/proposals.py
@@ -11,22 +11,22 @@
 from verbenathread.control.machine import (
     ControlMachine,
     ReusedOperationError,
-    hidden,
+    redacted,
 )
 from verbenathread.control.ports import ControlLog
 from verbenathread.exceptions import VerbenathreadError
 from verbenathread.schema import commands_pb2, control_pb2
 from verbenathread.types import Millis
 
-CHANGE_LIMIT = 5000
-CLAIM_LIMIT = 3000
-_MOST_NAME = 128
-_MOST_COMMENT = 1000
-_MOST_DENIALS = 20
-_DENIAL_PERIOD = 1000
+CHANGE_TIMEOUT = 5000
+CLAIM_TIMEOUT = 3000
+_MAX_NAME_LENGTH = 128
+_MAX_COMMENT_LENGTH = 1000
+_MAX_DENIALS = 20
+_DENIAL_PERIOD_MS = 1000
 
 
-class Proposals:
+class Proposer:
     """Checks what callers ask for and puts it on the log."""
 
     def __init__(
@@ -36,13 +36,13 @@
         self._log = log
         self._machine = machine
         self._clock = clock
-        self._denials = _DenialBudget(clock)
+        self._denials = _DenialRateLimit(clock)
 
     async def change(
         self, change: commands_pb2.ChangeCommand
     ) -> control_pb2.ChangeReply:
         """Accept or refuse a change; both stand in the audit trail."""
-        problem = _name_problem(change.operation_id, change.comment)
+        problem = _length_problem(change.operation_id, change.comment)
         if problem:
             return control_pb2.ChangeReply(answer=invalid(problem))
         try:
@@ -54,7 +54,7 @@
         self, order: commands_pb2.OrderCommand
     ) -> control_pb2.OrderReply:
         """Place an order to an upstream; refusals are recorded too."""
-        problem = _name_problem(order.operation_id, order.subject)
+        problem = _length_problem(order.operation_id, order.subject)
         if problem:
             return control_pb2.OrderReply(answer=invalid(problem))
         try:
@@ -69,7 +69,7 @@
         command = commands_pb2.Command(claim=request)
         command.claim.ClearField('node_key')
         try:
-            reply = await self.propose(command, CLAIM_LIMIT)
+            reply = await self.propose(command, CLAIM_TIMEOUT)
         except VerbenathreadError as error:
             return control_pb2.ClaimReply(answer=answer_of(error))
         return control_pb2.ClaimReply.FromString(reply)
@@ -81,7 +81,7 @@
         command = commands_pb2.Command(settle=request)
         command.settle.ClearField('node_key')
         try:
-            reply = await self.propose(command, CLAIM_LIMIT)
+            reply = await self.propose(command, CLAIM_TIMEOUT)
         except VerbenathreadError as error:
             return control_pb2.SettleReply(answer=answer_of(error))
         return control_pb2.SettleReply.FromString(reply)
@@ -98,7 +98,7 @@
         self, credential: commands_pb2.Credential, *, root: bool = False
     ) -> None:
         """Make reads fresh, then raise unless the operator may do this."""
-        await self._log.barrier(CHANGE_LIMIT)
+        await self._log.barrier(CHANGE_TIMEOUT)
         self.check_operator(credential, root=root)
 
     def check_operator(
@@ -113,15 +113,15 @@
         if root:
             allowed = may_change(tree, credential, '/')
         if not allowed:
-            raise RefusedOperatorError(denied(credential.operator_name))
+            raise OperatorDeniedError(denied(credential.operator_name))
 
     async def _change(
         self, change: commands_pb2.ChangeCommand
     ) -> control_pb2.ChangeReply:
-        await self._log.barrier(CHANGE_LIMIT)
+        await self._log.barrier(CHANGE_TIMEOUT)
         digest = digest_of_change(change)
         try:
-            earlier = self._machine.remembered(change.operation_id, digest)
+            earlier = self._machine.recorded_reply(change.operation_id, digest)
         except ReusedOperationError as error:
             return error.change_reply()
         if earlier is not None:
@@ -131,22 +131,25 @@
         command.change.checked_revision = self._machine.tree.revision()
         if reply.answer.code != control_pb2.OK:
             denial = reply.answer.code == control_pb2.DENIED
-            if denial and not self._denials.take():
+            if denial and not self._denials.try_acquire():
                 return reply
             command = self._refusal(change, digest, reply)
         return control_pb2.ChangeReply.FromString(
-            await self.propose(command, CHANGE_LIMIT)
+            await self.propose(command, CHANGE_TIMEOUT)
         )
 
     async def _order(
         self, order: commands_pb2.OrderCommand
     ) -> control_pb2.OrderReply:
-        await self._log.barrier(CHANGE_LIMIT)
+        await self._log.barrier(CHANGE_TIMEOUT)
         answer = self._machine.decide_order(order)
-        if answer.code == control_pb2.DENIED and not self._denials.take():
+        if (
+            answer.code == control_pb2.DENIED
+            and not self._denials.try_acquire()
+        ):
             return control_pb2.OrderReply(answer=answer)
         reply = await self.propose(
-            commands_pb2.Command(order=order), CHANGE_LIMIT
+            commands_pb2.Command(order=order), CHANGE_TIMEOUT
         )
         return control_pb2.OrderReply.FromString(reply)
 
@@ -161,26 +164,28 @@
         outcome = RESULT_BY_CODE[code]
         if code == control_pb2.INVALID:
             text = None if change.remove else change.text
-            places = self._machine.tree.places(change.path, text)
-            outcome = f'{outcome}: {"; ".join(places)}'[:_MOST_COMMENT]
+            places = self._machine.tree.problem_locations(change.path, text)
+            outcome = f'{outcome}: {"; ".join(places)}'[:_MAX_COMMENT_LENGTH]
         denial = code == control_pb2.DENIED
         return commands_pb2.Command(
             refusal=commands_pb2.RefusalCommand(
                 operation_id=change.operation_id,
                 digest='' if denial else digest,
-                operator_name=change.credential.operator_name[:_MOST_NAME],
+                operator_name=change.credential.operator_name[
+                    :_MAX_NAME_LENGTH
+                ],
                 action='remove' if change.remove else 'change',
-                subject=change.path[:_MOST_COMMENT],
+                subject=change.path[:_MAX_COMMENT_LENGTH],
                 expected_revision=change.expected_revision,
                 comment=change.comment,
                 result=outcome,
-                text_sha256=hidden(change.text),
+                text_sha256=redacted(change.text),
                 reply=reply,
             )
         )
 
 
-class RefusedOperatorError(Exception):
+class OperatorDeniedError(Exception):
     """An operator may not do what was asked; holds the answer."""
 
     def __init__(self, answer: control_pb2.Answer) -> None:
@@ -189,7 +194,7 @@
         self.answer = answer
 
 
-class _DenialBudget:
+class _DenialRateLimit:
     """How many denials a second are written to the log.
 
     Anyone who reaches the port can be denied, so the rate is bounded.
@@ -197,21 +202,21 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._left = _MOST_DENIALS
-        self._since = 0
+        self._available = _MAX_DENIALS
+        self._period_start = 0
 
-    def take(self) -> bool:
+    def try_acquire(self) -> bool:
         now = self._clock.now()
-        if now - self._since >= _DENIAL_PERIOD:
-            self._since = now
-            self._left = _MOST_DENIALS
-        self._left -= 1
-        return self._left >= 0
-
-
-def _name_problem(operation_id: str, comment: str) -> str:
-    if not operation_id or len(operation_id) > _MOST_NAME:
-        return f'give an operation identifier of 1 to {_MOST_NAME} characters'
-    if len(comment) > _MOST_COMMENT:
-        return f'write at most {_MOST_COMMENT} characters'
+        if now - self._period_start >= _DENIAL_PERIOD_MS:
+            self._period_start = now
+            self._available = _MAX_DENIALS
+        self._available -= 1
+        return self._available >= 0
+
+
+def _length_problem(operation_id: str, comment: str) -> str:
+    if not operation_id or len(operation_id) > _MAX_NAME_LENGTH:
+        return f'give an operation identifier of 1 to {_MAX_NAME_LENGTH} characters'
+    if len(comment) > _MAX_COMMENT_LENGTH:
+        return f'write at most {_MAX_COMMENT_LENGTH} characters'
     return ''
--- a/verbenathread/control/service.py
+++ b/verbenathread/control/service.py
@@ -5,7 +5,7 @@
 from verbenathread.control.node_service import NodeService, answer_call
 from verbenathread.control.nodes import NodeTable
 from verbenathread.control.operator_calls import OperatorCalls
-from verbenathread.control.proposals import Proposals
+from verbenathread.control.proposals import Proposer
 from verbenathread.control.sessions import Sessions
 from verbenathread.schema import control_pb2 as messages
 from verbenathread.schema.control_grpc import ControlBase
@@ -20,7 +20,7 @@
         cluster: str,
         node_key: str,
         operators: OperatorCalls,
-        proposals: Proposals,
+        proposals: Proposer,
         sessions: Sessions,
         nodes: NodeTable,
     ) -> None:
--- a/verbenathread/control/sessions.py
+++ b/verbenathread/control/sessions.py
@@ -12,11 +12,11 @@
 from verbenathread.types import Millis
 
 # An update that no report names is sent again after this long, in ms.
-RESEND_AFTER: Millis = 1000
+RESEND_INTERVAL: Millis = 1000
 # The node hears from control at least this often, in ms.
-KEEPALIVE: Millis = 3000
+KEEPALIVE_INTERVAL: Millis = 3000
 # A session without a report for this long is closed, in ms.
-SESSION_SILENCE: Millis = 15_000
+SESSION_TIMEOUT: Millis = 15_000
 
 _log = get_logger('control')
 
@@ -78,7 +78,7 @@
         number = self._opened
         session = Session(self, first.revision)
         self._session_by_number[number] = session
-        self._nodes.take_report(first)
+        self._nodes.record_report(first)
         _log.info('A session opened.', node=first.node_id)
         with contextlib.ExitStack() as closing:
             closing.callback(self._close, number, first.node_id)
@@ -105,14 +105,14 @@
         while True:
             try:
                 report = await asyncio.wait_for(
-                    stream.recv_message(), seconds(SESSION_SILENCE)
+                    stream.recv_message(), seconds(SESSION_TIMEOUT)
                 )
             except TimeoutError:
                 return
             if report is None or report.node_id != first.node_id:
                 return
-            self._nodes.take_report(report)
-            session.take_revision(report.revision)
+            self._nodes.record_report(report)
+            session.record_revision(report.revision)
 
 
 class Session:
@@ -128,7 +128,7 @@
         """Let the sender look for what is newer."""
         self._changed.set()
 
-    def take_revision(self, revision: int) -> None:
+    def record_revision(self, revision: int) -> None:
         """Take the revision that the node reports to run."""
         if revision > self._revision:
             self._revision = revision
@@ -139,13 +139,13 @@
         while True:
             self._changed.clear()
             update = self._sessions.update_for(self._revision)
-            limit = KEEPALIVE if update is None else RESEND_AFTER
+            limit = KEEPALIVE_INTERVAL if update is None else RESEND_INTERVAL
             await stream.send_message(
                 update or self._sessions.keepalive_for(self._revision)
             )
-            await self._wait(limit, sent=update)
+            await self._wait_to_send(limit, sent=update)
 
-    async def _wait(
+    async def _wait_to_send(
         self, limit: Millis, *, sent: control_pb2.TreeUpdate | None
     ) -> None:
         """Wait until something newer stands, or it is time to resend."""
@@ -163,6 +163,6 @@
             if update is None and sent is not None:
                 # The node has it: the next word is a keepalive, in its time.
                 sent = None
-                end = loop.time() + seconds(KEEPALIVE)
+                end = loop.time() + seconds(KEEPALIVE_INTERVAL)
             if update is not None and update != sent:
                 return
--- a/verbenathread/control/sweeper.py
+++ b/verbenathread/control/sweeper.py
@@ -6,13 +6,13 @@
 from verbenathread.control.claims import Owner
 from verbenathread.control.machine import ControlMachine
 from verbenathread.control.nodes import NodeTable
-from verbenathread.control.proposals import CLAIM_LIMIT, Proposals
+from verbenathread.control.proposals import CLAIM_TIMEOUT, Proposer
 from verbenathread.observability.logs import get_logger
 from verbenathread.schema import commands_pb2
 from verbenathread.types import Millis
 
 # A node that no control process heard for this long counts as gone, in ms.
-OWNER_SILENCE: Millis = 15_000
+OWNER_TIMEOUT: Millis = 15_000
 
 _log = get_logger('control')
 
@@ -24,7 +24,7 @@
         self,
         machine: ControlMachine,
         nodes: NodeTable,
-        proposals: Proposals,
+        proposals: Proposer,
         clock: Clock,
     ) -> None:
         """Look at the claims of ``machine`` and the reports in ``nodes``."""
@@ -46,9 +46,9 @@
             owner: self._first_seen_by_owner.get(owner, now) for owner in owners
         }
         gone = [owner for owner in owners if self._is_gone(owner, now)]
-        await asyncio.gather(*(self._tell(owner) for owner in gone))
+        await asyncio.gather(*(self._mark_gone(owner) for owner in gone))
 
-    async def _tell(self, owner: Owner) -> None:
+    async def _mark_gone(self, owner: Owner) -> None:
         _log.warning(
             'The owner of claims is gone.',
             node=owner.node_id,
@@ -58,7 +58,7 @@
             node_id=owner.node_id, incarnation=owner.incarnation
         )
         await self._proposals.propose(
-            commands_pb2.Command(owner_gone=gone), CLAIM_LIMIT
+            commands_pb2.Command(owner_gone=gone), CLAIM_TIMEOUT
         )
 
     def _is_gone(self, owner: Owner, now: Millis) -> bool:
@@ -70,5 +70,5 @@
             if heard.status.incarnation > owner.incarnation:
                 return True
             if heard.status.incarnation == owner.incarnation:
-                last = max(last, heard.heard)
-        return now - last > OWNER_SILENCE
+                last = max(last, heard.reported_at)
+        return now - last > OWNER_TIMEOUT
--- a/verbenathread/control/tree.py
+++ b/verbenathread/control/tree.py
@@ -84,13 +84,15 @@
         None stands for the removal of the branch. The lines are for the
         operator who wrote the text, since they may quote it.
         """
-        return [str(problem) for problem in check_tree(self._with(path, text))]
+        return [
+            str(problem) for problem in check_tree(self._texts_with(path, text))
+        ]
 
-    def places(self, path: str, text: str | None) -> list[str]:
+    def problem_locations(self, path: str, text: str | None) -> list[str]:
         """Return where the problems are, without quoting the text."""
         return [
             f'{problem.source} [{problem.section}] {problem.option}'.strip()
-            for problem in check_tree(self._with(path, text))
+            for problem in check_tree(self._texts_with(path, text))
         ]
 
     def images(self) -> Iterable[commands_pb2.BranchImage]:
@@ -109,7 +111,7 @@
     def _texts(self) -> dict[str, str]:
         return {branch.path: branch.text for branch in self.branches()}
 
-    def _with(self, path: str, text: str | None) -> Mapping[str, str]:
+    def _texts_with(self, path: str, text: str | None) -> Mapping[str, str]:
         texts = self._texts()
         texts.pop(path, None)
         if text is not None:
--- a/verbenathread/control/wanted.py
+++ b/verbenathread/control/wanted.py
@@ -4,11 +4,11 @@
 
 from verbenathread.schema import commands_pb2
 
-MOST_UPSTREAMS = 16_384
-MOST_ITEMS = 64
+MAX_UPSTREAMS = 16_384
+MAX_ITEMS = 64
 ACTIONS = ('load', 'unload', 'role', 'drain', 'forget')
 ROLES = ('prefill', 'decode', 'both')
-SWITCH = ('on', 'off')
+SWITCH_VALUES = ('on', 'off')
 
 
 def slot_of(action: str, subject: str) -> str:
@@ -26,7 +26,7 @@
         return 'name the model, adapter or version to load or unload'
     if action == 'role' and subject not in ROLES:
         return f'the role must be one of {", ".join(ROLES)}'
-    if action == 'drain' and subject not in SWITCH:
+    if action == 'drain' and subject not in SWITCH_VALUES:
         return 'write on or off after drain'
     return ''
 
@@ -42,12 +42,12 @@
         """Return what one upstream is wanted to be, or None."""
         return self._wanted_by_upstream.get(upstream_id)
 
-    def full(self, upstream_id: str) -> bool:
+    def is_full(self, upstream_id: str) -> bool:
         """Tell whether one more order for the upstream has no room."""
         wanted = self._wanted_by_upstream.get(upstream_id)
         if wanted is None:
-            return len(self._wanted_by_upstream) >= MOST_UPSTREAMS
-        return len(wanted.items) >= MOST_ITEMS
+            return len(self._wanted_by_upstream) >= MAX_UPSTREAMS
+        return len(wanted.items) >= MAX_ITEMS
 
     def put(self, order: commands_pb2.OrderCommand, fencing: int) -> None:
         """Set one slot of an upstream under a new fencing number."""
--- a/verbenathread/daemons.py
+++ b/verbenathread/daemons.py
@@ -59,7 +59,7 @@
             f'[control] listen or metrics_listen: {error.strerror}; end what'
             ' uses the address or write another'
         )
-    failed = asyncio.create_task(daemon.failed())
+    failed = asyncio.create_task(daemon.wait_failed())
     await asyncio.wait(
         (failed, asyncio.create_task(stopping.wait())),
         return_when=asyncio.FIRST_COMPLETED,
