--- a/tests/entry_fakes.py
+++ b/tests/entry_fakes.py
@@ -42,7 +42,7 @@
     def admit_call(self, name, account):
         return self.refusal
 
-    def done(self, work, output_tokens):
+    def finish(self, work, output_tokens):
         self.running -= 1
 
 
@@ -179,10 +179,10 @@
             self.opened += 1
             return granted
 
-    def started(self, reservation):
+    def report_started(self, reservation):
         """Do nothing."""
 
-    def progress(self, reservation, output_tokens):
+    def report_progress(self, reservation, output_tokens):
         """Do nothing."""
 
     def release(self, reservation, *, output_tokens, failed):
--- a/tests/test_entry_reservations.py
+++ b/tests/test_entry_reservations.py
@@ -92,10 +92,10 @@
             held = await network.reserve(  # noqa: WPS476 - one at a time
                 user, 101_000
             )
-            reservations.started(held)
+            reservations.report_started(held)
             # 100,000 tokens in 0.2 s: 2 ms per 1,000 tokens.
             await asyncio.sleep(0.2)  # noqa: WPS476 - the prefill
-            reservations.progress(held, 1)
+            reservations.report_progress(held, 1)
             await asyncio.sleep(0.2)  # noqa: WPS476 - the output
             reservations.release(held, output_tokens=9, failed=False)
         learned = host.engine('e1').ledger.report().prefill_us
@@ -220,7 +220,7 @@
         user = non_owners(network, 'e1')[0]
         held = await network.reserve(user, 150_000)
         network.engines.run(held, user)
-        network.node_by_id[user].reservations.started(held)
+        network.node_by_id[user].reservations.report_started(held)
         await asyncio.sleep(1)
         old = network.owner('e1')
         await network.kill(old)
--- a/tools/cell_cost.py
+++ b/tools/cell_cost.py
@@ -163,9 +163,9 @@
     granted = await node.reservations.reserve(_work(name), name)
     if not isinstance(granted, Reservation):
         raise RuntimeError(f'not granted: {granted}')
-    node.reservations.started(granted)
+    node.reservations.report_started(granted)
     await asyncio.sleep(_HOLD_S)
-    node.reservations.progress(granted, 1)
+    node.reservations.report_progress(granted, 1)
     await asyncio.sleep(_HOLD_S)
     node.reservations.release(granted, output_tokens=100, failed=False)
 
@@ -240,7 +240,7 @@
     granted = await node.reservations.reserve(_work(f'r{number}'), f'a{number}')
     if not isinstance(granted, Reservation):
         raise RuntimeError(f'not granted: {granted}')
-    node.reservations.started(granted)
+    node.reservations.report_started(granted)
     node.reservations.release(granted, output_tokens=100, failed=False)
 
 
--- a/verbenathread/entry/admissions.py
+++ b/verbenathread/entry/admissions.py
@@ -74,7 +74,7 @@
                 work, account, policy, records, self._clock.now()
             )
 
-    def done(self, work: Work, output_tokens: int) -> None:
+    def finish(self, work: Work, output_tokens: int) -> None:
         """Record the end of an admitted request, whatever its outcome."""
         policy = self._policies.policy(work.service)
         with self._lock:
--- a/verbenathread/entry/blocking_adapters.py
+++ b/verbenathread/entry/blocking_adapters.py
@@ -78,14 +78,16 @@
                 RefusalReason.OVERLOADED, str(error), _RETRY_AFTER_MS
             )
 
-    def started(self, reservation: Reservation) -> None:
+    def report_started(self, reservation: Reservation) -> None:
         """Report that the attempt was sent to the engine."""
-        self._loop.call_soon(self._reservations.started, reservation)
+        self._loop.call_soon(self._reservations.report_started, reservation)
 
-    def progress(self, reservation: Reservation, output_tokens: int) -> None:
+    def report_progress(
+        self, reservation: Reservation, output_tokens: int
+    ) -> None:
         """Report the output tokens so far."""
         self._loop.call_soon(
-            self._reservations.progress, reservation, output_tokens
+            self._reservations.report_progress, reservation, output_tokens
         )
 
     def release(
--- a/verbenathread/entry/interfaces.py
+++ b/verbenathread/entry/interfaces.py
@@ -66,10 +66,12 @@
         work already failed are avoided.
         """
 
-    def started(self, reservation: Reservation) -> None:
+    def report_started(self, reservation: Reservation) -> None:
         """Report that the attempt was sent to the engine."""
 
-    def progress(self, reservation: Reservation, output_tokens: int) -> None:
+    def report_progress(
+        self, reservation: Reservation, output_tokens: int
+    ) -> None:
         """Report the output tokens so far, at the first token and later."""
 
     def release(
@@ -94,7 +96,7 @@
     ) -> Refusal | None:
         """Count a call of a plain service, or refuse it."""
 
-    def done(self, work: Work, output_tokens: int) -> None:
+    def finish(self, work: Work, output_tokens: int) -> None:
         """Record the end of an admitted model request, whatever its outcome."""
 
 
--- a/verbenathread/entry/model_service.py
+++ b/verbenathread/entry/model_service.py
@@ -253,7 +253,7 @@
                 raise
             sink.fail(error)
         finally:
-            self._deps.admissions.done(request.work, relay.position)
+            self._deps.admissions.finish(request.work, relay.position)
             self._deps.recorder.record(request.work, relay.position)
             self._deps.metrics.requests.labels(
                 request.work.service, outcome
--- a/verbenathread/entry/relay.py
+++ b/verbenathread/entry/relay.py
@@ -226,7 +226,7 @@
     def _relay_stream(
         self, stream: TokenStream, reservation: Reservation
     ) -> Finish:
-        self._deps.reservations.started(reservation)
+        self._deps.reservations.report_started(reservation)
         with (
             closing(stream),
             self._request.disconnect.callback(stream.interrupt),
@@ -317,7 +317,7 @@
         self._finish = batch.finish
         if self._position - self._reported_position >= _PROGRESS_TOKENS:
             self._reported_position = self._position
-            self._deps.reservations.progress(
+            self._deps.reservations.report_progress(
                 reservation, self._reported_position
             )
 
--- a/verbenathread/entry/reservations.py
+++ b/verbenathread/entry/reservations.py
@@ -122,11 +122,13 @@
         if task is not None:
             task.cancel()
 
-    def started(self, reservation: Reservation) -> None:
+    def report_started(self, reservation: Reservation) -> None:
         """Report to the owners that the engine accepted the attempt."""
         self._send_update(reservation, peer_pb2.HoldUpdate(started=True))
 
-    def progress(self, reservation: Reservation, output_tokens: int) -> None:
+    def report_progress(
+        self, reservation: Reservation, output_tokens: int
+    ) -> None:
         """Report the output tokens generated so far to the owners."""
         first = self.held.record_progress(reservation.attempt_id, output_tokens)
         self._send_update(
