--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -42,25 +42,25 @@
         self.cancelled = set()
         self.prefill = threading.Lock()
 
-    def reserve(self, order):
+    def reserve(self, request):
         """Hold memory for an attempt; return False if none is free.
 
         Also refuses an attempt whose cancel arrived first.
         """
-        requested = order.get('memory_tokens', 0)
+        requested = request.get('memory_tokens', 0)
         with self.lock:
             self.received += 1
-            if order['attempt_id'] in self.cancelled:
+            if request['attempt_id'] in self.cancelled:
                 return False
             held = sum(
                 hold['memory_tokens'] for hold in self.hold_by_attempt.values()
             )
             if held + requested > self.options.memory_tokens:
                 return False
-            self.hold_by_attempt[order['attempt_id']] = {
-                'attempt_id': order['attempt_id'],
+            self.hold_by_attempt[request['attempt_id']] = {
+                'attempt_id': request['attempt_id'],
                 'memory_tokens': requested,
-                'owner': order['owner'],
+                'owner': request['owner'],
             }
             return True
 
@@ -187,30 +187,30 @@
         else:
             self.reply_error(404, 'no such path')
 
-    def generate(self, order):
-        attempt_id = order['attempt_id']
+    def generate(self, request):
+        attempt_id = request['attempt_id']
         options = self.engine.options
         if options.late:
             time.sleep(options.late)
-        if not self.engine.reserve(order):
+        if not self.engine.reserve(request):
             self.reply_error(503, 'no memory', (('Retry-After', '1'),))
             return
         self.start_response()
         # The memory of a broken stream is held until the attempt is cancelled.
         try:
-            ended = self.stream_answer(order, attempt_id)
+            ended = self.stream_answer(request, attempt_id)
         except OSError:
             self.engine.broken_streams += 1
             raise
         if ended:
             self.engine.release(attempt_id)
 
-    def stream_answer(self, order, attempt_id):
+    def stream_answer(self, request, attempt_id):
         options = self.engine.options
-        prompt = str(order.get('prompt') or order.get('messages')).encode()
+        prompt = str(request.get('prompt') or request.get('messages')).encode()
         self.engine.wait_for_prefill(prompt)
-        position = order['resume_from']['position']
-        end = min(order['max_tokens'], options.answer_tokens)
+        position = request['resume_from']['position']
+        end = min(request['max_tokens'], options.answer_tokens)
         stated_id = attempt_id
         while position < end:
             if not self.engine.holds(attempt_id):
