--- a/verbenathread/gateway/attempt.py
+++ b/verbenathread/gateway/attempt.py
@@ -1,4 +1,4 @@
-"""One send of a request to one worker, and what came of it."""
+"""One attempt to serve a request with one worker, and its result."""
 
 import asyncio
 import enum
@@ -13,41 +13,41 @@
 from verbenathread.serving.dialect import Dialect
 from verbenathread.types import Millis
 
-_SUCCESS_FAMILY = 2
-_FAMILY_SIZE = 100
+_SUCCESS_CLASS = 2
+_STATUS_CLASS_SIZE = 100
 
 
 class Verdict(enum.Enum):
-    """How a send ended; all but the first two may have run."""
+    """How a send ended; all but the first two may have run the request."""
 
     COMPLETE = 'complete'
-    # On the worker's word.
+    # The worker states that it has not run the request.
     NOT_RUN = 'not-run'
-    # The connection broke, or what came was no answer to this request.
+    # The connection broke, or the response does not belong to this request.
     BROKEN = 'broken'
-    # Nothing came for longer than a sound worker ever pauses.
+    # Nothing was received for longer than a healthy worker ever pauses.
     STALLED = 'stalled'
     TIMED_OUT = 'timed-out'
-    # The caller left.
+    # The caller disconnected.
     ABANDONED = 'abandoned'
 
 
 class Result(NamedTuple):
-    """What came of one send."""
+    """The result of one send."""
 
     verdict: Verdict
     head: ResponseHead | None = None
-    # Empty for a stream, whose events were relayed as they came.
+    # Empty for a stream, whose events were relayed as they arrived.
     body: bytes = b''
 
 
 class Relay:
-    """The caller's answer to a stream, over all sends that feed it."""
+    """The caller's response to a stream, across all sends that feed it."""
 
     def __init__(
         self, reply: ResponseWriter, dialect: Dialect, last_event_id: int | None
     ) -> None:
-        """Write to ``reply`` from the event after ``last_event_id`` on."""
+        """Write the events after ``last_event_id`` to ``reply``."""
         self._reply = reply
         self._dialect = dialect
         self.events = EventSplitter(last_event_id)
@@ -55,7 +55,7 @@
         self.written_bytes = 0
 
     def write(self, head: ResponseHead, content: bytes) -> None:
-        """Write events; the first ones bring the head of their worker."""
+        """Write events, preceded by the worker's head if they are the first."""
         if not content:
             return
         self._begin(head)
@@ -63,7 +63,7 @@
         self._reply.write(content)
 
     def finish(self, head: ResponseHead) -> None:
-        """End the answer as complete."""
+        """End the response as complete."""
         self._begin(head)
         self._reply.finish()
 
@@ -74,20 +74,20 @@
 
 
 class StallTimeouts(NamedTuple):
-    """Silence after which a worker is asked whether it lives."""
+    """Times without data after which a worker is probed."""
 
     first_event: Millis
     between_events: Millis
 
 
-# A worker that answers but stays silent on our request for so many limits
-# has lost it. Reading other prompts explains less: some 2 s at most.
-_MOST_LIMITS = 3
+# A worker that answers probes but sends nothing for this many timeouts has
+# lost the request. Prefills of other prompts take less, about 2 s at most.
+_MAX_SILENT_TIMEOUTS = 3
 Probe = Callable[[], Awaitable[bool]]
 
 
 class Attempt:
-    """Takes one worker's answer; relays it if it is a stream."""
+    """Receives one worker's response and relays it if it is a stream."""
 
     def __init__(
         self,
@@ -97,13 +97,13 @@
         relay: Relay | None,
         clock: Clock,
     ) -> None:
-        """Expect the answer to ``attempt_id`` on ``connection``."""
+        """Expect the response to ``attempt_id`` on ``connection``."""
         self._connection = connection
         self._dialect = dialect
         self._attempt_id = attempt_id
         self._relay = relay
         self._clock = clock
-        self._streams = False
+        self._is_stream = False
         self._head: ResponseHead | None = None
         self._not_run = False
         self._body: list[bytes] = []
@@ -113,7 +113,7 @@
         if relay is not None:
             relay.events.discard_partial()
         self.last_received_at = clock.now()
-        self._asked = self.last_received_at
+        self._probed_at = self.last_received_at
         self.first_event_at: Millis | None = None
         self.on_first_event: Callable[[], None] | None = None
         self.longest_pause: Millis = 0
@@ -125,63 +125,63 @@
         stall: StallTimeouts,
         probe: Probe,
     ) -> Result:
-        """Send ``request`` and return once the answer ended.
+        """Send ``request`` and return once the response has ended.
 
-        ``probe`` tells whether a worker that is silent still lives.
+        ``probe`` returns whether a worker that sends nothing is alive.
         """
         self._connection.send_request(request, self)
         while not self._result.done():
-            heard = self.first_event_at is not None
-            limit = stall.between_events if heard else stall.first_event
+            has_started = self.first_event_at is not None
+            timeout = stall.between_events if has_started else stall.first_event
             now = self._clock.now()
-            asked = max(self.last_received_at, self._asked)
+            active_at = max(self.last_received_at, self._probed_at)
             if now >= deadline:
                 self._stop(Verdict.TIMED_OUT)
-            elif now >= self.last_received_at + limit * _MOST_LIMITS:
+            elif now >= self.last_received_at + timeout * _MAX_SILENT_TIMEOUTS:
                 self._stop(Verdict.STALLED)
-            elif now >= asked + limit:
-                await self._ask_whether_alive(probe)
+            elif now >= active_at + timeout:
+                await self._probe(probe)
             else:
-                left = min(deadline, asked + limit) - now
-                await asyncio.wait((self._result,), timeout=seconds(left))
+                wait = min(deadline, active_at + timeout) - now
+                await asyncio.wait((self._result,), timeout=seconds(wait))
         return self._result.result()
 
     def abandon(self) -> None:
-        """End the worker's work: the caller left."""
+        """Cancel the send because the caller disconnected."""
         self._stop(Verdict.ABANDONED)
 
-    def set_backpressure(self, held: bool) -> None:  # noqa: FBT001
-        """Read no faster than the caller does."""
-        self._connection.set_reading_paused(held)
+    def set_backpressure(self, paused: bool) -> None:  # noqa: FBT001
+        """Pause or resume reading, as the caller's connection requires."""
+        self._connection.set_reading_paused(paused)
 
     def accepts(self, head: ResponseHead) -> bool:
-        """Tell whether this head answers our request."""
-        answer = self._dialect.parse_response(head)
-        if answer.attempt_id == self._attempt_id:
+        """Return whether this head belongs to the response awaited."""
+        response = self._dialect.parse_response(head)
+        if response.attempt_id == self._attempt_id:
             return True
-        if answer.attempt_id:
-            # The late answer to another request.
+        if response.attempt_id:
+            # A late response to another request.
             return False
-        if answer.not_run:
+        if response.not_run:
             return True
         self._stop(Verdict.BROKEN)
         return False
 
     def on_head(self, head: ResponseHead) -> None:
-        """Take the head."""
+        """Store the head of the response."""
         self.last_received_at = self._clock.now()
         self._head = head
-        answer = self._dialect.parse_response(head)
-        self._not_run = answer.not_run
-        succeeded = head.status // _FAMILY_SIZE == _SUCCESS_FAMILY
-        if succeeded and not answer.signed:
+        response = self._dialect.parse_response(head)
+        self._not_run = response.not_run
+        succeeded = head.status // _STATUS_CLASS_SIZE == _SUCCESS_CLASS
+        if succeeded and not response.signed:
             self._stop(Verdict.BROKEN)
-        self._streams = self._relay is not None and succeeded
+        self._is_stream = self._relay is not None and succeeded
 
     def on_body(self, content: bytes) -> None:
-        """Take a part of the body; relay whole events."""
+        """Store a part of the body, or relay the events it completes."""
         now = self._clock.now()
-        if self._relay is None or not self._streams or self._head is None:
+        if self._relay is None or not self._is_stream or self._head is None:
             self.last_received_at = now
             self._body.append(content)
             return
@@ -200,24 +200,24 @@
             self._relay.write(self._head, events)
 
     def on_end(self, ending: Ending) -> None:
-        """Settle the result."""
+        """Set the result."""
         if self._result.done():
             return
         if ending is Ending.BROKEN or self._head is None:
             self._result.set_result(Result(Verdict.BROKEN))
             return
         verdict = Verdict.NOT_RUN if self._not_run else Verdict.COMPLETE
-        if self._streams and self._relay is not None:
+        if self._is_stream and self._relay is not None:
             if self._relay.events.has_partial_event:
                 verdict = Verdict.BROKEN
         body = b''.join(self._body)
         self._result.set_result(Result(verdict, self._head, body))
 
-    async def _ask_whether_alive(self, probe: Probe) -> None:
-        heard_before = self.last_received_at
-        alive = await probe()
-        self._asked = self._clock.now()
-        if not alive and self.last_received_at == heard_before:
+    async def _probe(self, probe: Probe) -> None:
+        received_before = self.last_received_at
+        is_alive = await probe()
+        self._probed_at = self._clock.now()
+        if not is_alive and self.last_received_at == received_before:
             self._stop(Verdict.STALLED)
 
     def _stop(self, verdict: Verdict) -> None:
--- a/verbenathread/gateway/handler.py
+++ b/verbenathread/gateway/handler.py
@@ -1,4 +1,4 @@
-"""Takes a request from its connection to its exchange."""
+"""Routes each request and starts its exchange."""
 
 import asyncio
 from types import MappingProxyType
@@ -22,79 +22,82 @@
 _log = get_logger('gateway')
 
 _BAD_REQUEST = 400
-_NO_KEY = 401
+_UNAUTHORIZED = 401
 _NOT_FOUND = 404
 _UNAVAILABLE = 503
-# A gateway that starts has its configuration within a second, unless the
-# directory is away; a request that finds it first is served after all.
+# A starting gateway receives its configuration within a second unless the
+# directory is unavailable, so requests that arrive earlier wait for it.
 _CONFIG_WAIT: Millis = 2000
-# At most this part of the caller's time: the rest is for another try.
-_WAIT_PART = 4
-_LOOK_EVERY: Millis = 20
+# The wait is limited to this fraction of the caller's time, which leaves time
+# for a retry.
+_WAIT_DIVISOR = 4
+_POLL_INTERVAL: Millis = 20
 # After a restart of all nodes the directory elects a leader within 2 s; a
-# caller that comes back then finds a gateway that serves.
-_NO_CONFIG_AGAIN: Millis = 2000
-_REFUSAL_BY_TYPE: Final = MappingProxyType(
+# caller that retries after that finds a working gateway.
+_NO_CONFIG_RETRY_AFTER: Millis = 2000
+_REJECTION_BY_TYPE: Final = MappingProxyType(
     {
         UnknownRoute: (_NOT_FOUND, 'no route serves this host and path'),
-        UnknownKey: (_NO_KEY, 'no client account holds this key'),
+        UnknownKey: (_UNAUTHORIZED, 'no client account holds this key'),
     }
 )
 
 
 class GatewayHandler:
-    """Answers callers."""
+    """Handles callers' requests."""
 
-    def __init__(self, parts: GatewayContext) -> None:
-        """Serve with ``parts``."""
-        self._parts = parts
+    def __init__(self, context: GatewayContext) -> None:
+        """Serve requests with ``context``."""
+        self._context = context
 
     async def handle(self, request: Request, reply: ResponseWriter) -> None:
-        """Answer one request."""
-        parts = self._parts
-        caller = parts.dialect.parse_request(request)
+        """Handle one request."""
+        context = self._context
+        caller = context.dialect.parse_request(request)
         if isinstance(caller, BadRequest):
-            self._refuse('', _BAD_REQUEST, caller.message, reply)
+            self._reject('', _BAD_REQUEST, caller.message, reply)
             return
-        if parts.view.table is None:
+        if context.view.table is None:
             await self._wait_for_config(request, caller)
-        table = parts.view.table
+        table = context.view.table
         if table is None:
-            self._refuse(
+            self._reject(
                 caller.attempt_id,
                 _UNAVAILABLE,
                 'no configuration is known yet',
                 reply,
-                _NO_CONFIG_AGAIN,
+                _NO_CONFIG_RETRY_AFTER,
             )
             return
-        matched = table.match(caller.host, caller.path, caller.key)
-        if not isinstance(matched, RouteMatch):
-            status, message = _REFUSAL_BY_TYPE[type(matched)]
-            self._refuse(caller.attempt_id, status, message, reply)
+        match = table.match(caller.host, caller.path, caller.key)
+        if not isinstance(match, RouteMatch):
+            status, message = _REJECTION_BY_TYPE[type(match)]
+            self._reject(caller.attempt_id, status, message, reply)
             return
-        job = self._job(request, caller, matched)
-        parts.retry_budget.record_request(job.service.name, request.received_at)
-        await Exchange(parts, job, reply).run()
+        routed = self._route(request, caller, match)
+        context.retry_budget.record_request(
+            routed.service.name, request.received_at
+        )
+        await Exchange(context, routed, reply).run()
 
     async def _wait_for_config(
         self, request: Request, caller: CallerRequest
     ) -> None:
-        """Give the directory a moment: it starts at the same time as we."""
+        """Wait briefly: the directory may be starting at the same time."""
         limit = _CONFIG_WAIT
         if caller.time_left is not None:
-            limit = min(limit, caller.time_left // _WAIT_PART)
+            limit = min(limit, caller.time_left // _WAIT_DIVISOR)
         until = request.received_at + limit
-        parts = self._parts
-        while parts.view.table is None and parts.clock.now() < until:
-            await asyncio.sleep(seconds(_LOOK_EVERY))
+        context = self._context
+        while context.view.table is None and context.clock.now() < until:
+            await asyncio.sleep(seconds(_POLL_INTERVAL))
 
-    def _job(
-        self, request: Request, caller: CallerRequest, matched: RouteMatch
+    def _route(
+        self, request: Request, caller: CallerRequest, match: RouteMatch
     ) -> RoutedRequest:
-        table = self._parts.view.table
+        table = self._context.view.table
         assert table is not None
-        route = matched.route
+        route = match.route
         service = table.config.service_by_name[
             pick_service(route, caller.attempt_id)
         ]
@@ -102,10 +105,10 @@
         if caller.time_left is not None:
             limit = min(limit, caller.time_left)
         return RoutedRequest(
-            request, caller, matched, service, request.received_at + limit
+            request, caller, match, service, request.received_at + limit
         )
 
-    def _refuse(
+    def _reject(
         self,
         attempt_id: str,
         status: int,
@@ -113,14 +116,14 @@
         reply: ResponseWriter,
         retry_after: Millis | None = None,
     ) -> None:
-        parts = self._parts
-        parts.metrics.requests.labels('rejected').inc()
+        context = self._context
+        context.metrics.requests.labels('rejected').inc()
         _log.info(
-            'A request is rejected.',
+            'A request was rejected.',
             request_id=attempt_id,
             status=status,
             reason=message,
-            config=parts.view.config_version,
+            config=context.view.config_version,
         )
-        headers = parts.dialect.refusal_headers(attempt_id, retry_after)
+        headers = context.dialect.refusal_headers(attempt_id, retry_after)
         reply.send(status, headers, f'{message}\n'.encode())
--- a/verbenathread/gateway/selection.py
+++ b/verbenathread/gateway/selection.py
@@ -1,4 +1,4 @@
-"""Chooses a worker for one request, again after each that failed."""
+"""Selects a worker for a request, and again after each failed one."""
 
 import asyncio
 from collections.abc import Sequence
@@ -18,32 +18,33 @@
 from verbenathread.types import Millis
 
 _MISDIRECTED = 421
-# Ranks that workers know: a short prompt goes before a long one.
-_URGENT = 2
-_USUAL = 5
-# Share of the time left that a generation may wait for a place: one that was
-# refused can still come back and be served in the rest.
-_PATIENCE = 0.25
-# Callers leave a stream on which nothing came for the longest of these
+# Priorities sent to workers: short prompts go before long ones.
+_SHORT_PRIORITY = 2
+_LONG_PRIORITY = 5
+# Share of the time left that a generation may wait for a slot. If it is
+# refused then, the caller has time left to retry.
+_QUEUE_TIME_SHARE = 0.25
+# Callers abandon a stream without events after the longest of these times
 # (the platform's page on requests).
-_LEAST_PATIENCE: Millis = 2000
-_PATIENT_LATENCIES = 4
-_PATIENT_PAUSES = 8
-# A forecast beyond this share of it may well fail: then nobody is served.
-_SAFE_SHARE = 0.7
-# When nothing is known of when a place gets free.
-_COME_BACK: Millis = 1000
-_SOON: Millis = 100
+_MIN_FIRST_EVENT_TIMEOUT: Millis = 2000
+_TIMEOUT_LATENCIES = 4
+_TIMEOUT_PAUSES = 8
+# A placement whose forecast exceeds this share of the timeout is rejected: it
+# may well miss the timeout, and the work would be wasted.
+_SAFE_FORECAST_SHARE = 0.7
+# Retry-after when no forecast of a free slot exists.
+_UNKNOWN_RETRY_AFTER: Millis = 1000
+_SHORT_RETRY_AFTER: Millis = 100
 
 
 class Selection(NamedTuple):
-    """A worker for one send."""
+    """The worker selected for one send."""
 
     worker: Worker
     priority: int | None
-    # Forecast of ms to the first event; 0 for a plain service.
+    # Forecast time to the first event; 0 for a plain service.
     first_event_in: Millis = 0
-    # Requests already there, and its pace, when it was chosen.
+    # Requests running there and its slowdown factor when it was selected.
     concurrent: int = 0
     pace: float = 1
     parts: tuple[PromptPart, ...] = ()
@@ -51,107 +52,111 @@
 
 
 class Refusal(NamedTuple):
-    """No worker will do, and when the caller should come back."""
+    """No worker can take the request; says when the caller may retry."""
 
     reason: str
     retry_after: Millis
-    # Workers that were looked at, and when the first is free by forecast.
+    # Workers considered, and the forecast time until one is free.
     candidates: int = 0
     free_in: Millis | None = None
 
 
 class SendRecord(NamedTuple):
-    """What was noted of a send, to be taken back at its end."""
+    """Identifies a recorded send, to be removed when it ends."""
 
     send_id: str
     started: Millis
 
 
 class WorkerSelector:
-    """Chooses for one request."""
+    """Selects workers for one request."""
 
     def __init__(
         self,
-        parts: GatewayContext,
+        context: GatewayContext,
         service: ServiceSpec,
         caller: CallerRequest,
         route: Route,
     ) -> None:
-        """Choose among the workers of ``service``."""
-        self._parts = parts
+        """Select among the workers of ``service``."""
+        self._context = context
         self._service = service
         self._caller = caller
         self._route = route
         self._excluded: set[str] = set()
         self._sends = 0
-        self._waiting: asyncio.Task[Placement | None] | None = None
-        self._due = parts.clock.now() + route.target_latency
+        self._queued: asyncio.Task[Placement | None] | None = None
+        self._due = context.clock.now() + route.target_latency
 
     def exclude(self, worker: Worker) -> None:
-        """Send nothing more to this worker."""
+        """Do not select this worker again."""
         self._excluded.add(worker.worker_id)
 
     def exclude_address(self, address: str) -> None:
-        """Send nothing more to the worker at an address."""
-        for worker in self._parts.view.workers(self._service.name):
+        """Do not select the worker with this address or id again."""
+        for worker in self._context.view.workers(self._service.name):
             if address in {str(worker.address), worker.worker_id}:
                 self.exclude(worker)
 
     def is_misdirected(self, head: ResponseHead) -> bool:
-        """Tell whether a refusal says that another worker answers there."""
+        """Return whether another worker answered at the address."""
         return head.status == _MISDIRECTED
 
     def cancel(self) -> None:
-        """Wait no longer: the caller left."""
-        if self._waiting is not None:
-            self._waiting.cancel()
+        """Stop waiting for a slot: the caller disconnected."""
+        if self._queued is not None:
+            self._queued.cancel()
 
     async def select(self, left: Millis) -> Selection | Refusal:
-        """Return the worker to send to, perhaps after a wait."""
+        """Return the worker to send to, waiting for a slot if needed."""
         if self._service.engine is None or self._caller.prompt is None:
-            return self._choose_plain()
-        found = self._place()
-        if isinstance(found, Placement):
-            return self._choice(found)
+            return self._select_plain()
+        result = self._place()
+        if isinstance(result, Placement):
+            return self._selection(result)
         count = len(self._candidates())
-        free_in = found.free_in
+        free_in = result.free_in
         if not count:
-            return Refusal('no worker is known', _COME_BACK)
+            return Refusal('no worker is known', _UNKNOWN_RETRY_AFTER)
         if free_in is None:
-            return Refusal('the prompt fits no worker', _COME_BACK, count)
-        patience = int(left * _PATIENCE)
-        if free_in > patience:
+            return Refusal(
+                'the prompt fits no worker', _UNKNOWN_RETRY_AFTER, count
+            )
+        queue_timeout = int(left * _QUEUE_TIME_SHARE)
+        if free_in > queue_timeout:
             return Refusal('every worker is full', free_in, count, free_in)
-        placed = await self._wait(patience)
-        if placed is None:
-            return Refusal('every worker is full', _SOON, count, free_in)
-        return self._choice(placed)
-
-    async def reserve(self, choice: Selection) -> Reservation | None:
-        """Set the memory aside that the choice needs; None if that fails."""
+        placement = await self._wait_in_queue(queue_timeout)
+        if placement is None:
+            return Refusal(
+                'every worker is full', _SHORT_RETRY_AFTER, count, free_in
+            )
+        return self._selection(placement)
+
+    async def reserve(self, selection: Selection) -> Reservation | None:
+        """Reserve the memory that the selection needs; None on failure."""
         shares = []
-        for part in choice.parts:
-            worker = self._parts.view.worker_by_id.get(part.worker_id)
+        for part in selection.parts:
+            worker = self._context.view.worker_by_id.get(part.worker_id)
             if part.reserved_tokens and worker is not None:
                 shares.append(MemoryShare(worker, part.reserved_tokens))
-        reserved = await self._parts.reservations.reserve(
+        reservation = await self._context.reservations.reserve(
             self._reservation_id(), shares
         )
-        if isinstance(reserved, Reservation):
-            return reserved
-        self.exclude(reserved)
+        if isinstance(reservation, Reservation):
+            return reservation
+        self.exclude(reservation)
         return None
 
-    def record_send(self, choice: Selection) -> SendRecord:
-        """Count a send, here and at the other gateways."""
-        parts = self._parts
-        now = parts.clock.now()
+    def record_send(self, selection: Selection) -> SendRecord:
+        """Record a send here and announce it to the other gateways."""
+        context = self._context
+        now = context.clock.now()
         self._sends += 1
         send_id = f'{self._caller.attempt_id}/{self._sends}'
         engine = self._service.engine
         prompt = self._caller.prompt
         if engine is None or prompt is None:
-            parts.plain_balancer.record_start(choice.worker.worker_id)
+            context.plain_balancer.record_start(selection.worker.worker_id)
             return SendRecord(send_id, now)
         send = Send(
             send_id,
@@ -159,131 +164,135 @@
             prompt.expected_output,
             self._route.target_pause,
             self._due,
-            parts=choice.parts,
+            parts=selection.parts,
         )
-        worker_id = choice.worker.worker_id
-        parts.fleet.record_send(worker_id, engine, send, now)
-        parts.notices.announce_send(worker_id, send, max(0, self._due - now))
+        worker_id = selection.worker.worker_id
+        context.fleet.record_send(worker_id, engine, send, now)
+        context.notices.announce_send(worker_id, send, max(0, self._due - now))
         return SendRecord(send_id, now)
 
-    def record_first_event(self, choice: Selection, actual: Millis) -> None:
-        """Compare the first event with its forecast."""
-        if choice.parts or self._service.engine is None:
+    def record_first_event(self, selection: Selection, actual: Millis) -> None:
+        """Compare the time to the first event with its forecast."""
+        if selection.parts or self._service.engine is None:
             return
-        load = self._parts.fleet.load(choice.worker.worker_id)
-        now = self._parts.clock.now()
-        load.record_first_event(choice.first_event_in, actual, now)
-
-    def record_end(self, choice: Selection, noted: SendRecord) -> None:
-        """Take the count back."""
-        parts = self._parts
-        now = parts.clock.now()
-        worker_id = choice.worker.worker_id
+        load = self._context.fleet.load(selection.worker.worker_id)
+        now = self._context.clock.now()
+        load.record_first_event(selection.first_event_in, actual, now)
+
+    def record_end(self, selection: Selection, record: SendRecord) -> None:
+        """Remove a recorded send and announce its end."""
+        context = self._context
+        now = context.clock.now()
+        worker_id = selection.worker.worker_id
         if self._service.engine is None or self._caller.prompt is None:
-            parts.plain_balancer.record_end(worker_id, now - noted.started, now)
+            context.plain_balancer.record_end(
+                worker_id, now - record.started, now
+            )
             return
-        parts.fleet.record_end(worker_id, noted.send_id, now)
-        parts.notices.announce_end(worker_id, noted.send_id)
-        parts.queue.wake()
-
-    def _choose_plain(self) -> Selection | Refusal:
-        parts = self._parts
-        now = parts.clock.now()
-        worker = parts.plain_balancer.choose(
-            self._candidates(), parts.data_centre, now
+        context.fleet.record_end(worker_id, record.send_id, now)
+        context.notices.announce_end(worker_id, record.send_id)
+        context.queue.wake()
+
+    def _select_plain(self) -> Selection | Refusal:
+        context = self._context
+        now = context.clock.now()
+        worker = context.plain_balancer.choose(
+            self._candidates(), context.data_centre, now
         )
         if worker is None:
-            return Refusal('no worker is known', _SOON)
+            return Refusal('no worker is known', _SHORT_RETRY_AFTER)
         return Selection(worker, None)
 
     def _candidates(self) -> list[Worker]:
-        """Return the workers to choose from, the sound ones if any are."""
-        parts = self._parts
-        aside = parts.outliers.ejected(parts.clock.now())
-        sound = []
-        others = []
-        for worker in parts.view.workers(self._service.name):
+        """Return the workers to select from: healthy ones if there are any."""
+        context = self._context
+        ejected = context.outliers.ejected(context.clock.now())
+        healthy = []
+        ejected_workers = []
+        for worker in context.view.workers(self._service.name):
             if worker.worker_id in self._excluded:
                 continue
-            if worker.worker_id in aside:
-                others.append(worker)
+            if worker.worker_id in ejected:
+                ejected_workers.append(worker)
             else:
-                sound.append(worker)
-        return sound or others
+                healthy.append(worker)
+        return healthy or ejected_workers
 
     def _place(self) -> Placement | NoCapacity:
-        parts = self._parts
+        context = self._context
         engine = self._service.engine
-        now = parts.clock.now()
+        now = context.clock.now()
         if engine is None:
             return NoCapacity(None)
         wanted = GenerationRequest(
             self._prompt(),
             max(0, self._due - now),
             self._route.target_pause,
-            self._patience(now),
-            parts.data_centre,
+            self._first_event_timeout(now),
+            context.data_centre,
         )
         return place(
             wanted,
             engine,
             self._candidates(),
-            parts.fleet,
+            context.fleet,
             now,
-            parts.view.placing_gateway(now),
+            context.view.placing_gateway(now),
         )
 
-    async def _wait(self, limit: Millis) -> Placement | None:
-        room = self._parts.queue
-        self._waiting = asyncio.create_task(
-            room.wait(self._due, self._place, limit)
+    async def _wait_in_queue(self, limit: Millis) -> Placement | None:
+        queue = self._context.queue
+        self._queued = asyncio.create_task(
+            queue.wait(self._due, self._place, limit)
         )
         try:
-            return await self._waiting
+            return await self._queued
         except asyncio.CancelledError:
             return None
         finally:
-            self._waiting = None
+            self._queued = None
 
-    def _choice(self, placed: Placement) -> Selection:
-        load = self._parts.fleet.load(placed.worker.worker_id)
-        urgency = _URGENT
+    def _selection(self, placement: Placement) -> Selection:
+        load = self._context.fleet.load(placement.worker.worker_id)
+        priority = _SHORT_PRIORITY
         if self._prompt().tokens > LONG_PROMPT_TOKENS:
-            urgency = _USUAL
+            priority = _LONG_PRIORITY
         return Selection(
-            placed.worker,
-            urgency,
-            placed.first_event_in,
+            placement.worker,
+            priority,
+            placement.first_event_in,
             len(load.send_by_id),
             load.pace,
-            placed.parts,
-            self._holders(placed.parts),
+            placement.parts,
+            self._helpers(placement.parts),
         )
 
-    def _holders(self, parts: Sequence[PromptPart]) -> list[Helper]:
-        """Return the addresses of the workers that read or hold a part."""
-        holders = []
+    def _helpers(self, parts: Sequence[PromptPart]) -> list[Helper]:
+        """Return the helpers with their addresses and reservations."""
+        helpers = []
         for part in parts:
-            worker = self._parts.view.worker_by_id.get(part.worker_id)
+            worker = self._context.view.worker_by_id.get(part.worker_id)
             if worker is None:
                 continue
-            ticket = self._reservation_id() if part.reserved_tokens else ''
-            holders.append(Helper(worker.address, ticket))
-        return holders
+            reservation_id = (
+                self._reservation_id() if part.reserved_tokens else ''
+            )
+            helpers.append(Helper(worker.address, reservation_id))
+        return helpers
 
     def _reservation_id(self) -> str:
         return f'{self._caller.attempt_id}-{self._sends}'
 
-    def _patience(self, now: Millis) -> Millis:
-        """Return how long the caller waits for the first event."""
+    def _first_event_timeout(self, now: Millis) -> Millis:
+        """Return the latest first event that is likely to be in time."""
         route = self._route
         whole = max(
-            _LEAST_PATIENCE,
-            _PATIENT_LATENCIES * route.target_latency,
-            _PATIENT_PAUSES * route.target_pause,
+            _MIN_FIRST_EVENT_TIMEOUT,
+            _TIMEOUT_LATENCIES * route.target_latency,
+            _TIMEOUT_PAUSES * route.target_pause,
         )
         left = self._due - route.target_latency + whole - now
-        return int(left * _SAFE_SHARE)
+        return int(left * _SAFE_FORECAST_SHARE)
 
     def _prompt(self) -> Prompt:
         prompt = self._caller.prompt
--- a/verbenathread/serving/__init__.py
+++ b/verbenathread/serving/__init__.py
@@ -1,4 +1,4 @@
-"""What a gateway decides with: routes, workers, load, placing, budgets.
+"""Decision logic of a gateway: routes, workers, load, placement, budgets.
 
-Nothing here knows a network or a wire format; time comes in as ms.
+It is independent of network and wire format; times are passed in as ms.
 """
--- a/verbenathread/serving/dialect.py
+++ b/verbenathread/serving/dialect.py
@@ -1,4 +1,4 @@
-"""What a gateway needs of the language that callers and workers speak."""
+"""Interface to the wire format that callers and workers use."""
 
 from collections.abc import Sequence
 from typing import NamedTuple, Protocol
@@ -9,10 +9,10 @@
 
 
 class CallerRequest(NamedTuple):
-    """What the headers of a caller's request say."""
+    """The parsed headers of a caller's request."""
 
     attempt_id: str
-    # Time that the caller still waits; None when it does not say.
+    # Time that the caller still waits; None if it states none.
     time_left: Millis | None
     host: str
     path: str
@@ -24,46 +24,46 @@
 
 
 class BadRequest(NamedTuple):
-    """A request that can't be served as sent, and why."""
+    """A malformed request; the message says why."""
 
     message: str
 
 
 class Helper(NamedTuple):
-    """A worker that reads a part of a prompt, and memory set aside there."""
+    """A worker that prefills a part of a prompt or reserves memory for it."""
 
     address: Address
-    # Empty where no memory is set aside.
+    # Empty if no memory is reserved there.
     reservation_id: str
 
 
 class ForwardContext(NamedTuple):
-    """What a gateway tells a worker beside the caller's own headers."""
+    """What a gateway sends to a worker in addition to the caller's headers."""
 
     worker_id: str
     time_left: Millis
     account: str | None
-    # 0 is first; None leaves it to the worker.
+    # 0 is the highest; None leaves it to the worker.
     priority: int | None
-    # Go on after this event of a stream that broke.
+    # Resume a broken stream after this event.
     last_event_id: int | None
     helpers: Sequence[Helper] = ()
 
 
 class WorkerResponse(NamedTuple):
-    """What the headers of a worker's answer say."""
+    """The parsed headers of a worker's response."""
 
     attempt_id: str
-    # The worker signed it; without that it is no answer of a worker.
+    # A success without a worker's signature does not come from a worker.
     signed: bool
-    # The worker did not and will not run the request.
+    # The worker states that it has not run and will not run the request.
     not_run: bool
-    # Address of another worker that is to blame; empty when there is none.
+    # Address of another worker that caused the failure, or empty.
     faulty_worker: str = ''
 
 
 class WorkerCall(NamedTuple):
-    """A call to a worker that is no caller's request."""
+    """A call to a worker by the gateway itself."""
 
     method: bytes
     target: bytes
@@ -72,56 +72,56 @@
 
 
 class ReservationResponse(NamedTuple):
-    """What a worker said to a call about memory that is set aside."""
+    """A worker's response to a reserve or release call."""
 
-    # The memory is set aside, or free again, as was asked.
+    # The memory is reserved or released, as requested.
     done: bool
-    # The worker did nothing; otherwise it may have, without a word.
+    # The worker did nothing. If neither is set, it may have.
     refused: bool
 
 
 class LoadReport(NamedTuple):
-    """What a worker says of its load; as of some 100 ms before."""
+    """A worker's report of its load, as of about 100 ms ago."""
 
-    # How much longer than a sound one it needs; 1 is sound.
+    # Slowdown factor; 1 is healthy.
     pace: float
 
 
 class Dialect(Protocol):
-    """Reads and writes headers."""
+    """Parses and builds headers and calls of one wire format."""
 
     def parse_request(self, request: Request) -> CallerRequest | BadRequest:
-        """Read a caller's headers."""
+        """Parse the headers of a caller's request."""
 
     def worker_headers(
         self, request: Request, context: ForwardContext
     ) -> list[tuple[bytes, bytes]]:
-        """Return the headers with which the request goes to a worker."""
+        """Return the headers of the request as forwarded to a worker."""
 
     def parse_response(self, head: ResponseHead) -> WorkerResponse:
-        """Read a worker's headers."""
+        """Parse the headers of a worker's response."""
 
     def parse_load_report(self, body: bytes) -> LoadReport | None:
-        """Read the answer to a probe; None when it can't be read."""
+        """Parse the response to a probe; None if it is malformed."""
 
     def probe_call(self, worker_id: str) -> WorkerCall:
-        """Return a call that a living worker answers at once."""
+        """Return a call that a live worker answers at once."""
 
     def reserve_call(
         self, worker_id: str, reservation_id: str, tokens: int, lease: Millis
     ) -> WorkerCall:
-        """Return the call that sets memory aside, or renews its lease."""
+        """Return the call that reserves memory or renews its lease."""
 
     def release_call(self, worker_id: str, reservation_id: str) -> WorkerCall:
-        """Return the call that frees memory that was set aside."""
+        """Return the call that releases reserved memory."""
 
     def parse_reservation_response(self, status: int) -> ReservationResponse:
-        """Read the answer to either call."""
+        """Interpret the status of a reserve or release call."""
 
     def caller_headers(self, head: ResponseHead) -> list[tuple[bytes, bytes]]:
-        """Return the headers of a worker's answer for the caller."""
+        """Return the headers of a worker's response for the caller."""
 
     def refusal_headers(
         self, attempt_id: str, retry_after: Millis | None
     ) -> list[tuple[bytes, bytes]]:
-        """Return the headers of an answer that no worker gave."""
+        """Return the headers of a response by the gateway itself."""
--- a/verbenathread/serving/engine_time.py
+++ b/verbenathread/serving/engine_time.py
@@ -1,30 +1,30 @@
-"""How long a sound engine needs, from the figures of its service.
+"""Predicts the running times of a healthy engine from its model.
 
-An engine works in passes. A pass writes ``stride`` tokens for each request
-that writes, and reads waiting prompts in pieces beside that.
+An engine works in iterations. Each one decodes ``stride`` tokens for every
+request in the batch and prefills waiting prompts in chunks beside that.
 """
 
 from verbenathread.serving.types import EngineModel
 
-_PAIRS_PER_MILLION = 1_000_000
-_TOKENS_PER_K = 1000
+_PAIRS_PER_UNIT = 1_000_000
+_CONTEXT_UNIT = 1000
 
 
 def prefill_ms(engine: EngineModel, tokens: int, parts: int = 1) -> float:
-    """Return ms to read a prompt, split evenly over ``parts`` engines."""
-    pairs = tokens * tokens / 2 / _PAIRS_PER_MILLION
-    whole = tokens / engine.prefill_tokens_per_ms + pairs * engine.attention_ms
-    return whole / parts
+    """Return ms to prefill a prompt split evenly over ``parts`` engines."""
+    pairs = tokens * tokens / 2 / _PAIRS_PER_UNIT
+    total = tokens / engine.prefill_tokens_per_ms + pairs * engine.attention_ms
+    return total / parts
 
 
 def iteration_ms(
     engine: EngineModel, batch_size: int, context_tokens: int
 ) -> float:
-    """Return ms of a pass in which ``writers`` write and nobody reads."""
+    """Return ms of an iteration that decodes a batch and prefills nothing."""
     step = (
         engine.step_ms
         + engine.sequence_ms * batch_size
-        + engine.context_ms * context_tokens / _TOKENS_PER_K
+        + engine.context_ms * context_tokens / _CONTEXT_UNIT
     )
     return engine.stride * step
 
@@ -32,5 +32,5 @@
 def decode_ms(
     engine: EngineModel, output_tokens: int, iteration: float
 ) -> float:
-    """Return ms to write an answer, in passes of ``one_pass`` ms."""
+    """Return ms to decode an answer in iterations of ``iteration`` ms."""
     return output_tokens / engine.stride * iteration
--- a/verbenathread/serving/fleet_load.py
+++ b/verbenathread/serving/fleet_load.py
@@ -1,7 +1,8 @@
-"""What every engine has to do, from the sends of all gateways.
+"""Tracks the load of every engine from the sends of all gateways.
 
-Each gateway tells the others of a send and of its end, so a view is about as
-old as a datagram's way. A lost end is made up for by a forecast of it.
+A send is one generation that a gateway has sent to an engine. Gateways notify
+each other when a send starts and ends, so the data lags by the delivery time
+of a datagram. If the notice of an end is lost, the forecast end applies.
 """
 
 from typing import NamedTuple
@@ -10,102 +11,104 @@
 from verbenathread.serving.types import EngineModel
 from verbenathread.types import Millis
 
-# A send whose end was not told is forgotten this long after its forecast
-# end: four of the usual answers of a short prompt.
-_FORGET_AFTER: Millis = 8000
-_SLOWEST_PACE = 20.0
-# A first event may be as much later than forecast without a reason: a pass of
-# a full engine takes 60 ms, and two may lie between.
-_SURPRISE: Millis = 120
-# Unknown load lasts about as long as an answer to a short prompt.
-_SURPRISE_HALF_LIFE: Millis = 1500
+# A send whose end was not reported is dropped this long after its forecast
+# end: the time of four typical answers to short prompts.
+_SEND_EXPIRY: Millis = 8000
+_MAX_PACE = 20.0
+# A first event may be this much later than forecast on a known load: an
+# iteration of a full engine takes 60 ms, and two may come first.
+_LATENESS_TOLERANCE: Millis = 120
+# Unreported load lasts about as long as the answer to a short prompt.
+_UNREPORTED_HALF_LIFE: Millis = 1500
 _HALF = 0.5
 
 
 class PromptPart(NamedTuple):
-    """What another engine does for a prompt."""
+    """The part of a prompt that a helper engine handles."""
 
     worker_id: str
-    # Memory set aside there; 0 where it only reads.
+    # Memory reserved there; 0 if it only prefills.
     reserved_tokens: int
 
 
 class Send(NamedTuple):
-    """One generation at an engine."""
+    """One generation sent to an engine."""
 
     send_id: str
     prompt_tokens: int
     output_tokens: int
     # Longest pause between its events that is still in time.
     target_pause: Millis
-    # When its first event is late.
+    # Time after which its first event is late.
     due_at: Millis
     # Forecast times of the first event and of the end.
     first_event_at: Millis = 0
     end_at: Millis = 0
-    # How long each of its engines reads.
+    # Prefill time on each of its engines.
     prefill_time: Millis = 0
-    # It is late already, by forecast.
+    # It is already late, by forecast.
     is_late: bool = False
-    # The prompt is read in even parts by its engine and these.
+    # Helpers; the prompt is prefilled in equal parts by its engine and these.
     parts: tuple[PromptPart, ...] = ()
 
     @property
     def memory_tokens(self) -> int:
-        """Return the memory that it needs at its engine in the end."""
-        elsewhere = sum(part.reserved_tokens for part in self.parts)
-        prompt = max(0, self.prompt_tokens - elsewhere)
+        """Return the memory it needs at its own engine when complete."""
+        reserved_elsewhere = sum(part.reserved_tokens for part in self.parts)
+        prompt = max(0, self.prompt_tokens - reserved_elsewhere)
         return prompt + self.output_tokens
 
 
 class EngineLoad:
-    """What one engine has to do."""
+    """The load of one engine."""
 
     def __init__(self) -> None:
-        """Start idle, at the pace of a sound engine."""
+        """Start idle, at the pace of a healthy engine."""
         self.send_by_id: dict[str, Send] = {}
-        # Prompts of other engines of which a part is read here, by send, and
-        # the memory set aside for them.
+        # Memory reserved here for sends to other engines of which this engine
+        # prefills a part, by send id.
         self.reserved_by_id: dict[str, int] = {}
-        # When the prompts that wait there are read, by forecast.
+        # Forecast time at which all queued prefills are done.
         self.prefill_until: Millis = 0
-        # 1 is sound; 2 takes twice as long.
+        # Slowdown factor: 1 is healthy, 2 takes twice as long.
         self.pace = 1.0
-        # By how much a first event came later than forecast, and when.
-        self._surprise: Millis = 0
-        self._surprised_at: Millis = 0
+        # Delay of a first event beyond its forecast, and when it was seen.
+        self._unreported_delay: Millis = 0
+        self._unreported_at: Millis = 0
 
     def context_tokens(self) -> int:
-        """Return the tokens that its requests need and that it holds."""
-        own = sum(send.memory_tokens for send in self.send_by_id.values())
-        return own + sum(self.reserved_by_id.values())
+        """Return the tokens needed by its requests and reserved here."""
+        own_tokens = sum(
+            send.memory_tokens for send in self.send_by_id.values()
+        )
+        return own_tokens + sum(self.reserved_by_id.values())
 
     def count_short_prompts(self, max_tokens: int) -> int:
-        """Return how many of its prompts have so many tokens at most."""
+        """Return how many of its prompts have at most ``max_tokens``."""
         sends = self.send_by_id.values()
         return sum(1 for send in sends if send.prompt_tokens <= max_tokens)
 
     def delay_prefills(self, delay: float, now: Millis) -> None:
-        """Delay the prompts that wait here by one that is read before."""
+        """Delay the queued prefills by one that is processed first."""
         for send in tuple(self.send_by_id.values()):
             if send.first_event_at <= now:
                 continue
-            first_at = int(send.first_event_at + delay)
+            first_event_at = int(send.first_event_at + delay)
             self.send_by_id[send.send_id] = send._replace(
-                first_event_at=first_at,
+                first_event_at=first_event_at,
                 end_at=int(send.end_at + delay),
-                is_late=send.is_late or first_at > send.due_at,
+                is_late=send.is_late or first_event_at > send.due_at,
             )
         self.mark_late(max(0, self.prefill_until - now) + delay, now)
 
     def cancel_prefill(self, remaining: Millis, now: Millis) -> None:
-        """Forget what is read no more; all of it where nothing is left."""
+        """Remove the rest of a prefill, or all if the engine is idle."""
         self.prefill_until = max(now, self.prefill_until - remaining)
         if not self.send_by_id and not self.reserved_by_id:
             self.prefill_until = 0
 
     def mark_late(self, pause: float, now: Millis) -> None:
-        """Note which answers a pause of the writers makes late."""
+        """Mark the streams that a pause of all decoding makes late."""
         for send in tuple(self.send_by_id.values()):
             if send.first_event_at <= now and pause > send.target_pause:
                 self.send_by_id[send.send_id] = send._replace(is_late=True)
@@ -113,45 +116,47 @@
     def record_first_event(
         self, forecast: Millis, actual: Millis, now: Millis
     ) -> None:
-        """Compare a first event with its forecast.
+        """Compare the time to a first event with its forecast.
 
-        One that is late shows load that this gateway was not told of, as
-        when it is cut off from the others.
+        A late first event shows load that was not reported to this gateway,
+        for example because it is partitioned from the other gateways.
         """
-        left = self.unreported_delay(now)
-        self._surprised_at = now
-        over = actual - forecast
-        if over > _SURPRISE:
-            self._surprise = max(left, over)
+        current = self.unreported_delay(now)
+        self._unreported_at = now
+        lateness = actual - forecast
+        if lateness > _LATENESS_TOLERANCE:
+            self._unreported_delay = max(current, lateness)
         else:
-            self._surprise = left // 2
+            self._unreported_delay = current // 2
 
     def unreported_delay(self, now: Millis) -> Millis:
-        """Return how long load that nobody told of will take."""
-        if not self._surprise:
+        """Return the estimated delay by load that was not reported."""
+        if not self._unreported_delay:
             return 0
-        age = now - self._surprised_at
-        return int(self._surprise * _HALF ** (age / _SURPRISE_HALF_LIFE))
+        age = now - self._unreported_at
+        return int(
+            self._unreported_delay * _HALF ** (age / _UNREPORTED_HALF_LIFE)
+        )
 
     def next_end(self) -> Millis:
-        """Return when the first of its requests ends, by forecast."""
+        """Return the earliest forecast end of its requests."""
         return min(send.end_at for send in self.send_by_id.values())
 
 
 class FleetLoad:
-    """Loads by worker."""
+    """The loads of all engines, by worker id."""
 
     def __init__(self) -> None:
-        """Know of no load."""
+        """Start without any load."""
         self.load_by_id: dict[str, EngineLoad] = {}
 
     def load(self, worker_id: str) -> EngineLoad:
-        """Return the load of a worker, empty when nothing is known."""
-        found = self.load_by_id.get(worker_id)
-        if found is None:
-            found = EngineLoad()
-            self.load_by_id[worker_id] = found
-        return found
+        """Return the load of a worker; empty if none is recorded."""
+        load = self.load_by_id.get(worker_id)
+        if load is None:
+            load = EngineLoad()
+            self.load_by_id[worker_id] = load
+        return load
 
     def record_send(
         self,
@@ -160,71 +165,73 @@
         send: Send,
         now: Millis,
     ) -> Send:
-        """Add a send, with its forecast filled in."""
+        """Add a send and return it with its forecast filled in."""
         load = self.load(worker_id)
-        reading = engine_time.prefill_ms(
+        prefill = engine_time.prefill_ms(
             engine, send.prompt_tokens, 1 + len(send.parts)
         )
-        read_at = self._read_until(load, reading, now)
+        prefilled_at = self._add_prefill(load, prefill, now)
         for part in send.parts:
-            other = self.load(part.worker_id)
-            other.delay_prefills(reading * other.pace, now)
-            read_at = max(read_at, self._read_until(other, reading, now))
-            other.reserved_by_id[send.send_id] = part.reserved_tokens
-        one_pass = load.pace * engine_time.iteration_ms(
+            helper_load = self.load(part.worker_id)
+            helper_load.delay_prefills(prefill * helper_load.pace, now)
+            prefilled_at = max(
+                prefilled_at, self._add_prefill(helper_load, prefill, now)
+            )
+            helper_load.reserved_by_id[send.send_id] = part.reserved_tokens
+        iteration = load.pace * engine_time.iteration_ms(
             engine,
             len(load.send_by_id) + 1,
             load.context_tokens() + send.memory_tokens,
         )
-        first_at = int(read_at + one_pass)
-        writing = engine_time.decode_ms(engine, send.output_tokens, one_pass)
-        filled = send._replace(
-            prefill_time=int(reading),
-            first_event_at=first_at,
-            end_at=int(first_at + writing),
-            is_late=first_at > send.due_at,
+        first_event_at = int(prefilled_at + iteration)
+        decode = engine_time.decode_ms(engine, send.output_tokens, iteration)
+        forecast_send = send._replace(
+            prefill_time=int(prefill),
+            first_event_at=first_event_at,
+            end_at=int(first_event_at + decode),
+            is_late=first_event_at > send.due_at,
         )
-        load.mark_late(load.prefill_until - now + one_pass, now)
-        load.send_by_id[send.send_id] = filled
-        return filled
+        load.mark_late(load.prefill_until - now + iteration, now)
+        load.send_by_id[send.send_id] = forecast_send
+        return forecast_send
 
     def record_end(self, worker_id: str, send_id: str, now: Millis) -> None:
-        """Remove a send that ended."""
+        """Remove a send that has ended."""
         load = self.load_by_id.get(worker_id)
         if load is None:
             return
         send = load.send_by_id.pop(send_id, None)
         if send is None:
             return
-        # What was not read by its end is not read any more.
-        unread = send.prefill_time if now < send.first_event_at else 0
-        load.cancel_prefill(unread, now)
+        # Its prefill stops if it had not finished.
+        remaining = send.prefill_time if now < send.first_event_at else 0
+        load.cancel_prefill(remaining, now)
         for part in send.parts:
-            other = self.load(part.worker_id)
-            other.reserved_by_id.pop(send_id, None)
-            other.cancel_prefill(unread, now)
+            helper_load = self.load(part.worker_id)
+            helper_load.reserved_by_id.pop(send_id, None)
+            helper_load.cancel_prefill(remaining, now)
 
     def record_pace(self, worker_id: str, pace: float) -> None:
-        """Take how much longer than a sound engine this one needs."""
-        self.load(worker_id).pace = min(_SLOWEST_PACE, max(1, pace))
+        """Set the slowdown factor of an engine relative to a healthy one."""
+        self.load(worker_id).pace = min(_MAX_PACE, max(1, pace))
 
     def drop_expired(self, now: Millis) -> None:
-        """Drop sends whose end must have been lost."""
+        """Drop sends whose end notice must have been lost."""
         for worker_id, load in tuple(self.load_by_id.items()):
             for send in tuple(load.send_by_id.values()):
-                if now > send.end_at + _FORGET_AFTER:
+                if now > send.end_at + _SEND_EXPIRY:
                     self.record_end(worker_id, send.send_id, now)
 
     def retain(self, worker_ids: frozenset[str]) -> None:
-        """Drop the loads of workers that are no longer known."""
+        """Drop the loads of all workers except these."""
         for worker_id in tuple(self.load_by_id):
             if worker_id not in worker_ids:
                 self.load_by_id.pop(worker_id)
 
-    def _read_until(
-        self, load: EngineLoad, reading: float, now: Millis
+    def _add_prefill(
+        self, load: EngineLoad, prefill: float, now: Millis
     ) -> Millis:
-        """Add a prompt's part to what an engine reads; return its end."""
+        """Queue a prefill at an engine and return its forecast end."""
         start = max(now, load.prefill_until)
-        load.prefill_until = int(start + reading * load.pace)
+        load.prefill_until = int(start + prefill * load.pace)
         return load.prefill_until
--- a/verbenathread/serving/placement.py
+++ b/verbenathread/serving/placement.py
@@ -1,7 +1,7 @@
-"""Which worker gets a request, and which others read or hold a part of it.
+"""Places a generation on an engine and, for long prompts, on helpers.
 
-The survey tells what each engine would do; the choice is the one at which the
-least comes late, over all numbers of parts that a prompt may be read in.
+A prompt may be prefilled in parts by several engines at once. The placement
+with the lowest estimated cost over all allowed numbers of parts is chosen.
 """
 
 import functools
@@ -23,41 +23,42 @@
 from verbenathread.serving.types import EngineModel, Prompt, Worker
 from verbenathread.types import Millis, NodeId
 
-# Tokens left free at an engine that holds memory: blocks are rounded up.
+# Tokens left free on an engine that reserves memory: engines round up to whole
+# blocks.
 _MEMORY_MARGIN = 512
-# A prompt is read in so many parts at most; engines take 16 helpers.
+# Numbers of parts to try; an engine accepts at most 16 helpers.
 _PART_COUNTS = (2, 3, 4, 6, 8, 12, 17)
-# A part that is read for less gains nothing over the passes around it.
-_LEAST_PART: Millis = 40
-# Price of another part: another engine whose loss ends the stream.
-_PART_PRICE = 0.006
+# The prefill of a shorter part saves nothing over the iterations around it.
+_MIN_PART_TIME: Millis = 40
+# Cost per part: each adds an engine whose failure breaks the stream.
+_PART_COST = 0.006
 
 
 class PlacingGateway(NamedTuple):
-    """The gateway that chooses."""
+    """The gateway that places the request."""
 
     node_id: NodeId
-    # It has not heard of the others' sends yet.
+    # It has not received the other gateways' sends yet.
     is_warming_up: bool
 
 
-_NOBODY = PlacingGateway('', is_warming_up=False)
+_UNNAMED_GATEWAY = PlacingGateway('', is_warming_up=False)
 
 
 class Placement(NamedTuple):
-    """The engine that was chosen and what is expected there."""
+    """The chosen engine, with its forecast and cost."""
 
     worker: Worker
     first_event_in: Millis
     cost: float
-    # Other engines that read a part of the prompt, or hold it.
+    # Helpers that prefill a part of the prompt or reserve memory for it.
     parts: tuple[PromptPart, ...] = ()
 
 
 class NoCapacity(NamedTuple):
-    """No engine takes the request now."""
+    """No engine can take the request now."""
 
-    # When the first place may be free; None if none ever can.
+    # Forecast time until a slot is free; None if no engine will ever fit it.
     free_in: Millis | None
 
 
@@ -67,173 +68,199 @@
     workers: Iterable[Worker],
     fleet: FleetLoad,
     now: Millis,
-    gateway: PlacingGateway = _NOBODY,
+    gateway: PlacingGateway = _UNNAMED_GATEWAY,
 ) -> Placement | NoCapacity:
-    """Return the engines at which the least comes late.
+    """Return the placement with the lowest cost.
 
-    Gateways that hear of each other's sends use one common order of the
-    engines; a blind one uses its own: else all that start together would
-    fill the same engines.
+    Gateways that receive each other's sends share one common order of the
+    engines. A gateway that is warming up uses an order of its own, since
+    gateways that start together would otherwise fill the same engines.
     """
-    ordered = sorted(workers, key=_order)
+    ordered = sorted(workers, key=_common_order)
     if gateway.is_warming_up:
         ordered.sort(key=functools.partial(gateway_order, gateway.node_id))
     if request.prompt.tokens > LONG_PROMPT_TOKENS:
         ordered.reverse()
-    selection = _Selection(
+    search = _PlacementSearch(
         request, engine, ordered, fleet, now, gateway.node_id
     )
     best: Placement | None = None
-    for parts in _part_counts(request.prompt, engine, len(ordered)):
-        placed = selection.place_in(parts)
-        if placed is None:
+    for part_count in _part_counts(request.prompt, engine, len(ordered)):
+        placement = search.place_in_parts(part_count)
+        if placement is None:
             continue
-        if best is None or placed.cost < best.cost:
-            best = placed
-    return best or selection.no_room()
+        if best is None or placement.cost < best.cost:
+            best = placement
+    return best or search.no_capacity()
 
 
 def _part_counts(
-    prompt: Prompt, engine: EngineModel, most: int
+    prompt: Prompt, engine: EngineModel, max_parts: int
 ) -> Iterable[int]:
-    """Return in how many parts a prompt may be read."""
+    """Yield the numbers of parts to try for a prompt."""
     yield 1
-    whole = engine_time.prefill_ms(engine, prompt.tokens)
-    for parts in _PART_COUNTS:
-        if parts <= most and whole / parts >= _LEAST_PART:
-            yield parts
+    total = engine_time.prefill_ms(engine, prompt.tokens)
+    for part_count in _PART_COUNTS:
+        if part_count <= max_parts and total / part_count >= _MIN_PART_TIME:
+            yield part_count
 
 
-class _Selection:
-    """Chooses among the offers for one request."""
+class _PlacementSearch:
+    """Searches the best placement of one request."""
 
     def __init__(
         self,
-        wanted: GenerationRequest,
+        request: GenerationRequest,
         engine: EngineModel,
-        ordered: list[Worker],
+        workers: list[Worker],
         fleet: FleetLoad,
         now: Millis,
         node_id: NodeId,
     ) -> None:
-        self._wanted = wanted
+        self._request = request
         self._engine = engine
-        self._ordered = ordered
+        self._workers = workers
         self._fleet = fleet
         self._now = now
-        self._value = answer_value(wanted.prompt.tokens)
-        self._survey = EngineEstimator(
-            wanted, engine, ordered, fleet, now, node_id
+        self._value = answer_value(request.prompt.tokens)
+        self._estimator = EngineEstimator(
+            request, engine, workers, fleet, now, node_id
         )
 
-    def place_in(self, parts: int) -> Placement | None:
-        """Return the best engines that read the prompt in ``parts``."""
-        offers = self._survey.estimate(parts)
-        first = self._first(offers, parts)
-        if first is None:
+    def place_in_parts(self, part_count: int) -> Placement | None:
+        """Return the best placement in ``part_count`` parts, if any."""
+        estimates = self._estimator.estimate(part_count)
+        primary = self._choose_primary(estimates, part_count)
+        if primary is None:
             return None
         others = [
-            offer for offer in offers if offer is not first and offer.can_help
+            estimate
+            for estimate in estimates
+            if estimate is not primary and estimate.can_help
         ]
-        helpers = self._helpers(first, others, parts - 1)
+        helpers = self._choose_helpers(primary, others, part_count - 1)
         if helpers is None:
             return None
-        read_in = max(
-            (first.prefill_in, *(offer.prefill_in for offer, _ in helpers))
+        prefill_in = max(
+            (
+                primary.prefill_in,
+                *(estimate.prefill_in for estimate, _ in helpers),
+            )
         )
-        first_in = read_in + first.iteration
-        if first_in > self._wanted.first_event_timeout:
+        first_event_in = prefill_in + primary.iteration
+        if first_event_in > self._request.first_event_timeout:
             return None
         cost = self._value * lateness_cost(
-            first_in, self._wanted.target_latency
+            first_event_in, self._request.target_latency
         )
-        cost += first.delay_cost + first.preference_cost + parts * _PART_PRICE
-        cost += sum(offer.delay_cost for offer, _ in helpers)
+        cost += (
+            primary.delay_cost
+            + primary.preference_cost
+            + part_count * _PART_COST
+        )
+        cost += sum(estimate.delay_cost for estimate, _ in helpers)
         if cost > self._value:
-            # Others would lose more than this caller gains.
+            # Other requests would lose more than this one gains.
             return None
         chosen = tuple(
-            PromptPart(offer.worker.worker_id, held) for offer, held in helpers
+            PromptPart(estimate.worker.worker_id, tokens)
+            for estimate, tokens in helpers
         )
-        return Placement(first.worker, int(first_in), cost, chosen)
+        return Placement(primary.worker, int(first_event_in), cost, chosen)
 
-    def no_room(self) -> NoCapacity:
-        """Return when the first of the requests there ends."""
-        prompt = self._wanted.prompt
-        memory = self._engine.memory_tokens * len(self._ordered)
+    def no_capacity(self) -> NoCapacity:
+        """Return the forecast time until the first running request ends."""
+        prompt = self._request.prompt
+        memory = self._engine.memory_tokens * len(self._workers)
         if required_tokens(prompt) > memory:
             return NoCapacity(None)
         ends = []
-        for worker in self._ordered:
+        for worker in self._workers:
             load = self._fleet.load(worker.worker_id)
             if load.send_by_id:
                 ends.append(load.next_end())
         return NoCapacity(max(0, min(ends) - self._now) if ends else None)
 
-    def _first(self, offers: list[Estimate], parts: int) -> Estimate | None:
-        """Return the engine that writes the answer."""
-        prompt = self._wanted.prompt
-        least = prompt.expected_output
-        if parts == 1:
-            least = required_tokens(prompt) - 1
-        roomy = [offer for offer in offers if offer.free_tokens > least]
-        return min(roomy, key=self._first_cost) if roomy else None
-
-    def _first_cost(self, offer: Estimate) -> float:
-        late = lateness_cost(
-            offer.prefill_in + offer.iteration, self._wanted.target_latency
+    def _choose_primary(
+        self, estimates: list[Estimate], part_count: int
+    ) -> Estimate | None:
+        """Return the engine that decodes the answer."""
+        prompt = self._request.prompt
+        threshold = prompt.expected_output
+        if part_count == 1:
+            threshold = required_tokens(prompt) - 1
+        candidates = [
+            estimate
+            for estimate in estimates
+            if estimate.free_tokens > threshold
+        ]
+        return min(candidates, key=self._primary_cost) if candidates else None
+
+    def _primary_cost(self, estimate: Estimate) -> float:
+        lateness = lateness_cost(
+            estimate.prefill_in + estimate.iteration,
+            self._request.target_latency,
+        )
+        # The less it holds itself, the more memory helpers have to reserve.
+        required = required_tokens(self._request.prompt)
+        offload_cost = (
+            max(0, required - estimate.free_tokens) / TOKENS_PER_VALUE
         )
-        # The smaller its own share, the more others must hold.
-        needed = required_tokens(self._wanted.prompt)
-        elsewhere = max(0, needed - offer.free_tokens) / TOKENS_PER_VALUE
         return (
-            self._value * late
-            + offer.delay_cost
-            + offer.preference_cost
-            + elsewhere
+            self._value * lateness
+            + estimate.delay_cost
+            + estimate.preference_cost
+            + offload_cost
         )
 
-    def _helpers(
-        self, first: Estimate, others: list[Estimate], count: int
+    def _choose_helpers(
+        self, primary: Estimate, others: list[Estimate], count: int
     ) -> list[tuple[Estimate, int]] | None:
-        """Return the helpers and what each holds; None without memory."""
-        missing = required_tokens(self._wanted.prompt) - first.free_tokens
+        """Return the helpers and the tokens each reserves.
+
+        Return None if there are too few helpers or too little memory.
+        """
+        missing = required_tokens(self._request.prompt) - primary.free_tokens
         helpers: list[tuple[Estimate, int]] = []
         if missing > 0:
-            helpers = self._holders(others, count, missing + _MEMORY_MARGIN)
+            helpers = self._choose_memory_helpers(
+                others, count, missing + _MEMORY_MARGIN
+            )
             if not helpers:
                 return None
-        holding = {offer.worker.worker_id for offer, _ in helpers}
-        for offer in sorted(others, key=Estimate.helper_cost):
+        reserving_ids = {estimate.worker.worker_id for estimate, _ in helpers}
+        for estimate in sorted(others, key=Estimate.helper_cost):
             if len(helpers) >= count:
                 break
-            if offer.worker.worker_id not in holding:
-                helpers.append((offer, 0))
+            if estimate.worker.worker_id not in reserving_ids:
+                helpers.append((estimate, 0))
         return helpers if len(helpers) == count else None
 
-    def _holders(
+    def _choose_memory_helpers(
         self, others: list[Estimate], count: int, missing: int
     ) -> list[tuple[Estimate, int]]:
-        """Return engines that hold ``missing`` tokens; none if they can't."""
-        holders = []
-        for offer in sorted(others, key=_by_free, reverse=True)[:count]:
-            held = min(missing, offer.free_tokens - _MEMORY_MARGIN)
-            if missing <= 0 or held <= 0:
+        """Return helpers that reserve ``missing`` tokens, or an empty list."""
+        helpers = []
+        for estimate in sorted(others, key=_free_tokens, reverse=True)[:count]:
+            reserved_tokens = min(
+                missing, estimate.free_tokens - _MEMORY_MARGIN
+            )
+            if missing <= 0 or reserved_tokens <= 0:
                 break
-            holders.append((offer, held))
-            missing -= held
-        return [] if missing > 0 else holders
+            helpers.append((estimate, reserved_tokens))
+            missing -= reserved_tokens
+        return [] if missing > 0 else helpers
 
 
-def _by_free(offer: Estimate) -> int:
-    return offer.free_tokens
+def _free_tokens(estimate: Estimate) -> int:
+    return estimate.free_tokens
 
 
 def required_tokens(prompt: Prompt) -> int:
-    """Return the memory that a generation needs."""
+    """Return the memory that a generation needs, in tokens."""
     return prompt.tokens + prompt.expected_output
 
 
-def _order(worker: Worker) -> str:
-    # The same at every gateway, mixed over data centres.
+def _common_order(worker: Worker) -> str:
+    # Equal on every gateway, and mixes the data centres.
     return worker.worker_id
--- a/verbenathread/serving/retry_budget.py
+++ b/verbenathread/serving/retry_budget.py
@@ -1,4 +1,4 @@
-"""How many sends to a service may be repeats, over a sliding window."""
+"""Retry budget per service over a sliding window."""
 
 from collections import deque
 
@@ -8,47 +8,48 @@
 class RetryBudget:
     """One gateway's part of a budget that all gateways share.
 
-    A share of the requests may be repeated wherever they come in, so each
-    gateway counts its own; the slack is divided by the number of gateways.
+    Retries are limited to a share of the requests plus a fixed slack. Each
+    gateway applies the share to its own requests; the slack is divided by the
+    number of gateways.
     """
 
     def __init__(self, share: float, slack: int, window: Millis) -> None:
-        """Allow ``share`` of the requests in ``window``, and ``slack``."""
+        """Allow ``share`` of the requests in ``window``, plus ``slack``."""
         self._share = share
         self._slack = slack
         self._window = window
-        self._firsts_by_service: dict[str, deque[Millis]] = {}
-        self._repeats_by_service: dict[str, deque[Millis]] = {}
+        self._requests_by_service: dict[str, deque[Millis]] = {}
+        self._retries_by_service: dict[str, deque[Millis]] = {}
         self.gateway_count = 1
 
     def record_request(self, service: str, now: Millis) -> None:
-        """Count a request of a caller."""
-        firsts = self._firsts_by_service.setdefault(service, deque())
-        firsts.append(now)
-        self._trim(firsts, now)
+        """Count a caller's request."""
+        requests = self._requests_by_service.setdefault(service, deque())
+        requests.append(now)
+        self._trim(requests, now)
 
     def try_acquire(self, service: str, now: Millis) -> bool:
-        """Count a repeat, if one is allowed."""
-        repeats = self._repeats_by_service.setdefault(service, deque())
-        self._trim(repeats, now)
-        if len(repeats) + 1 > self._allowed(service, now):
+        """Count a retry and return True if one is allowed."""
+        retries = self._retries_by_service.setdefault(service, deque())
+        self._trim(retries, now)
+        if len(retries) + 1 > self._allowed(service, now):
             return False
-        repeats.append(now)
+        retries.append(now)
         return True
 
     def available(self, service: str, now: Millis) -> float:
-        """Return how many repeats are allowed now."""
-        repeats = self._repeats_by_service.get(service, deque())
-        self._trim(repeats, now)
-        return self._allowed(service, now) - len(repeats)
+        """Return how many retries are allowed now."""
+        retries = self._retries_by_service.get(service, deque())
+        self._trim(retries, now)
+        return self._allowed(service, now) - len(retries)
 
     def _allowed(self, service: str, now: Millis) -> float:
-        firsts = self._firsts_by_service.get(service, deque())
-        self._trim(firsts, now)
-        return self._share * len(firsts) + self._slack / max(
+        requests = self._requests_by_service.get(service, deque())
+        self._trim(requests, now)
+        return self._share * len(requests) + self._slack / max(
             1, self.gateway_count
         )
 
-    def _trim(self, moments: deque[Millis], now: Millis) -> None:
-        while moments and now - moments[0] > self._window:
-            moments.popleft()
+    def _trim(self, times: deque[Millis], now: Millis) -> None:
+        while times and now - times[0] > self._window:
+            times.popleft()
--- a/verbenathread/serving/routes.py
+++ b/verbenathread/serving/routes.py
@@ -1,4 +1,4 @@
-"""Which route serves a request, and which service of the route."""
+"""Matches requests to routes and picks a service of the route."""
 
 from typing import NamedTuple
 
@@ -7,14 +7,14 @@
 
 
 class RouteMatch(NamedTuple):
-    """A request that the configuration allows."""
+    """The route and the client account of a request."""
 
     route: Route
-    # None on a route without keys.
+    # None if the request was served without a key.
     account: ClientAccount | None
 
     def priority(self) -> int:
-        """Return the rank of the request; 0 is served first."""
+        """Return the priority of the request; 0 is the highest."""
         if self.account is not None and self.account.priority is not None:
             return self.account.priority
         return self.route.priority
@@ -25,23 +25,23 @@
 
 
 class UnknownKey(NamedTuple):
-    """The route needs a key, and no client account holds this one."""
+    """The route requires a key that no client account holds."""
 
 
 class RouteTable:
-    """The routes of one configuration, by host and prefix."""
+    """The routes of one configuration, indexed by host and prefix."""
 
     def __init__(self, config: ServingConfig) -> None:
         """Index the routes of ``config``."""
         self.config = config
-        self._route_by_place: dict[tuple[str, str], Route] = {}
+        self._route_by_prefix: dict[tuple[str, str], Route] = {}
         for route in config.routes:
-            self._route_by_place[(route.host, route.prefix)] = route
+            self._route_by_prefix[(route.host, route.prefix)] = route
 
     def match(
         self, host: str, path: str, key: str | None
     ) -> RouteMatch | UnknownRoute | UnknownKey:
-        """Return the route of a request and the account behind its key."""
+        """Return the route of a request and the account that holds its key."""
         route = self.find(host, path)
         if route is None:
             return UnknownRoute()
@@ -57,7 +57,7 @@
         """Return the route with the longest prefix of ``path``."""
         end = path.rfind('/')
         while end >= 0:
-            route = self._route_by_place.get((host, path[: end + 1]))
+            route = self._route_by_prefix.get((host, path[: end + 1]))
             if route is not None:
                 return route
             end = path.rfind('/', 0, end)
@@ -65,14 +65,14 @@
 
 
 def pick_service(route: Route, attempt_id: str) -> str:
-    """Return the service that gets this attempt, by the route's shares.
+    """Return the service for this attempt, by the weights of the route.
 
-    Equal attempts get equal services at every gateway.
+    The choice depends only on the attempt id, so every gateway agrees on it.
     """
     if len(route.targets) == 1:
         return route.targets[0].service
-    total = sum(target.weight for target in route.targets)
-    point = hash64(attempt_id) % total
+    total_weight = sum(target.weight for target in route.targets)
+    point = hash64(attempt_id) % total_weight
     for target in route.targets:
         if point < target.weight:
             return target.service
--- a/verbenathread/serving/types.py
+++ b/verbenathread/serving/types.py
@@ -1,4 +1,4 @@
-"""Types of the serving configuration and of the workers."""
+"""Types of the serving configuration and of workers."""
 
 import enum
 from collections.abc import Mapping
@@ -8,24 +8,24 @@
 
 
 class RequestKind(enum.Enum):
-    """How often the requests of a route may run."""
+    """How often a request of a route may run."""
 
     IDEMPOTENT = 'repeatable'
-    # At most once for each attempt of a caller.
+    # Runs at most once per attempt id.
     AT_MOST_ONCE = 'once'
-    # A stream of events; repeatable only where it can be resumed.
+    # A stream of events; retried only if the route is resumable.
     STREAM = 'stream'
 
 
 class Target(NamedTuple):
-    """A service that a route sends to, and its share."""
+    """A service that a route sends to, and its weight."""
 
     service: str
     weight: int
 
 
 class Route(NamedTuple):
-    """Where requests of one host and path prefix go."""
+    """Routing of the requests for one host and path prefix."""
 
     name: str
     host: str
@@ -33,46 +33,46 @@
     prefix: str
     kind: RequestKind
     time_limit: Millis
-    # Within it an answer, or a stream's first event, is in time.
+    # An answer, or the first event of a stream, is late after this time.
     target_latency: Millis
-    # 0 is served first.
+    # 0 is the highest.
     priority: int
     targets: tuple[Target, ...]
-    # Most workers that one attempt of a caller may be sent to.
+    # Maximum number of workers that one request is sent to.
     max_attempts: int
-    # Served without a key.
+    # Served without an API key.
     public: bool
-    # A broken stream may go on at another worker after its last event.
+    # A broken stream may be resumed on another worker after its last event.
     resumable: bool
     # Longest pause between events that is still in time.
     target_pause: Millis
 
     def may_retry(self) -> bool:
-        """Tell whether a request that may have run can be sent again."""
+        """Return whether a request that may have run can be sent again."""
         if self.kind is RequestKind.STREAM:
             return self.resumable
         return self.kind is RequestKind.IDEMPOTENT
 
 
 class EngineModel(NamedTuple):
-    """How fast an engine of a service reads and writes, when it is sound."""
+    """Prefill and decode speed of a healthy engine of a service."""
 
     slots: int
     memory_tokens: int
-    # Token steps in one pass that writes; an event holds as many tokens.
+    # Decode steps per iteration; an event holds this many tokens.
     stride: int
     step_ms: float
-    # Added to a step for each request that writes.
+    # Added to a step for each sequence in the batch.
     sequence_ms: float
     # Added to a step for each 1,000 tokens of context.
     context_ms: float
     prefill_tokens_per_ms: float
-    # Milliseconds for a million pairs of a token and an earlier one.
+    # Prefill time for a million pairs of a token and an earlier one.
     attention_ms: float
 
 
 class ServiceSpec(NamedTuple):
-    """A service that routes name."""
+    """A service that routes refer to."""
 
     name: str
     # None for a plain service.
@@ -80,7 +80,7 @@
 
 
 class ClientLimits(NamedTuple):
-    """What a caller may send, and how long it may take."""
+    """Limits on the size and duration of callers' requests."""
 
     header_bytes: int
     body_bytes: int
@@ -89,26 +89,26 @@
 
 
 class ClientAccount(NamedTuple):
-    """A client account, as workers hear of it."""
+    """A client account; its name is passed on to workers."""
 
     name: str
-    # Goes before the route's; None leaves that in force.
+    # Overrides the priority of the route unless None.
     priority: int | None
 
 
 class ServingConfig(NamedTuple):
-    """A complete configuration as an operator sent it."""
+    """A complete configuration as sent by an operator."""
 
     version: int
     routes: tuple[Route, ...]
     service_by_name: Mapping[str, ServiceSpec]
     limits: ClientLimits
-    # None where requests carry no keys.
+    # None if requests are served without keys.
     account_by_key: Mapping[str, ClientAccount] | None
 
 
 class WorkerState(enum.IntEnum):
-    """What a worker last said of itself; a later state outranks."""
+    """State that a worker last reported; a higher one takes precedence."""
 
     READY = 1
     DRAINING = 2
@@ -116,12 +116,12 @@
 
 
 class Worker(NamedTuple):
-    """A worker as the registry holds it."""
+    """A worker as stored in the registry."""
 
     worker_id: str
-    # Unix ms at which this life began.
+    # Unix ms at which this incarnation started.
     started_at: int
-    # Counts what it said in this life.
+    # Number of the heartbeat within this incarnation.
     sequence: int
     state: WorkerState
     service: str
@@ -131,9 +131,9 @@
 
 
 class Prompt(NamedTuple):
-    """Size of a generation, from the caller's headers."""
+    """Size of a generation as stated in the caller's headers."""
 
     tokens: int
     max_output: int
-    # Output that the caller expects; the most where it says nothing.
+    # Output that the caller expects; ``max_output`` if it states none.
     expected_output: int
