--- a/tests/test_observability.py
+++ b/tests/test_observability.py
@@ -20,8 +20,16 @@
 LINES = (
     line('g1', '10:00:00.100000', 'gateway: A worker changed.', worker='w1'),
     line('g1', '10:00:00.200000', 'gateway: A worker changed.', worker='w9'),
-    line('g1', '10:00:01.500000', 'gateway: The directory is lost.'),
-    line('g2', '10:00:01.600000', 'gateway: The directory is lost.'),
+    line(
+        'g1',
+        '10:00:01.500000',
+        'gateway: Lost the connection to the directory.',
+    ),
+    line(
+        'g2',
+        '10:00:01.600000',
+        'gateway: Lost the connection to the directory.',
+    ),
     line(
         'g1',
         '10:00:02.500000',
@@ -58,7 +66,7 @@
             told,
             [
                 '10:00:00.100 g1 gateway: A worker changed. worker=w1',
-                '10:00:01.500 g1 gateway: The directory is lost. ',
+                '10:00:01.500 g1 gateway: Lost the connection to the directory. ',
                 '10:00:02.400 g1 gateway: A send ended. worker=w1'
                 ' verdict=broken',
                 '10:00:02.500 g1 gateway: A request ended. outcome=failed'
--- a/tests/test_platform_processes.py
+++ b/tests/test_platform_processes.py
@@ -176,7 +176,7 @@
         late = await self.ask('s2')
         self.assertEqual(late.status, 200)
         self.assertEqual(late.header_by_name['connection'], 'close')
-        self.assertTrue((await stream).whole)
+        self.assertTrue((await stream).complete)
         code = await asyncio.to_thread(self.gateway.wait, 8)
         self.assertEqual(code, 0)
         self.assertEqual(self.lines('gateway')[-1]['cut'], 0)
@@ -185,7 +185,9 @@
         directory = self.processes.by_name['directory']
         directory.send(signal.SIGKILL)
         directory.wait(5)
-        await self.until(self.logged('gateway', 'The directory is lost'))
+        await self.until(
+            self.logged('gateway', 'Lost the connection to the directory')
+        )
         self.assertEqual((await self.ask('a1')).status, 200)
         self.start('directory')
         await self.until(self.takes(body(7)))
--- a/verbenathread/gateway/__init__.py
+++ b/verbenathread/gateway/__init__.py
@@ -1,6 +1,6 @@
-"""A gateway: passes callers' requests on, unchanged, to workers.
+"""Gateway: a reverse proxy that forwards callers' requests to workers.
 
-:mod:`exchange` follows one request; :mod:`attempt` is one send of it to a
-worker; :mod:`watch` brings configuration and workers from the directory;
-:mod:`notices` tells other gateways of sends.
+:mod:`exchange` serves one request; :mod:`attempt` is one send of it to a
+worker; :mod:`watch` receives configuration and workers from the directory;
+:mod:`notices` announces sends to the other gateways.
 """
--- a/verbenathread/gateway/admission_queue.py
+++ b/verbenathread/gateway/admission_queue.py
@@ -1,4 +1,4 @@
-"""Generations that wait for a place at an engine."""
+"""Queue of generations that wait for a slot on an engine."""
 
 import asyncio
 import contextlib
@@ -8,72 +8,72 @@
 from verbenathread.serving.placement import NoCapacity, Placement
 from verbenathread.types import Millis
 
-# A lost notice of an end would keep everybody waiting; then this helps.
-_LOOK_EVERY: Millis = 100
+# Retries even without an event, since the notice of an end may be lost.
+_RETRY_INTERVAL: Millis = 100
 
 TryPlace = Callable[[], Placement | NoCapacity]
 
 
-class _Waiting:
-    def __init__(self, due: Millis, choose: TryPlace) -> None:
+class _Entry:
+    def __init__(self, due: Millis, try_place: TryPlace) -> None:
         self.due = due
-        self.choose = choose
+        self.try_place = try_place
         self.future: asyncio.Future[Placement] = (
             asyncio.get_running_loop().create_future()
         )
 
 
 class AdmissionQueue:
-    """Lets those in first whose first event is due first."""
+    """Admits waiting generations in the order of their due times."""
 
     def __init__(self, clock: Clock) -> None:
-        """Wait for nobody."""
+        """Start empty."""
         self._clock = clock
-        self._waiting: list[_Waiting] = []
-        self._pump_planned = False
+        self._entries: list[_Entry] = []
+        self._pump_scheduled = False
 
     def __len__(self) -> int:
-        """Return how many wait."""
-        return len(self._waiting)
+        """Return how many generations wait."""
+        return len(self._entries)
 
     async def wait(
-        self, due: Millis, choose: TryPlace, limit: Millis
+        self, due: Millis, try_place: TryPlace, limit: Millis
     ) -> Placement | None:
-        """Return the place that was found within ``limit`` ms, if any."""
-        waiting = _Waiting(due, choose)
-        self._waiting.append(waiting)
-        self._waiting.sort(key=_due)
-        until = self._clock.now() + limit
+        """Return the placement found within ``limit`` ms, if any."""
+        entry = _Entry(due, try_place)
+        self._entries.append(entry)
+        self._entries.sort(key=_due)
+        deadline = self._clock.now() + limit
         with contextlib.ExitStack() as stack:
-            stack.callback(self._leave, waiting)
-            while not waiting.future.done():
-                left = until - self._clock.now()
+            stack.callback(self._remove, entry)
+            while not entry.future.done():
+                left = deadline - self._clock.now()
                 if left <= 0:
                     return None
                 await asyncio.wait(
-                    (waiting.future,), timeout=seconds(min(left, _LOOK_EVERY))
+                    (entry.future,), timeout=seconds(min(left, _RETRY_INTERVAL))
                 )
                 self._pump()
-        return waiting.future.result()
+        return entry.future.result()
 
     def wake(self) -> None:
-        """Look for places soon: something ended."""
-        if self._waiting and not self._pump_planned:
-            self._pump_planned = True
+        """Retry all placements soon, because a send has ended."""
+        if self._entries and not self._pump_scheduled:
+            self._pump_scheduled = True
             asyncio.get_running_loop().call_soon(self._pump)
 
-    def _leave(self, waiting: _Waiting) -> None:
-        if waiting in self._waiting:
-            self._waiting.remove(waiting)
+    def _remove(self, entry: _Entry) -> None:
+        if entry in self._entries:
+            self._entries.remove(entry)
 
     def _pump(self) -> None:
-        self._pump_planned = False
-        for waiting in tuple(self._waiting):
-            placed = waiting.choose()
-            if isinstance(placed, Placement):
-                self._waiting.remove(waiting)
-                waiting.future.set_result(placed)
+        self._pump_scheduled = False
+        for entry in tuple(self._entries):
+            placement = entry.try_place()
+            if isinstance(placement, Placement):
+                self._entries.remove(entry)
+                entry.future.set_result(placement)
 
 
-def _due(waiting: _Waiting) -> Millis:
-    return waiting.due
+def _due(entry: _Entry) -> Millis:
+    return entry.due
--- a/verbenathread/gateway/context.py
+++ b/verbenathread/gateway/context.py
@@ -1,4 +1,4 @@
-"""What every request of a gateway shares."""
+"""The components that all requests of a gateway share."""
 
 from typing import NamedTuple
 
@@ -19,13 +19,13 @@
 from verbenathread.serving.retry_budget import RetryBudget
 from verbenathread.types import Peer
 
-# Part of the time that memory may stay set aside unused: a lease runs on
-# after the last renewal, whose way to the worker takes time.
+# Share of the longest time that memory may stay reserved unused. The rest
+# covers the delivery of the last renewal, after which a lease still runs.
 _LEASE_SHARE = 0.8
 
 
 class GatewayContext(NamedTuple):
-    """The parts of one gateway."""
+    """The components of one gateway."""
 
     clock: Clock
     data_centre: str
@@ -51,7 +51,7 @@
     dialect: Dialect,
     clock: Clock,
 ) -> GatewayContext:
-    """Return the parts of a gateway that knows nothing yet."""
+    """Create the components of a gateway, without any configuration."""
     view = ClusterView(me.node_id)
     fleet = FleetLoad()
     pool = ConnectionPool(clock)
--- a/verbenathread/gateway/daemon.py
+++ b/verbenathread/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""A gateway process."""
+"""The gateway daemon."""
 
 import asyncio
 from collections.abc import Callable
@@ -20,15 +20,16 @@
 
 _log = get_logger('gateway')
 
-_TIDY_EVERY: Millis = 2000
-# The balancer needs two misses of a question a second to send nothing new.
-_NOTICE: Millis = 2600
-# Left of the stop limit for closing and for the interpreter's end.
+_MAINTENANCE_INTERVAL: Millis = 2000
+# The load balancer checks readiness once a second and stops sending new
+# connections after two failures.
+_SHUTDOWN_NOTICE: Millis = 2600
+# Part of the stop limit left for closing and for interpreter shutdown.
 _STOP_MARGIN: Millis = 700
 
 
 class GatewayDaemon:
-    """A gateway that other programs can embed."""
+    """A gateway process; other programs can embed it."""
 
     def __init__(
         self,
@@ -37,18 +38,18 @@
         dialect: Dialect,
         read_config: Callable[[bytes], ServingConfig],
     ) -> None:
-        """Wire the parts; ``path`` is the settings file, read again later."""
-        own = settings.gateway
-        self._own = own
+        """Wire the components; seeds are reloaded from the file ``path``."""
+        section = settings.gateway
+        self._section = section
         self._clock: Clock = SystemClock()
         self._seeds = SeedFile(path, 'gateway')
-        me = Peer(settings.node.id, parse_address(own.peer_listen))
+        peer = Peer(settings.node.id, parse_address(section.peer_listen))
         self.context = build_context(
-            own, settings.node.data_centre, me, dialect, self._clock
+            section, settings.node.data_centre, peer, dialect, self._clock
         )
         self.view = self.context.view
         self._watch = DirectoryWatch(
-            self.view, self._seeds, me, read_config, self._clock
+            self.view, self._seeds, peer, read_config, self._clock
         )
         self.server = HttpServer(GatewayHandler(self.context), self._clock)
         status = StatusHandler(
@@ -56,38 +57,46 @@
         )
         self._status = HttpServer(status, self._clock)
         self._metrics = HttpServer(status, self._clock)
-        self.view.on_config.append(self._take_limits)
-        self.view.on_workers.append(self._keep_only)
+        self.view.on_config.append(self._apply_limits)
+        self.view.on_workers.append(self._retain_workers)
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Listen, and look for the directory."""
+        """Start listening and connect to the directory."""
         await self.context.notices.start()
-        await self._status.start(parse_address(self._own.ready_listen))
-        if self._own.metrics_listen:
-            await self._metrics.start(parse_address(self._own.metrics_listen))
-        await self.server.start(parse_address(self._own.listen))
-        for duty in (self._watch.run, self._tidy, self.context.prober.run):
-            self._tasks.append(asyncio.create_task(keep_running(duty)))
+        await self._status.start(parse_address(self._section.ready_listen))
+        if self._section.metrics_listen:
+            await self._metrics.start(
+                parse_address(self._section.metrics_listen)
+            )
+        await self.server.start(parse_address(self._section.listen))
+        for background_task in (
+            self._watch.run,
+            self._maintain,
+            self.context.prober.run,
+        ):
+            self._tasks.append(
+                asyncio.create_task(keep_running(background_task))
+            )
         _log.info(
-            'The gateway runs.',
-            listen=self._own.listen,
+            'Gateway started.',
+            listen=self._section.listen,
             seeds=[str(address) for address in self._seeds.addresses],
         )
 
     async def stop(self) -> None:
-        """Fail readiness, serve on, and end once idle or at the bound."""
-        until = self._clock.now() + self._own.stop_limit - _STOP_MARGIN
+        """Fail readiness, then drain until idle or until the stop limit."""
+        until = self._clock.now() + self._section.stop_limit - _STOP_MARGIN
         self.server.stopping = True
-        _log.info('The gateway stops.', busy=self.server.busy_count())
-        notice = min(_NOTICE, self._own.stop_limit)
+        _log.info('Gateway stopping.', busy=self.server.busy_count())
+        notice = min(_SHUTDOWN_NOTICE, self._section.stop_limit)
         await asyncio.sleep(seconds(notice))
         await self.server.drain(until)
         await self.context.reservations.close()
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        _log.info('The gateway stopped.', cut=self.server.busy_count())
+        _log.info('Gateway stopped.', cut=self.server.busy_count())
         self.server.close()
         self._status.close()
         self._metrics.close()
@@ -95,23 +104,23 @@
         self.context.pool.close()
 
     def reload(self) -> None:
-        """Read the seeds again."""
+        """Reload the seeds."""
         self._seeds.refresh()
 
     def why_not_ready(self) -> str:
-        """Return why the balancer should pass this gateway over."""
+        """Return why this gateway is not ready, or an empty string."""
         if self.server.stopping:
             return 'stopping'
         if self.view.table is None:
             return 'no configuration is known yet'
         return ''
 
-    def _take_limits(self, config: ServingConfig) -> None:
+    def _apply_limits(self, config: ServingConfig) -> None:
         limits = config.limits
         self.server.limits = Limits(*limits)
         self.context.metrics.config_version.set(config.version)
 
-    def _keep_only(self, worker_ids: frozenset[str]) -> None:
+    def _retain_workers(self, worker_ids: frozenset[str]) -> None:
         parts = self.context
         parts.pool.retain(worker_ids)
         parts.fleet.retain(worker_ids)
@@ -119,9 +128,9 @@
         parts.metrics.workers.set(len(worker_ids))
         parts.queue.wake()
 
-    async def _tidy(self) -> None:
+    async def _maintain(self) -> None:
         while True:
-            await asyncio.sleep(seconds(_TIDY_EVERY))
+            await asyncio.sleep(seconds(_MAINTENANCE_INTERVAL))
             self._seeds.refresh()
             self.context.pool.close_expired()
             self.context.fleet.drop_expired(self._clock.now())
--- a/verbenathread/gateway/events.py
+++ b/verbenathread/gateway/events.py
@@ -1,44 +1,44 @@
-"""Splits a stream into whole events (the format of server-sent events)."""
+"""Splits a byte stream into server-sent events."""
 
-_END = b'\n\n'
-_ID = b'id:'
+_TERMINATOR = b'\n\n'
+_ID_FIELD = b'id:'
 
 
 class EventSplitter:
-    """Collects bytes until an event is whole."""
+    """Buffers bytes until an event is complete."""
 
     def __init__(self, last_id: int | None) -> None:
-        """Pass events after ``last_id`` on; all of them if it is None."""
+        """Return only events after ``last_id``; all of them if it is None."""
         self.last_id = last_id
-        self._rest = b''
+        self._partial = b''
 
     @property
     def has_partial_event(self) -> bool:
-        """Tell whether a part of an event waits for the rest."""
-        return bool(self._rest)
+        """Return whether an incomplete event is buffered."""
+        return bool(self._partial)
 
     def discard_partial(self) -> None:
-        """Drop a part of an event: its worker never sent the rest."""
-        self._rest = b''
+        """Drop an incomplete event, whose worker never sent the rest."""
+        self._partial = b''
 
     def feed(self, content: bytes) -> bytes:
-        """Return the events that are whole now and were not passed on."""
-        rest = self._rest + content
-        end = rest.rfind(_END)
+        """Return the events that are now complete, skipping old ones."""
+        buffered = self._partial + content
+        end = buffered.rfind(_TERMINATOR)
         if end < 0:
-            self._rest = rest
+            self._partial = buffered
             return b''
-        end += len(_END)
-        self._rest = rest[end:]
-        whole = rest[:end]
+        end += len(_TERMINATOR)
+        self._partial = buffered[end:]
+        complete = buffered[:end]
         events = []
-        for event in whole.split(_END)[:-1]:
-            if self._is_new(event):
-                events.append(event + _END)
+        for event in complete.split(_TERMINATOR)[:-1]:
+            if self._advance(event):
+                events.append(event + _TERMINATOR)
         return b''.join(events)
 
-    def _is_new(self, event: bytes) -> bool:
-        event_id = _id_of(event)
+    def _advance(self, event: bytes) -> bool:
+        event_id = _event_id(event)
         if event_id is None:
             return True
         if self.last_id is not None and event_id <= self.last_id:
@@ -47,9 +47,9 @@
         return True
 
 
-def _id_of(event: bytes) -> int | None:
+def _event_id(event: bytes) -> int | None:
     for line in event.split(b'\n'):
-        if line.startswith(_ID):
-            text = line[len(_ID) :].strip()
+        if line.startswith(_ID_FIELD):
+            text = line[len(_ID_FIELD) :].strip()
             return int(text) if text.isdigit() else None
     return None
--- a/verbenathread/gateway/metrics.py
+++ b/verbenathread/gateway/metrics.py
@@ -1,15 +1,15 @@
-"""Counters and histograms of a gateway, for Prometheus."""
+"""Prometheus metrics of a gateway."""
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram
 
-_SECONDS = (0.025, 0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 1, 1.5, 2.5, 5, 10)
+_BUCKETS_S = (0.025, 0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 1, 1.5, 2.5, 5, 10)
 
 
 class GatewayMetrics:
-    """What one gateway counts."""
+    """The metrics of one gateway."""
 
     def __init__(self) -> None:
-        """Make the metrics on a registry of their own."""
+        """Create the metrics in a separate registry."""
         self.registry = CollectorRegistry()
         self.requests = Counter(
             'verbenathread_gateway_requests',
@@ -27,13 +27,13 @@
             'verbenathread_gateway_first_event_seconds',
             'Time to the first event by prompt length.',
             ('length',),
-            buckets=_SECONDS,
+            buckets=_BUCKETS_S,
             registry=self.registry,
         )
         self.answer = Histogram(
             'verbenathread_gateway_answer_seconds',
             'Time to the whole answer of a plain service.',
-            buckets=_SECONDS,
+            buckets=_BUCKETS_S,
             registry=self.registry,
         )
         self.waiting = Gauge(
--- a/verbenathread/gateway/notices.py
+++ b/verbenathread/gateway/notices.py
@@ -1,6 +1,6 @@
-"""Datagrams by which gateways tell one another of sends to engines.
+"""Datagrams by which gateways notify each other of sends to engines.
 
-A lost one costs a worse choice, never a promise, so nothing is sent again.
+A lost datagram only makes a placement worse, so none is retransmitted.
 """
 
 import asyncio
@@ -17,11 +17,11 @@
 from verbenathread.types import Millis, Peer
 
 _log = get_logger('gateway')
-_PERCENT = 100
+_PACE_SCALE = 100
 
 
 class GatewayNotices(asyncio.DatagramProtocol):
-    """Sends and takes notices."""
+    """Sends and receives notices."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         outliers: OutlierTracker,
         clock: Clock,
     ) -> None:
-        """Tell the gateways of ``view``; note theirs in ``fleet``."""
+        """Notify the gateways of ``view``; record theirs in ``fleet``."""
         self._me = me
         self._view = view
         self._fleet = fleet
@@ -40,7 +40,7 @@
         self._transport: asyncio.DatagramTransport | None = None
 
     async def start(self) -> None:
-        """Listen at this node's address."""
+        """Start listening at this node's address."""
         host, port = self._me.address
         await asyncio.get_running_loop().create_datagram_endpoint(
             lambda: self, local_addr=(host, port)
@@ -54,8 +54,8 @@
     def announce_send(
         self, worker_id: str, send: Send, target_latency: Millis
     ) -> None:
-        """Tell of a send."""
-        self._tell(
+        """Announce a send."""
+        self._broadcast_send(
             messages.SendNotice(
                 worker_id=worker_id,
                 send_id=send.send_id,
@@ -74,64 +74,64 @@
         )
 
     def announce_end(self, worker_id: str, send_id: str) -> None:
-        """Tell of its end."""
-        self._tell(
+        """Announce the end of a send."""
+        self._broadcast_send(
             messages.SendNotice(
                 worker_id=worker_id, send_id=send_id, ended=True
             )
         )
 
     def on_pace(self, worker_id: str, pace: float) -> None:
-        """Take an engine's pace, and tell of it."""
+        """Record and announce an engine's pace."""
         self._fleet.record_pace(worker_id, pace)
-        self._tell_report(
+        self._broadcast_report(
             messages.ReportNotice(
-                worker_id=worker_id, pace=int(pace * _PERCENT)
+                worker_id=worker_id, pace=int(pace * _PACE_SCALE)
             )
         )
 
     def on_unresponsive(self, worker_id: str) -> None:
-        """Put an engine aside that does not answer, and tell of it."""
-        self._note_silent(worker_id)
-        self._tell_report(
+        """Eject an engine that does not answer, and announce it."""
+        self._eject(worker_id)
+        self._broadcast_report(
             messages.ReportNotice(worker_id=worker_id, silent=True)
         )
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def error_received(self, error: Exception) -> None:
-        """Go on: a gateway that is down answers so."""
+        """Ignore the error; a gateway that is down causes it."""
 
     def datagram_received(
         self, content: bytes, sender: tuple[Any, ...]
     ) -> None:
-        """Take a notice."""
+        """Apply a notice."""
         try:
             notice = messages.Notice.FromString(content)
         except DecodeError:
-            _log.warning('A datagram is no notice.', sender=str(sender))
+            _log.warning('Received a malformed notice.', sender=str(sender))
             return
         if notice.HasField('report'):
-            self._take_report(notice.report)
+            self._apply_report(notice.report)
         elif notice.send.ended:
             self._fleet.record_end(
                 notice.send.worker_id, notice.send.send_id, self._clock.now()
             )
         else:
-            self._note_send(notice.send)
+            self._record_send(notice.send)
 
-    def _take_report(self, report: messages.ReportNotice) -> None:
+    def _apply_report(self, report: messages.ReportNotice) -> None:
         if report.silent:
-            self._note_silent(report.worker_id)
+            self._eject(report.worker_id)
         else:
-            self._fleet.record_pace(report.worker_id, report.pace / _PERCENT)
+            self._fleet.record_pace(report.worker_id, report.pace / _PACE_SCALE)
 
-    def _note_silent(self, worker_id: str) -> None:
+    def _eject(self, worker_id: str) -> None:
         self._outliers.eject(worker_id, self._clock.now())
 
-    def _note_send(self, notice: messages.SendNotice) -> None:
+    def _record_send(self, notice: messages.SendNotice) -> None:
         worker = self._view.worker_by_id.get(notice.worker_id)
         if worker is None or self._view.table is None:
             return
@@ -153,13 +153,13 @@
         )
         self._fleet.record_send(notice.worker_id, spec.engine, send, now)
 
-    def _tell(self, send: messages.SendNotice) -> None:
-        self._tell_all(messages.Notice(send=send))
+    def _broadcast_send(self, send: messages.SendNotice) -> None:
+        self._broadcast(messages.Notice(send=send))
 
-    def _tell_report(self, report: messages.ReportNotice) -> None:
-        self._tell_all(messages.Notice(report=report))
+    def _broadcast_report(self, report: messages.ReportNotice) -> None:
+        self._broadcast(messages.Notice(report=report))
 
-    def _tell_all(self, notice: messages.Notice) -> None:
+    def _broadcast(self, notice: messages.Notice) -> None:
         if self._transport is None:
             return
         content = notice.SerializeToString()
--- a/verbenathread/gateway/pool.py
+++ b/verbenathread/gateway/pool.py
@@ -1,26 +1,28 @@
-"""Connections to workers, kept for the next request."""
+"""Pool of idle connections to workers."""
 
 from verbenathread.clock import Clock
 from verbenathread.http1.client import ClientConnection, connect
 from verbenathread.serving.types import Worker
 from verbenathread.types import Millis
 
-# A worker answers an opening within a few ms; one that is dark never does.
-_CONNECT_LIMIT: Millis = 300
-# Idle connections kept to one worker; a burst opens new ones.
-_MOST_IDLE = 8
+# A worker accepts a connection within a few ms; an unreachable one never does.
+_CONNECT_TIMEOUT: Millis = 300
+# Maximum number of idle connections per worker; a burst opens new ones.
+_MAX_IDLE = 8
 
 
 class ConnectionPool:
     """Idle connections by worker."""
 
     def __init__(self, clock: Clock) -> None:
-        """Hold no connection."""
+        """Start without connections."""
         self._clock = clock
         self._idle_by_id: dict[str, list[ClientConnection]] = {}
 
-    async def acquire(self, worker: Worker, left: Millis) -> ClientConnection:
-        """Return a connection that stands; raises OSError, TimeoutError."""
+    async def acquire(
+        self, worker: Worker, time_left: Millis
+    ) -> ClientConnection:
+        """Return an open connection; raises OSError or TimeoutError."""
         idle = self._idle_by_id.get(worker.worker_id, [])
         now = self._clock.now()
         while idle:
@@ -29,20 +31,20 @@
                 return connection
             connection.close()
         return await connect(
-            worker.address, self._clock, min(left, _CONNECT_LIMIT)
+            worker.address, self._clock, min(time_left, _CONNECT_TIMEOUT)
         )
 
     def release(self, worker: Worker, connection: ClientConnection) -> None:
-        """Keep a connection whose exchange ended cleanly, else close it."""
+        """Keep a connection that can be reused, else close it."""
         idle = self._idle_by_id.setdefault(worker.worker_id, [])
         usable = connection.is_reusable(self._clock.now())
-        if usable and len(idle) < _MOST_IDLE:
+        if usable and len(idle) < _MAX_IDLE:
             idle.append(connection)
         else:
             connection.close()
 
     def close_expired(self) -> None:
-        """Close connections that the worker will close soon."""
+        """Close idle connections that the worker is about to close."""
         now = self._clock.now()
         for worker_id, idle in tuple(self._idle_by_id.items()):
             kept = []
@@ -56,7 +58,7 @@
                 self._idle_by_id.pop(worker_id)
 
     def retain(self, worker_ids: frozenset[str]) -> None:
-        """Close the connections to workers that are gone."""
+        """Close the connections to all workers except these."""
         for worker_id in tuple(self._idle_by_id):
             if worker_id not in worker_ids:
                 self._close(worker_id)
--- a/verbenathread/gateway/probing.py
+++ b/verbenathread/gateway/probing.py
@@ -1,7 +1,7 @@
-"""What engines say of their pace, asked by one gateway for all.
+"""Probes the pace of engines, each by one gateway on behalf of all.
 
-Each engine is asked by the gateway that a hash prefers, which passes the
-answer on; without that every gateway would ask every engine.
+A hash assigns every engine to one gateway, which shares the result; otherwise
+every gateway would have to probe every engine.
 """
 
 import asyncio
@@ -19,26 +19,26 @@
 
 _log = get_logger('gateway')
 
-# A worker tells of its load from memory, also while it reads.
+# A worker reports its load from memory, even during a prefill.
 PROBE_TIMEOUT: Millis = 350
-# A slow engine is found within about this time; each question is billed.
-_ASK_EVERY: Millis = 1000
-# Unanswered questions in a row that make an engine silent.
-_MISSES = 2
+# Bounds the time to detect a slow engine; each probe is billed.
+_PROBE_INTERVAL: Millis = 1000
+# Consecutive unanswered probes after which an engine is unresponsive.
+_MAX_MISSES = 2
 
 
 class ProbeListener(Protocol):
-    """Hears of engines."""
+    """Receives the results of probes."""
 
     def on_pace(self, worker_id: str, pace: float) -> None:
-        """Take an engine's pace."""
+        """Handle the new pace of an engine."""
 
     def on_unresponsive(self, worker_id: str) -> None:
-        """Note that an engine does not answer."""
+        """Handle an engine that does not answer."""
 
 
 class LoadProber:
-    """Asks the engines that this gateway is preferred for."""
+    """Probes the engines that are assigned to this gateway."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         dialect: Dialect,
         listeners: Iterable[ProbeListener],
     ) -> None:
-        """Tell ``listeners`` what the engines of ``view`` say."""
+        """Report the pace of the engines of ``view`` to ``listeners``."""
         self._node_id = node_id
         self._view = view
         self._caller = caller
@@ -59,21 +59,23 @@
         self._pace_by_id: dict[str, float] = {}
 
     async def run(self) -> None:
-        """Ask again and again."""
+        """Probe all assigned engines periodically."""
         while True:
-            await asyncio.sleep(seconds(_ASK_EVERY))
-            await asyncio.gather(*(self._ask(one) for one in self._mine()))
+            await asyncio.sleep(seconds(_PROBE_INTERVAL))
+            await asyncio.gather(
+                *(self._probe(worker) for worker in self._assigned_engines())
+            )
 
-    def _mine(self) -> list[Worker]:
+    def _assigned_engines(self) -> list[Worker]:
         node_ids = frozenset(
             (self._node_id, *(peer.node_id for peer in self._view.gateways))
         )
-        mine = []
+        assigned = []
         for worker in self._engines():
             preferred = self._preferences.node(worker.worker_id, node_ids)
             if preferred == self._node_id:
-                mine.append(worker)
-        return mine
+                assigned.append(worker)
+        return assigned
 
     def _engines(self) -> Iterable[Worker]:
         table = self._view.table
@@ -83,28 +85,36 @@
             if spec.engine is not None:
                 yield from self._view.workers(name)
 
-    async def _ask(self, worker: Worker) -> None:
+    async def _probe(self, worker: Worker) -> None:
         worker_id = worker.worker_id
         call = self._dialect.probe_call(worker_id)
         answer = await self._caller.call(worker, call, PROBE_TIMEOUT)
         if answer is None:
             misses = self._misses_by_id.get(worker_id, 0) + 1
             self._misses_by_id[worker_id] = misses
-            if misses >= _MISSES:
-                _log.warning('An engine is silent.', worker=worker_id)
-                self._tell(lambda one: one.on_unresponsive(worker_id))
+            if misses >= _MAX_MISSES:
+                _log.warning('An engine is unresponsive.', worker=worker_id)
+                self._notify(
+                    lambda listener: listener.on_unresponsive(worker_id)
+                )
             return
         self._misses_by_id.pop(worker_id, None)
         report = self._dialect.parse_load_report(answer.body)
         if report is None:
-            _log.warning('A report can not be read.', worker=worker_id)
+            _log.warning('Received a malformed report.', worker=worker_id)
             return
-        before = self._pace_by_id.get(worker_id, 1)
+        previous = self._pace_by_id.get(worker_id, 1)
         self._pace_by_id[worker_id] = report.pace
-        if report.pace != before:
-            _log.info('A pace changed.', worker=worker_id, pace=report.pace)
-            self._tell(lambda one: one.on_pace(worker_id, report.pace))
-
-    def _tell(self, say: Callable[[ProbeListener], None]) -> None:
+        if report.pace != previous:
+            _log.info(
+                'The pace of an engine changed.',
+                worker=worker_id,
+                pace=report.pace,
+            )
+            self._notify(
+                lambda listener: listener.on_pace(worker_id, report.pace)
+            )
+
+    def _notify(self, notify: Callable[[ProbeListener], None]) -> None:
         for listener in self._listeners:
-            say(listener)
+            notify(listener)
--- a/verbenathread/gateway/reservations.py
+++ b/verbenathread/gateway/reservations.py
@@ -1,9 +1,9 @@
-"""Memory set aside at workers for prompts that exceed one of them.
+"""Reserves memory on several workers for prompts that exceed one of them.
 
-All or nothing, under a short lease that is renewed while the prompt is
-served: a gateway that dies leaves nothing behind for longer than the lease.
-A call without an answer may still be carried out seconds later, so what it
-may have set aside is released again until then.
+A reservation is all or nothing and has a short lease, which is renewed while
+the prompt is served, so a gateway that dies leaves no memory reserved for
+longer than the lease. A call without a response may still be executed seconds
+later, so the release is repeated until that is ruled out.
 """
 
 import asyncio
@@ -23,48 +23,49 @@
 
 _log = get_logger('gateway')
 
-# A worker answers these calls from memory.
-_CALL_LIMIT: Millis = 400
-# Part of the lease after which it is renewed: two renewals may be lost.
-_RENEWALS = 3
-# A call without an answer was seen to be carried out up to 12 s later.
-_LATE_FOR: Millis = 13_000
-_RELEASE_STEP: Millis = 1000
+# Workers answer these calls from memory.
+_CALL_TIMEOUT: Millis = 400
+# Renewals per lease: two may be lost in a row.
+_RENEWALS_PER_LEASE = 3
+# Calls without a response were executed up to 12 s later, so the release is
+# repeated for longer than that.
+_RELEASE_PERIOD: Millis = 13_000
+_RELEASE_INTERVAL: Millis = 1000
 
 
 class MemoryShare(NamedTuple):
-    """Memory wanted at one worker."""
+    """Memory requested from one worker."""
 
     worker: Worker
     tokens: int
 
 
 class Reservation:
-    """Memory that is set aside under one id at several workers."""
+    """Memory reserved under one id on several workers."""
 
     def __init__(
         self, reservation_id: str, shares: Sequence[MemoryShare]
     ) -> None:
-        """Hold ``shares``."""
+        """Reserve ``shares`` under ``reservation_id``."""
         self.reservation_id = reservation_id
         self.shares = tuple(shares)
-        # Workers that left a call unanswered.
+        # Workers that left a call unanswered, so that it may run late.
         self.unconfirmed: set[str] = set()
         self.renewal: asyncio.Task[None] | None = None
 
 
 class ReservationManager:
-    """Sets memory aside and frees it."""
+    """Reserves, renews and releases memory."""
 
     def __init__(
         self,
-        caller: WorkerClient,
+        client: WorkerClient,
         dialect: Dialect,
         clock: Clock,
         lease: Millis,
     ) -> None:
-        """Grant each reservation ``lease`` ms at a time."""
-        self._caller = caller
+        """Lease each reservation for ``lease`` ms at a time."""
+        self._client = client
         self._dialect = dialect
         self._clock = clock
         self._lease = lease
@@ -73,87 +74,96 @@
     async def reserve(
         self, reservation_id: str, shares: Sequence[MemoryShare]
     ) -> Reservation | Worker:
-        """Set all shares aside, or none and return the worker that won't."""
-        reserved = Reservation(reservation_id, shares)
-        answers = await asyncio.gather(
-            *(self._ask(reserved, share) for share in shares)
+        """Reserve all shares, or none and return a worker that failed."""
+        reservation = Reservation(reservation_id, shares)
+        results = await asyncio.gather(
+            *(self._request_share(reservation, share) for share in shares)
         )
-        for share, answer in zip(shares, answers, strict=True):
-            if not answer.done:
-                self.release(reserved)
+        for share, result in zip(shares, results, strict=True):
+            if not result.done:
+                self.release(reservation)
                 return share.worker
-        reserved.renewal = self._spawn(self._renew(reserved))
-        return reserved
+        reservation.renewal = self._spawn(self._renew(reservation))
+        return reservation
 
-    def release(self, reserved: Reservation) -> None:
-        """Free everything; goes on in the background until it is sure."""
-        if reserved.renewal is not None:
-            reserved.renewal.cancel()
-        for share in reserved.shares:
-            self._spawn(self._free(reserved, share.worker))
+    def release(self, reservation: Reservation) -> None:
+        """Release all shares in the background, retrying until certain."""
+        if reservation.renewal is not None:
+            reservation.renewal.cancel()
+        for share in reservation.shares:
+            self._spawn(self._release_at(reservation, share.worker))
 
     def task_count(self) -> int:
-        """Return how many tasks look after reservations."""
+        """Return how many renewals and releases are in progress."""
         return len(self._tasks)
 
     async def close(self) -> None:
-        """Wait for what is being freed, as long as one call may take."""
+        """Wait for pending releases for at most the timeout of one call."""
         if self._tasks:
-            await asyncio.wait(tuple(self._tasks), timeout=seconds(_CALL_LIMIT))
+            await asyncio.wait(
+                tuple(self._tasks), timeout=seconds(_CALL_TIMEOUT)
+            )
         for task in tuple(self._tasks):
             task.cancel()
 
-    async def _ask(
-        self, reserved: Reservation, share: MemoryShare
+    async def _request_share(
+        self, reservation: Reservation, share: MemoryShare
     ) -> ReservationResponse:
         call = self._dialect.reserve_call(
             share.worker.worker_id,
-            reserved.reservation_id,
+            reservation.reservation_id,
             share.tokens,
             self._lease,
         )
-        return await self._call(reserved, share.worker, call)
+        return await self._call(reservation, share.worker, call)
 
-    async def _renew(self, reserved: Reservation) -> None:
+    async def _renew(self, reservation: Reservation) -> None:
         while True:
-            await asyncio.sleep(seconds(self._lease // _RENEWALS))
+            await asyncio.sleep(seconds(self._lease // _RENEWALS_PER_LEASE))
             await asyncio.gather(
-                *(self._ask(reserved, share) for share in reserved.shares)
+                *(
+                    self._request_share(reservation, share)
+                    for share in reservation.shares
+                )
             )
 
-    async def _free(self, reserved: Reservation, worker: Worker) -> None:
+    async def _release_at(
+        self, reservation: Reservation, worker: Worker
+    ) -> None:
         call = self._dialect.release_call(
-            worker.worker_id, reserved.reservation_id
+            worker.worker_id, reservation.reservation_id
         )
-        until = self._clock.now() + _LATE_FOR
+        until = self._clock.now() + _RELEASE_PERIOD
         while True:
-            answer = await self._call(reserved, worker, call)
-            free = answer.done or answer.refused
-            if free and worker.worker_id not in reserved.unconfirmed:
+            result = await self._call(reservation, worker, call)
+            is_free = result.done or result.refused
+            if is_free and worker.worker_id not in reservation.unconfirmed:
                 return
             if self._clock.now() >= until:
                 return
-            await asyncio.sleep(seconds(_RELEASE_STEP))
+            await asyncio.sleep(seconds(_RELEASE_INTERVAL))
 
     async def _call(
-        self, reserved: Reservation, worker: Worker, call: WorkerCall
+        self, reservation: Reservation, worker: Worker, call: WorkerCall
     ) -> ReservationResponse:
-        answered = await self._caller.call(worker, call, _CALL_LIMIT)
-        if answered is None:
-            reserved.unconfirmed.add(worker.worker_id)
-        status = 0 if answered is None else answered.status
-        answer = self._dialect.parse_reservation_response(status)
-        if not answer.done:
+        response = await self._client.call(worker, call, _CALL_TIMEOUT)
+        if response is None:
+            reservation.unconfirmed.add(worker.worker_id)
+        status = 0 if response is None else response.status
+        result = self._dialect.parse_reservation_response(status)
+        if not result.done:
             _log.info(
-                'A worker did not do as asked.',
+                'A reservation call failed.',
                 worker=worker.worker_id,
-                reservation=reserved.reservation_id,
+                reservation=reservation.reservation_id,
                 status=status,
             )
-        return answer
+        return result
 
-    def _spawn(self, duty: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        task = asyncio.get_running_loop().create_task(duty)
+    def _spawn(
+        self, coroutine: Coroutine[Any, Any, None]
+    ) -> asyncio.Task[None]:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
--- a/verbenathread/gateway/view.py
+++ b/verbenathread/gateway/view.py
@@ -1,4 +1,4 @@
-"""What a gateway believes: configuration, workers, other gateways."""
+"""A gateway's view of the cluster: configuration, workers, gateways."""
 
 from collections.abc import Callable, Iterable
 
@@ -10,47 +10,47 @@
 
 _log = get_logger('gateway')
 
-# What was sent before a gateway heard of the others ends within about this.
-_BLIND_FOR: Millis = 2500
-# A gateway that is listed no more is told of sends for so much longer: after
-# a change of leaders the list fills up again within about 2 s.
-_TOLD_FOR: Millis = 5000
+# Sends that were announced before a gateway started end within about this time.
+_WARM_UP: Millis = 2500
+# A gateway that is no longer listed still receives notices for this long: after
+# a change of leader the list is complete again within about 2 s.
+_NOTICE_RETENTION: Millis = 5000
 
 _ConfigListener = Callable[[ServingConfig], None]
 _WorkersListener = Callable[[frozenset[str]], None]
 
 
 class ClusterView:
-    """The newest that the directory told."""
+    """The latest state received from the directory."""
 
     def __init__(self, node_id: str = '') -> None:
-        """Know nothing; a gateway without configuration is not ready."""
+        """Start empty; a gateway without configuration is not ready."""
         self._node_id = node_id
         self.table: RouteTable | None = None
         self.directory: tuple[Peer, ...] = ()
         self.gateways: tuple[Peer, ...] = ()
-        # The gateways that are told of sends: those listed, now or recently.
+        # The gateways that receive notices: those listed now or recently.
         self.notice_targets: tuple[Peer, ...] = ()
         self._listed_at_by_peer: dict[Peer, Millis] = {}
-        # True while a leader that a quorum follows feeds this view.
+        # True while a leader with a quorum updates this view.
         self.is_fresh = False
-        # Monotonic times at which it was fed first and last.
+        # Monotonic times of the first and the last update.
         self.first_update_at: Millis | None = None
         self.updated_at: Millis = 0
         self.on_config: list[_ConfigListener] = []
         self.on_workers: list[_WorkersListener] = []
         self._workers_by_service: dict[str, tuple[Worker, ...]] = {}
-        # Workers at whose address another one answered.
-        self._misplaced: set[tuple[str, int]] = set()
+        # Workers at whose address another one answered, by id and start time.
+        self._misdirected: set[tuple[str, int]] = set()
         self.worker_by_id: dict[str, Worker] = {}
 
     @property
     def config_version(self) -> int:
-        """Return the version in force here; 0 for none."""
+        """Return the version of the current configuration; 0 for none."""
         return 0 if self.table is None else self.table.config.version
 
     def apply_config(self, config: ServingConfig) -> None:
-        """Bring a configuration in force, unless it is older."""
+        """Apply a configuration unless it is older than the current one."""
         if config.version <= self.config_version:
             return
         self.table = RouteTable(config)
@@ -63,28 +63,28 @@
             notify(config)
 
     def apply_workers(self, workers: Iterable[Worker]) -> None:
-        """Replace the workers by those that the directory lists."""
-        before = self.worker_by_id
-        self.worker_by_id = {one.worker_id: one for one in workers}
+        """Replace the workers with those that the directory lists."""
+        previous = self.worker_by_id
+        self.worker_by_id = {worker.worker_id: worker for worker in workers}
         for worker in self.worker_by_id.values():
-            if before.get(worker.worker_id) != worker:
+            if previous.get(worker.worker_id) != worker:
                 _log.info(
                     'A worker changed.',
                     worker=worker.worker_id,
                     state=worker.state.name,
                     address=str(worker.address),
                 )
-        for worker_id in before:
+        for worker_id in previous:
             if worker_id not in self.worker_by_id:
-                _log.info('A worker is gone.', worker=worker_id)
-        self._misplaced.intersection_update(
-            (one.worker_id, one.started_at)
-            for one in self.worker_by_id.values()
+                _log.info('A worker was removed.', worker=worker_id)
+        self._misdirected.intersection_update(
+            (known.worker_id, known.started_at)
+            for known in self.worker_by_id.values()
         )
         self._index()
-        known = frozenset(self.worker_by_id)
+        worker_ids = frozenset(self.worker_by_id)
         for notify in self.on_workers:
-            notify(known)
+            notify(worker_ids)
 
     def apply_nodes(
         self,
@@ -92,9 +92,9 @@
         gateways: tuple[Peer, ...],
         now: Millis,
     ) -> None:
-        """Take the directory processes and gateways that a leader lists.
+        """Apply the directory processes and gateways that a leader lists.
 
-        A new leader lists only the gateways that have come to it so far.
+        A new leader lists only the gateways that have connected to it so far.
         """
         for peer in (*self.gateways, *gateways):
             self._listed_at_by_peer[peer] = now
@@ -103,48 +103,57 @@
         self.expire_unlisted(now)
 
     def expire_unlisted(self, now: Millis) -> None:
-        """Tell gateways no more that were not listed for long."""
+        """Stop notifying gateways that have not been listed for long."""
         for peer, listed_at in tuple(self._listed_at_by_peer.items()):
-            if peer not in self.gateways and now - listed_at > _TOLD_FOR:
+            if (
+                peer not in self.gateways
+                and now - listed_at > _NOTICE_RETENTION
+            ):
                 self._listed_at_by_peer.pop(peer)
         self.notice_targets = tuple(self._listed_at_by_peer)
 
     def mark_misdirected(self, worker: Worker) -> None:
-        """Note that another worker answers at this one's address."""
-        _log.warning('Another worker answers.', worker=worker.worker_id)
-        self._misplaced.add((worker.worker_id, worker.started_at))
+        """Exclude a worker at whose address another one answers."""
+        _log.warning(
+            "Another worker answers at this worker's address.",
+            worker=worker.worker_id,
+        )
+        self._misdirected.add((worker.worker_id, worker.started_at))
         self._index()
 
     def record_update(self, now: Millis) -> None:
-        """Note that a leader fed this view."""
+        """Record that a leader updated this view."""
         self.is_fresh = True
         self.updated_at = now
         if self.first_update_at is None:
             self.first_update_at = now
 
     def placing_gateway(self, now: Millis) -> PlacingGateway:
-        """Return who chooses; blind while it knows no loads yet."""
-        first = self.first_update_at
-        is_blind = first is None or now - first < _BLIND_FOR
-        return PlacingGateway(self._node_id, is_blind)
+        """Return this gateway, and whether it still lacks others' sends."""
+        first_update_at = self.first_update_at
+        is_warming_up = (
+            first_update_at is None or now - first_update_at < _WARM_UP
+        )
+        return PlacingGateway(self._node_id, is_warming_up)
 
     def workers(self, service: str) -> tuple[Worker, ...]:
-        """Return the workers that take new requests of a service."""
+        """Return the workers that accept new requests of a service."""
         return self._workers_by_service.get(service, ())
 
     def _index(self) -> None:
-        found: dict[str, list[Worker]] = {}
+        workers_by_service: dict[str, list[Worker]] = {}
         for worker in self.worker_by_id.values():
             if worker.state is not WorkerState.READY:
                 continue
-            if (worker.worker_id, worker.started_at) in self._misplaced:
+            if (worker.worker_id, worker.started_at) in self._misdirected:
                 continue
-            found.setdefault(worker.service, []).append(worker)
+            workers_by_service.setdefault(worker.service, []).append(worker)
         self._workers_by_service = {
-            service: tuple(workers) for service, workers in found.items()
+            service: tuple(workers)
+            for service, workers in workers_by_service.items()
         }
 
 
 def make_peer(node_id: str, host: str, port: int) -> Peer:
-    """Return a node and its address."""
+    """Return a peer for a node id and its address."""
     return Peer(node_id, Address(host, port))
--- a/verbenathread/gateway/watch.py
+++ b/verbenathread/gateway/watch.py
@@ -1,4 +1,4 @@
-"""Keeps the view fed by the leader of the directory."""
+"""Keeps the cluster view updated by the leader of the directory."""
 
 import asyncio
 import zlib
@@ -21,20 +21,21 @@
 
 _log = get_logger('gateway')
 
-# A leader ticks each 500 ms; without one for two ticks another may lead.
-_SILENCE: Millis = 1100
-# A VM that is dark or cut off never answers an opening.
-_CONNECT_LIMIT: Millis = 400
-_FIRST_ANSWER: Millis = 600
-# Between two rounds over all known processes, and how many times as long
-# after each time-out, up to so many.
-_ROUND_PAUSE: Millis = 100
-_SLOWER = 4
-_MOST_TIMEOUTS = 5
+# A leader sends an update every 500 ms; after two missed ones another process
+# may lead.
+_UPDATE_TIMEOUT: Millis = 1100
+# A VM that is down or partitioned never accepts a connection.
+_CONNECT_TIMEOUT: Millis = 400
+_FIRST_UPDATE_TIMEOUT: Millis = 600
+# Delay between two rounds over all known processes. Each time-out adds this
+# many delays, up to a maximum number of time-outs.
+_ROUND_DELAY: Millis = 100
+_BACKOFF_FACTOR = 4
+_MAX_TIMEOUTS = 5
 
 
 class DirectoryWatch:
-    """Follows the leader; looks for the next one when it falls silent."""
+    """Follows the leader, and searches for the next one when it fails."""
 
     def __init__(
         self,
@@ -44,47 +45,47 @@
         read_config: Callable[[bytes], ServingConfig],
         clock: Clock,
     ) -> None:
-        """Feed ``view``; ``me`` is where other gateways reach this one."""
+        """Update ``view``; other gateways reach this one at ``me``."""
         self._view = view
         self._seeds = seeds
         self._me = me
         self._read_config = read_config
         self._clock = clock
         self._running = False
-        # Processes that did not answer when they were asked last.
-        self._silent: set[Address] = set()
-        # Time-outs since a leader fed this gateway.
+        # Processes that did not answer the last time they were tried.
+        self._unresponsive: set[Address] = set()
+        # Time-outs since the last update by a leader.
         self._timeouts = 0
         self._random = Random()
 
     async def run(self) -> None:
-        """Follow one leader after the other."""
+        """Follow successive leaders."""
         self._running = True
         hint: Address | None = None
         while self._running:
-            hint = await self._round(hint)
+            hint = await self._try_all(hint)
             if hint is None:
-                await asyncio.sleep(seconds(self._pause()))
+                await asyncio.sleep(seconds(self._backoff()))
 
     def mark_unresponsive(self, address: Address) -> None:
-        """Ask this process after all others."""
-        self._silent.add(address)
+        """Try this process after all others."""
+        self._unresponsive.add(address)
 
-    def _pause(self) -> Millis:
-        """Return how long to wait before all are asked again.
+    def _backoff(self) -> Millis:
+        """Return how long to wait before the next round.
 
-        Time-outs are taken for a directory that is busy with as many other
-        gateways: each of them doubles the load if it keeps on asking.
+        Time-outs suggest that the directory is busy with as many other
+        gateways. Each of them would double its load by retrying at once.
         """
-        most = _ROUND_PAUSE * (1 + _SLOWER * self._timeouts)
-        return self._random.randint(most // 2, most + most // 2)
+        delay = _ROUND_DELAY * (1 + _BACKOFF_FACTOR * self._timeouts)
+        return self._random.randint(delay // 2, delay + delay // 2)
 
-    async def _round(self, hint: Address | None) -> Address | None:
-        """Try all known processes; return another leader that one names."""
+    async def _try_all(self, hint: Address | None) -> Address | None:
+        """Try all known processes; return the leader that one points to."""
         for address in self._candidates(hint):
-            named = await self._follow(address)  # noqa: WPS476 - one by one
-            if named is not None and named != address:
-                return named
+            leader = await self._follow(address)  # noqa: WPS476 - one by one
+            if leader is not None and leader != address:
+                return leader
         return None
 
     def _candidates(self, hint: Address | None) -> list[Address]:
@@ -93,27 +94,27 @@
             known[peer.address] = None
         for address in self._seeds.addresses:
             known[address] = None
-        # Gateways that look at the same time begin with different processes.
+        # Gateways that search at the same time start with different processes.
         ordered = self._random.sample(list(known), len(known))
-        # Whoever fell silent is asked again after all others, unless one of
-        # them names it as the leader.
-        ordered.sort(key=self._silent.__contains__)
+        # Unresponsive processes are tried after all others, unless one of
+        # those points to it as the leader.
+        ordered.sort(key=self._unresponsive.__contains__)
         if hint is not None:
-            ordered = [hint, *(one for one in ordered if one != hint)]
+            ordered = [hint, *(other for other in ordered if other != hint)]
         return ordered
 
     async def _follow(self, address: Address) -> Address | None:
-        """Follow one process while it leads; return whom it names."""
+        """Follow one process while it leads; return the leader it names."""
         channel = PeerChannel(address.host, address.port)
         try:
             return await self._read(channel, address)
         except BROKEN_CALL as error:
             self.mark_unresponsive(address)
             if isinstance(error, TimeoutError):
-                self._timeouts = min(_MOST_TIMEOUTS, self._timeouts + 1)
+                self._timeouts = min(_MAX_TIMEOUTS, self._timeouts + 1)
             if self._view.is_fresh:
                 _log.warning(
-                    'The directory is lost.',
+                    'Lost the connection to the directory.',
                     address=str(address),
                     reason=repr(error),
                 )
@@ -130,28 +131,31 @@
             ),
             config_version=self._view.config_version,
         )
-        async with asyncio.timeout(seconds(_CONNECT_LIMIT)):
+        async with asyncio.timeout(seconds(_CONNECT_TIMEOUT)):
             stream = await DirectoryStub(channel).Watch.open().__aenter__()
             await stream.send_message(request, end=True)
-        limit = _FIRST_ANSWER * (1 + self._timeouts)
+        timeout = _FIRST_UPDATE_TIMEOUT * (1 + self._timeouts)
         while True:
-            async with asyncio.timeout(seconds(limit)):
+            async with asyncio.timeout(seconds(timeout)):
                 update = await stream.recv_message()
             if update is None:
                 return None
             if not update.leads:
                 return _leader_of(update)
             if not self._view.is_fresh:
-                _log.info('The directory feeds us.', address=str(address))
+                _log.info(
+                    'Receiving updates from the directory.',
+                    address=str(address),
+                )
             self._view.record_update(self._clock.now())
-            self._take(update)
-            self._silent.discard(address)
+            self._apply(update)
+            self._unresponsive.discard(address)
             self._timeouts = 0
-            limit = _SILENCE
+            timeout = _UPDATE_TIMEOUT
 
-    def _take(self, update: messages.WatchUpdate) -> None:
+    def _apply(self, update: messages.WatchUpdate) -> None:
         if update.config:
-            self._take_config(update.config)
+            self._apply_config(update.config)
         if update.HasField('workers'):
             self._view.apply_workers(
                 decode_worker(entry) for entry in update.workers.workers
@@ -163,11 +167,11 @@
                 self._clock.now(),
             )
 
-    def _take_config(self, body: bytes) -> None:
+    def _apply_config(self, body: bytes) -> None:
         try:
             config = self._read_config(zlib.decompress(body))
         except (SettingsError, zlib.error) as error:
-            _log.error('The configuration is unusable.', reason=str(error))
+            _log.error('Received an invalid configuration.', reason=str(error))
             return
         self._view.apply_config(config)
 
--- a/verbenathread/gateway/worker_client.py
+++ b/verbenathread/gateway/worker_client.py
@@ -1,4 +1,4 @@
-"""A short call to a worker that answers no caller."""
+"""Short calls to workers by the gateway itself."""
 
 import asyncio
 from typing import NamedTuple, Protocol
@@ -11,11 +11,11 @@
 from verbenathread.serving.types import Worker
 from verbenathread.types import Millis
 
-_LEAST_STATUS = 200
+_MIN_FINAL_STATUS = 200
 
 
 class CallResponse(NamedTuple):
-    """Status and body."""
+    """Status and body of a response."""
 
     status: int
     body: bytes
@@ -27,11 +27,11 @@
     async def call(
         self, worker: Worker, call: WorkerCall, limit: Millis
     ) -> CallResponse | None:
-        """Return the answer; None when none came."""
+        """Return the response, or None if there is none in time."""
 
 
 class PooledWorkerClient:
-    """Calls workers over the connections of the pool."""
+    """Calls workers over pooled connections."""
 
     def __init__(self, pool: ConnectionPool, clock: Clock) -> None:
         """Take connections from ``pool``."""
@@ -41,29 +41,29 @@
     async def call(
         self, worker: Worker, call: WorkerCall, limit: Millis
     ) -> CallResponse | None:
-        """Return the answer; None when none came."""
+        """Return the response, or None if there is none in time."""
         try:
             connection = await self._pool.acquire(worker, limit)
         except (OSError, TimeoutError):
             return None
-        answer = _Answer()
+        sink = _ResponseSink()
         host = (b'Host', str(worker.address).encode())
         connection.send_request(
             encode_request(
                 call.method, call.target, (host, *call.headers), call.body
             ),
-            answer,
+            sink,
         )
-        await asyncio.wait((answer.future,), timeout=seconds(limit))
-        if answer.future.done():
+        await asyncio.wait((sink.future,), timeout=seconds(limit))
+        if sink.future.done():
             self._pool.release(worker, connection)
-            return answer.future.result()
+            return sink.future.result()
         connection.discard()
         return None
 
 
-class _Answer:
-    """Takes the answer to one call."""
+class _ResponseSink:
+    """Collects the response to one call."""
 
     def __init__(self) -> None:
         self.future: asyncio.Future[CallResponse | None] = (
@@ -73,19 +73,19 @@
         self._body: list[bytes] = []
 
     def accepts(self, head: ResponseHead) -> bool:
-        """Take any final answer."""
-        return head.status >= _LEAST_STATUS
+        """Accept any final response."""
+        return head.status >= _MIN_FINAL_STATUS
 
     def on_head(self, head: ResponseHead) -> None:
-        """Keep the status."""
+        """Store the status."""
         self._status = head.status
 
     def on_body(self, content: bytes) -> None:
-        """Keep a part of the body."""
+        """Store a part of the body."""
         self._body.append(content)
 
     def on_end(self, ending: Ending) -> None:
-        """Settle the answer."""
+        """Set the result."""
         if self.future.done():
             return
         if ending is Ending.COMPLETE:
