--- a/tests/gateway_harness.py
+++ b/tests/gateway_harness.py
@@ -1,4 +1,4 @@
-"""A gateway on loopback, fed by hand, before workers that follow scripts."""
+"""A gateway on loopback with a fixed view and scripted workers."""
 
 import asyncio
 from typing import NamedTuple
@@ -24,7 +24,7 @@
 )
 from verbenathread.types import Address, Peer
 
-KEY = 'k-night'
+API_KEY = 'k-night'
 ENGINE = EngineModel(
     slots=8,
     memory_tokens=232_000,
@@ -39,7 +39,7 @@
 
 def route(name: str, kind: RequestKind, service: str, **fields) -> Route:
     """Return a route under ``/name/``."""
-    usual = Route(
+    defaults = Route(
         name=name,
         host='desk.example',
         prefix=f'/{name}/',
@@ -53,32 +53,32 @@
         resumable=kind is RequestKind.STREAM,
         target_pause=250,
     )
-    return usual._replace(**fields)
+    return defaults._replace(**fields)
 
 
 def config(version: int = 1, routes: tuple[Route, ...] = ()) -> ServingConfig:
-    """Return a configuration with a desk of engines and a ledger of beds."""
-    usual = (
+    """Return a configuration with a model and a plain service."""
+    defaults = (
         route('note', RequestKind.STREAM, 'desk'),
         route('hold', RequestKind.AT_MOST_ONCE, 'ledger', max_attempts=1),
         route('check', RequestKind.IDEMPOTENT, 'ledger'),
     )
     return ServingConfig(
         version=version,
-        routes=routes or usual,
+        routes=routes or defaults,
         service_by_name={
             'desk': ServiceSpec('desk', ENGINE),
             'ledger': ServiceSpec('ledger', None),
         },
         limits=ClientLimits(16384, 4194304, 3000, 15000),
-        account_by_key={KEY: ClientAccount('night', None)},
+        account_by_key={API_KEY: ClientAccount('night', None)},
     )
 
 
 def worker(
     worker_id: str, service: str, address: Address, slots: int = 8
 ) -> Worker:
-    """Return a worker that is ready."""
+    """Return a ready worker."""
     return Worker(
         worker_id=worker_id,
         started_at=1,
@@ -92,7 +92,7 @@
 
 
 class Response(NamedTuple):
-    """What a caller got; not whole if the connection ended too soon."""
+    """A response as received; incomplete if the connection broke."""
 
     status: int
     header_by_name: dict[str, str]
@@ -101,21 +101,23 @@
 
 
 class GatewayHarness:
-    """The gateway and its workers."""
+    """A gateway and its workers."""
 
     def __init__(self) -> None:
-        """Stand ready for :meth:`start`."""
+        """Create the gateway; :meth:`start` starts it."""
         clock = SystemClock()
-        own = settings_pb2.GatewaySection(
+        section = settings_pb2.GatewaySection(
             retry_share=0.2,
             retry_slack=20,
             retry_window=10_000,
             reserve_stale=4000,
         )
-        me = Peer('g1', Address('127.0.0.1', 0))
-        self.context = build_context(own, 'a', me, PlatformDialect(), clock)
+        peer = Peer('g1', Address('127.0.0.1', 0))
+        self.context = build_context(
+            section, 'a', peer, PlatformDialect(), clock
+        )
         self.view = self.context.view
-        # Long enough ago that the common order of workers holds.
+        # Long enough ago that the gateway is not warming up.
         self.view.record_update(clock.now() - 60_000)
         self.server = HttpServer(GatewayHandler(self.context), clock)
         self.workers: list[PlatformWorker] = []
@@ -126,24 +128,24 @@
         configuration: ServingConfig | None = None,
         delay: float = 0,
     ) -> None:
-        """Run a worker for each service and script, and the gateway."""
-        known = []
+        """Start a worker for each service and script, and the gateway."""
+        workers = []
         for worker_id, (service, script) in script_by_id.items():
             standin = PlatformWorker(worker_id, script)
             self.workers.append(standin)
             address = await standin.start()
-            known.append(worker(worker_id, service, address))
-        self.view.apply_workers(known)
-        wanted = configuration or config()
+            workers.append(worker(worker_id, service, address))
+        self.view.apply_workers(workers)
+        applied_config = configuration or config()
         if delay:
             loop = asyncio.get_running_loop()
-            loop.call_later(delay, self.view.apply_config, wanted)
+            loop.call_later(delay, self.view.apply_config, applied_config)
         else:
-            self.view.apply_config(wanted)
+            self.view.apply_config(applied_config)
         await self.server.start(Address('127.0.0.1', 0))
 
     async def stop(self) -> None:
-        """End everything."""
+        """Stop the gateway and its workers."""
         self.server.close()
         self.context.pool.close()
         for standin in self.workers:
@@ -164,14 +166,14 @@
         headers: str = '',
         body: bytes = b'',
         method: str = 'POST',
-        key: str = KEY,
+        key: str = API_KEY,
     ) -> Response:
-        """Send one request and return its answer."""
+        """Send one request and return the response."""
         reader, writer = await self.connect()
         writer.write(request(path, attempt_id, headers, body, method, key))
-        answered = await read_response(reader)
+        response = await read_response(reader)
         writer.close()
-        return answered
+        return response
 
 
 def request(
@@ -182,7 +184,7 @@
     method: str,
     key: str,
 ) -> bytes:
-    """Return a caller's request."""
+    """Encode a caller's request."""
     tokens = 'Token-Usage: 100,50\r\n' if path.startswith('/note') else ''
     head = (
         f'{method} {path} HTTP/1.1\r\nHost: desk.example\r\n'
@@ -194,15 +196,15 @@
 
 
 async def read_response(reader: asyncio.StreamReader) -> Response:
-    """Read one answer, whole or not."""
+    """Read one response, complete or not."""
     head = await asyncio.wait_for(reader.readuntil(b'\r\n\r\n'), 5)
-    first, *lines = head.decode().split('\r\n')
+    status_line, *header_lines = head.decode().split('\r\n')
     header_by_name = {}
-    for line in lines:
+    for line in header_lines:
         name, _, text = line.partition(':')
         if name:
             header_by_name[name.lower()] = text.strip()
-    status = int(first.split()[1])
+    status = int(status_line.split()[1])
     length = int(header_by_name.get('content-length', '-1'))
     if length >= 0:
         body = await asyncio.wait_for(reader.readexactly(length), 5)
--- a/tests/test_gateway_relay.py
+++ b/tests/test_gateway_relay.py
@@ -1,4 +1,4 @@
-"""One request through a gateway, whatever its worker does."""
+"""Requests through a gateway whose workers behave in various ways."""
 
 import asyncio
 from unittest import IsolatedAsyncioTestCase, mock
@@ -17,80 +17,81 @@
 EVENTS = b''.join(event(number) for number in range(1, 7))
 
 
-async def whole(seen, writer):
-    """Answer a plain call."""
-    writer.write(signed_response(seen, b'booked'))
+async def respond(received, writer):
+    """Respond with success."""
+    writer.write(signed_response(received, b'booked'))
 
 
-async def fail(seen, writer):
-    """Answer that the call failed."""
+async def respond_error(received, writer):
+    """Respond with a server error."""
     writer.write(
-        signed_response(seen, b'no', status='500 Internal Server Error')
+        signed_response(received, b'no', status='500 Internal Server Error')
     )
 
 
-async def refuse(seen, writer):
-    """Run nothing."""
+async def respond_not_run(received, writer):
+    """Respond that the request was not run."""
     writer.write(not_executed_response())
 
 
-async def elsewhere(seen, writer):
-    """Answer as another worker at this address."""
+async def respond_misdirected(received, writer):
+    """Respond as another worker at this address."""
     writer.write(not_executed_response('421 Misdirected Request'))
 
 
-async def vanish(seen, writer):
-    """Break the connection before any answer."""
+async def reset_before_response(received, writer):
+    """Reset the connection before any response."""
     reset(writer)
 
 
-async def cut_short(seen, writer):
-    """Break off in the body."""
-    writer.write(signed_response(seen, b'booked')[:-3])
+async def reset_in_body(received, writer):
+    """Reset the connection within the body."""
+    writer.write(signed_response(received, b'booked')[:-3])
     await writer.drain()
     reset(writer)
 
 
-async def garbage(seen, writer):
-    """Send bytes that are no answer."""
+async def send_garbage(received, writer):
+    """Send bytes that are not a response."""
     writer.write(b'\x00\x01\x02 no answer\r\n\r\n')
 
 
-async def unsigned(seen, writer):
-    """Answer with success that no worker signed."""
+async def respond_unsigned(received, writer):
+    """Respond with success, but without a worker's signature."""
     writer.write(
-        signed_response(seen, b'booked').replace(
+        signed_response(received, b'booked').replace(
             b'Response-Stamp', b'Other-Header'
         )
     )
 
 
-async def twice(seen, writer):
-    """Send a second answer behind the first."""
+async def respond_twice(received, writer):
+    """Send a second response right after the first."""
     writer.write(
-        signed_response(seen, b'booked') + signed_response(seen, b'again')
+        signed_response(received, b'booked')
+        + signed_response(received, b'again')
     )
 
 
-async def late_answer_first(seen, writer):
-    """Send the answer to another request first."""
-    other = signed_response(seen, b'other').replace(
-        seen.attempt_id.encode(), b'another1'
+async def respond_late_answer_first(received, writer):
+    """Send the response to another request first."""
+    other = signed_response(received, b'other').replace(
+        received.attempt_id.encode(), b'another1'
     )
-    writer.write(other + signed_response(seen, b'booked'))
+    writer.write(other + signed_response(received, b'booked'))
 
 
-async def unframed(seen, writer):
-    """End the answer with the connection."""
-    content = signed_response(seen, b'booked')
+async def respond_without_length(received, writer):
+    """End the response by closing the connection."""
+    content = signed_response(received, b'booked')
     writer.write(content.replace(b'Content-Length: 6', b'Connection: close'))
     await writer.drain()
     writer.close()
 
 
-async def unframed_reset(seen, writer):
-    """Reset where the connection's end would end the answer."""
-    content = signed_response(seen, b'booked').replace(
+async def reset_without_length(received, writer):
+    """Reset the connection where closing it would end the response."""
+    content = signed_response(received, b'booked').replace(
         b'Content-Length: 6', b'Connection: close'
     )
     writer.write(content[:-2])
@@ -99,21 +100,21 @@
     reset(writer)
 
 
-async def stream(seen, writer):
-    """Write the events after the one that the request names."""
-    after = int(seen.header_by_name.get('last-event-id', '0'))
-    writer.write(stream_head(seen))
+async def stream_events(received, writer):
+    """Write the events after the Last-Event-Id of the request."""
+    after = int(received.header_by_name.get('last-event-id', '0'))
+    writer.write(stream_head(received))
     for number in range(after + 1, 7):
         writer.write(chunk(event(number)))
     writer.write(LAST_CHUNK)
 
 
-async def crash_inside_an_event(seen, writer):
-    """Break off after three events and a half."""
-    if 'last-event-id' in seen.header_by_name:
-        await stream(seen, writer)
+async def reset_inside_event(received, writer):
+    """Reset the connection after three and a half events."""
+    if 'last-event-id' in received.header_by_name:
+        await stream_events(received, writer)
         return
-    writer.write(stream_head(seen))
+    writer.write(stream_head(received))
     for number in range(1, 4):
         writer.write(chunk(event(number)))
     writer.write(chunk(event(4)[:9]))
@@ -122,23 +123,23 @@
     reset(writer)
 
 
-async def end_inside_an_event(seen, writer):
-    """End as if complete, with half an event last."""
-    if 'last-event-id' in seen.header_by_name:
-        await stream(seen, writer)
+async def end_inside_event(received, writer):
+    """End the response normally after one and a half events."""
+    if 'last-event-id' in received.header_by_name:
+        await stream_events(received, writer)
         return
-    writer.write(stream_head(seen))
+    writer.write(stream_head(received))
     writer.write(chunk(event(1)))
     writer.write(chunk(event(2)[:7]))
     writer.write(LAST_CHUNK)
 
 
-async def fall_silent(seen, writer):
-    """Write one event, then nothing more."""
-    if 'last-event-id' in seen.header_by_name:
-        await stream(seen, writer)
+async def stall_after_event(received, writer):
+    """Write one event, then stall."""
+    if 'last-event-id' in received.header_by_name:
+        await stream_events(received, writer)
         return
-    writer.write(stream_head(seen) + chunk(event(1)))
+    writer.write(stream_head(received) + chunk(event(1)))
     await writer.drain()
     await asyncio.sleep(30)
 
@@ -158,63 +159,70 @@
             }
         )
 
-    def runs(self):
+    def run_count(self):
         return sum(len(one.requests) for one in self.harness.workers)
 
 
 class PlainTest(GatewayTest):
-    async def test_what_a_booking_gets(self):
-        # script, status, body, sends
+    async def test_once_only_request(self):
+        # script, status, body, number of sends
         cases = (
-            (whole, 200, b'booked', 1),
-            (fail, 500, b'no', 1),
-            (refuse, 503, b'the worker refused\n', 1),
-            (elsewhere, 503, b'the worker refused\n', 1),
-            (vanish, 502, b'broken\n', 1),
-            (cut_short, 502, b'broken\n', 1),
-            (garbage, 502, b'broken\n', 1),
-            (unsigned, 502, b'broken\n', 1),
-            (twice, 200, b'booked', 1),
-            (late_answer_first, 200, b'booked', 1),
-            (unframed, 200, b'booked', 1),
-            (unframed_reset, 502, b'broken\n', 1),
+            (respond, 200, b'booked', 1),
+            (respond_error, 500, b'no', 1),
+            (respond_not_run, 503, b'the worker refused\n', 1),
+            (respond_misdirected, 503, b'the worker refused\n', 1),
+            (reset_before_response, 502, b'broken\n', 1),
+            (reset_in_body, 502, b'broken\n', 1),
+            (send_garbage, 502, b'broken\n', 1),
+            (respond_unsigned, 502, b'broken\n', 1),
+            (respond_twice, 200, b'booked', 1),
+            (respond_late_answer_first, 200, b'booked', 1),
+            (respond_without_length, 200, b'booked', 1),
+            (reset_without_length, 502, b'broken\n', 1),
         )
         for script, status, body, sends in cases:
             with self.subTest(script=script.__name__):
                 self.harness = GatewayHarness()
                 await self.serve('ledger', script, script)
-                answered = await self.harness.send('/hold/1', body=b'bed')
-                self.assertEqual(answered.status, status)
-                self.assertEqual(answered.body, body)
-                self.assertEqual(self.runs(), sends)
-                signed = 'response-stamp' in answered.header_by_name
+                response = await self.harness.send('/hold/1', body=b'bed')
+                self.assertEqual(response.status, status)
+                self.assertEqual(response.body, body)
+                self.assertEqual(self.run_count(), sends)
+                signed = 'response-stamp' in response.header_by_name
                 self.assertEqual(signed, status in {200, 500})
                 await self.harness.stop()
 
-    async def test_what_may_be_repeated_goes_to_another_worker(self):
-        for script in (fail, refuse, vanish, cut_short, garbage, unsigned):
+    async def test_idempotent_request_is_retried(self):
+        for script in (
+            respond_error,
+            respond_not_run,
+            reset_before_response,
+            reset_in_body,
+            send_garbage,
+            respond_unsigned,
+        ):
             with self.subTest(script=script.__name__):
                 self.harness = GatewayHarness()
-                await self.serve('ledger', script, whole)
+                await self.serve('ledger', script, respond)
                 for _ in range(2):
-                    answered = await self.harness.send('/check/1', method='GET')
-                    self.assertEqual(answered.status, 200)
-                    self.assertEqual(answered.body, b'booked')
+                    response = await self.harness.send('/check/1', method='GET')
+                    self.assertEqual(response.status, 200)
+                    self.assertEqual(response.body, b'booked')
                 await self.harness.stop()
 
-    async def test_a_second_answer_reaches_nobody(self):
-        await self.serve('ledger', twice)
+    async def test_second_response_is_discarded(self):
+        await self.serve('ledger', respond_twice)
         for number in range(4):
-            answered = await self.harness.send(
+            response = await self.harness.send(
                 '/hold/1', attempt_id=f'attempt{number}'
             )
-            self.assertEqual(answered.body, b'booked')
+            self.assertEqual(response.body, b'booked')
             self.assertEqual(
-                answered.header_by_name['attempt-id'], f'attempt{number}'
+                response.header_by_name['attempt-id'], f'attempt{number}'
             )
 
-    async def test_the_request_reaches_the_worker_unchanged(self):
-        await self.serve('ledger', whole)
+    async def test_request_is_forwarded_unchanged(self):
+        await self.serve('ledger', respond)
         await self.harness.send(
             '/hold/a%20b?x=1&y=%2F',
             headers='X-Mine: 1\r\nTenant: forged\r\nExpect-Instance: z\r\n'
@@ -222,12 +230,12 @@
             body=b'\x00bed',
         )
         worker = self.harness.workers[0]
-        seen = worker.requests[0]
+        received = worker.requests[0]
         self.assertEqual(
-            seen.request_line, 'POST /hold/a%20b?x=1&y=%2F HTTP/1.1'
+            received.request_line, 'POST /hold/a%20b?x=1&y=%2F HTTP/1.1'
         )
-        self.assertEqual(seen.body, b'\x00bed')
-        headers = seen.header_by_name
+        self.assertEqual(received.body, b'\x00bed')
+        headers = received.header_by_name
         self.assertEqual(headers['tenant'], 'night')
         self.assertEqual(headers['expect-instance'], 'w0')
         self.assertEqual(headers['x-mine'], '1')
@@ -235,29 +243,29 @@
         for absent in ('authorization', 'x-hop', 'helpers', 'connection'):
             self.assertNotIn(absent, headers)
 
-    async def test_refusals_before_any_worker(self):
+    async def test_rejected_before_selecting_a_worker(self):
         cases = (
             ('/hold/1', 'k-other', 401),
             ('/nowhere/1', 'k-night', 404),
             ('/hold', 'k-night', 404),
         )
-        await self.serve('ledger', whole)
+        await self.serve('ledger', respond)
         for path, key, status in cases:
             with self.subTest(path=path):
-                answered = await self.harness.send(path, key=key)
-                self.assertEqual(answered.status, status)
-        self.assertEqual(self.runs(), 0)
+                response = await self.harness.send(path, key=key)
+                self.assertEqual(response.status, status)
+        self.assertEqual(self.run_count(), 0)
 
-    async def test_a_caller_that_leaves_ends_the_work(self):
-        async def slow(seen, writer):
+    async def test_disconnect_cancels_the_work(self):
+        async def slow(received, writer):
             await asyncio.sleep(0.3)
-            writer.write(signed_response(seen, b'booked'))
+            writer.write(signed_response(received, b'booked'))
             await writer.drain()
 
         await self.serve('ledger', slow)
         _, writer = await self.harness.connect()
         writer.write(request('/check/1', 'a1', '', b'', 'GET', 'k-night'))
-        while not self.runs():
+        while not self.run_count():
             await asyncio.sleep(0.01)
         writer.close()
         for _ in range(100):
@@ -268,103 +276,107 @@
 
 
 class StartTest(GatewayTest):
-    async def test_a_request_before_the_configuration(self):
-        # seconds until it is known, status
+    async def test_request_before_the_configuration(self):
+        # seconds until the configuration arrives, status
         for delay, status in ((0.2, 200), (5, 503)):
             with self.subTest(delay=delay):
                 self.harness = GatewayHarness()
-                await self.harness.start({'w0': ('ledger', whole)}, delay=delay)
-                answered = await self.harness.send('/check/1', method='GET')
-                self.assertEqual(answered.status, status)
+                await self.harness.start(
+                    {'w0': ('ledger', respond)}, delay=delay
+                )
+                response = await self.harness.send('/check/1', method='GET')
+                self.assertEqual(response.status, status)
                 if status == 503:
-                    again = float(answered.header_by_name['retry-after'])
-                    self.assertGreater(again, 0)
+                    retry_after = float(response.header_by_name['retry-after'])
+                    self.assertGreater(retry_after, 0)
                 await self.harness.stop()
 
 
 class StreamTest(GatewayTest):
-    async def test_a_broken_stream_goes_on_at_another_worker(self):
+    async def test_broken_stream_is_resumed(self):
         for script in (
-            stream,
-            vanish,
-            refuse,
-            fail,
-            crash_inside_an_event,
-            end_inside_an_event,
-            fall_silent,
+            stream_events,
+            reset_before_response,
+            respond_not_run,
+            respond_error,
+            reset_inside_event,
+            end_inside_event,
+            stall_after_event,
         ):
             with self.subTest(script=script.__name__):
                 self.harness = GatewayHarness()
-                await self.serve('desk', script, stream)
-                self.harness.workers[0].is_unresponsive = script is fall_silent
-                answered = await self.harness.send('/note/1')
-                self.assertEqual(answered.status, 200)
-                self.assertTrue(answered.complete)
-                self.assertEqual(answered.body, EVENTS)
+                await self.serve('desk', script, stream_events)
+                self.harness.workers[0].is_unresponsive = (
+                    script is stall_after_event
+                )
+                response = await self.harness.send('/note/1')
+                self.assertEqual(response.status, 200)
+                self.assertTrue(response.complete)
+                self.assertEqual(response.body, EVENTS)
                 await self.harness.stop()
 
-    async def test_others_hear_of_a_send_before_it_connects(self):
-        await self.serve('desk', stream, stream)
-        parts = self.harness.context
-        known = []
+    async def test_send_is_recorded_before_connecting(self):
+        await self.serve('desk', stream_events, stream_events)
+        context = self.harness.context
+        send_counts = []
 
         async def acquire(worker, left):
-            load = parts.fleet.load(worker.worker_id)
-            known.append(len(load.send_by_id))
+            load = context.fleet.load(worker.worker_id)
+            send_counts.append(len(load.send_by_id))
             raise ConnectionRefusedError
 
-        with mock.patch.object(parts.pool, 'acquire', acquire):
-            answered = await self.harness.send('/note/1')
-        self.assertEqual(answered.status, 503)
-        self.assertEqual(set(known), {1})
-        for load in parts.fleet.load_by_id.values():
+        with mock.patch.object(context.pool, 'acquire', acquire):
+            response = await self.harness.send('/note/1')
+        self.assertEqual(response.status, 503)
+        self.assertEqual(set(send_counts), {1})
+        for load in context.fleet.load_by_id.values():
             self.assertEqual(load.send_by_id, {})
 
-    async def test_a_silent_worker_that_lives_is_waited_for(self):
-        async def pause(seen, writer):
-            writer.write(stream_head(seen) + chunk(event(1)))
+    async def test_waits_for_a_stalled_live_worker(self):
+        async def pause(received, writer):
+            writer.write(stream_head(received) + chunk(event(1)))
             await writer.drain()
             await asyncio.sleep(1.3)
             for number in range(2, 7):
                 writer.write(chunk(event(number)))
             writer.write(LAST_CHUNK)
 
-        await self.serve('desk', pause, stream)
-        answered = await self.harness.send('/note/1')
-        self.assertEqual(answered.body, EVENTS)
-        self.assertEqual(self.runs(), 1)
+        await self.serve('desk', pause, stream_events)
+        response = await self.harness.send('/note/1')
+        self.assertEqual(response.body, EVENTS)
+        self.assertEqual(self.run_count(), 1)
         self.assertEqual(self.harness.workers[0].probes, 1)
 
-    async def test_a_stream_that_can_not_go_on_looks_incomplete(self):
-        async def crash(seen, writer):
-            writer.write(stream_head(seen) + chunk(event(1)))
+    async def test_failed_stream_is_incomplete(self):
+        async def crash(received, writer):
+            writer.write(stream_head(received) + chunk(event(1)))
             await writer.drain()
             await asyncio.sleep(0.02)
             reset(writer)
 
         await self.serve('desk', crash)
-        answered = await self.harness.send('/note/1')
-        self.assertEqual(answered.status, 200)
-        self.assertFalse(answered.complete)
+        response = await self.harness.send('/note/1')
+        self.assertEqual(response.status, 200)
+        self.assertFalse(response.complete)
 
-    async def test_the_caller_resumes_after_an_event(self):
-        await self.serve('desk', stream)
-        answered = await self.harness.send(
+    async def test_caller_resumes_a_stream(self):
+        await self.serve('desk', stream_events)
+        response = await self.harness.send(
             '/note/1', headers='Last-Event-Id: 4\r\n'
         )
-        self.assertEqual(answered.body, event(5) + event(6))
+        self.assertEqual(response.body, event(5) + event(6))
 
-    async def test_requests_on_one_connection_get_their_answers(self):
-        await self.serve('desk', stream)
+    async def test_pipelined_requests(self):
+        await self.serve('desk', stream_events)
         reader, writer = await self.harness.connect()
         for number in range(3):
             writer.write(
                 request('/note/1', f'id{number}', '', b'', 'POST', 'k-night')
             )
         for number in range(3):
-            answered = await read_response(reader)
+            response = await read_response(reader)
             self.assertEqual(
-                answered.header_by_name['attempt-id'], f'id{number}'
+                response.header_by_name['attempt-id'], f'id{number}'
             )
-            self.assertEqual(answered.body, EVENTS)
+            self.assertEqual(response.body, EVENTS)
         writer.close()
--- a/tests/test_gateway_view.py
+++ b/tests/test_gateway_view.py
@@ -1,4 +1,4 @@
-"""Which gateways hear of sends while leaders change."""
+"""Which gateways receive notices across changes of leader."""
 
 import unittest
 
@@ -11,7 +11,7 @@
 )
 
 
-class ToldTest(unittest.TestCase):
+class NoticeTargetsTest(unittest.TestCase):
     def setUp(self):
         self.view = ClusterView('g0')
 
@@ -19,20 +19,20 @@
         listed = tuple(GATEWAYS[number] for number in numbers)
         self.view.apply_nodes((), listed, now)
 
-    def told(self):
+    def target_ids(self):
         return {peer.node_id for peer in self.view.notice_targets}
 
-    def test_a_new_leader_knows_few_gateways_at_first(self):
+    def test_new_leader_lists_few_gateways_at_first(self):
         self.list_at(0, 0, 1, 2, 3)
-        # 60 s later another one leads; the list of before held until then.
+        # A new leader takes over 60 s later; until then the old list is valid.
         self.list_at(60_000, 0, 1)
-        self.assertEqual(self.told(), {'g0', 'g1', 'g2', 'g3'})
+        self.assertEqual(self.target_ids(), {'g0', 'g1', 'g2', 'g3'})
         self.list_at(61_000, 0, 1, 2)
         self.view.expire_unlisted(65_500)
-        self.assertEqual(self.told(), {'g0', 'g1', 'g2'})
+        self.assertEqual(self.target_ids(), {'g0', 'g1', 'g2'})
         self.assertEqual(len(self.view.gateways), 3)
 
-    def test_a_gateway_that_stays_is_never_forgotten(self):
+    def test_listed_gateway_never_expires(self):
         self.list_at(0, 0, 1)
         self.view.expire_unlisted(900_000)
-        self.assertEqual(self.told(), {'g0', 'g1'})
+        self.assertEqual(self.target_ids(), {'g0', 'g1'})
--- a/tests/test_serving_budget.py
+++ b/tests/test_serving_budget.py
@@ -1,4 +1,4 @@
-"""Repeats stay within a share of the requests, over any window."""
+"""Retries stay within a share of the requests over any window."""
 
 import random
 import unittest
@@ -9,28 +9,28 @@
 
 
 class RetryBudgetTest(unittest.TestCase):
-    def test_nine_gateways_stay_within_the_shared_budget(self):
-        chance = random.Random(5)
+    def test_gateways_share_the_budget(self):
+        rng = random.Random(5)
         gateways = [RetryBudget(0.2, 106, WINDOW) for _ in range(9)]
-        for one in gateways:
-            one.gateway_count = 9
-        firsts = []
-        repeats = []
+        for gateway in gateways:
+            gateway.gateway_count = 9
+        request_times = []
+        retry_times = []
         for now in range(0, 60_000, 20):
-            one = chance.choice(gateways)
-            one.record_request('desk', now)
-            firsts.append(now)
-            # Every request fails and asks for two repeats.
+            gateway = rng.choice(gateways)
+            gateway.record_request('desk', now)
+            request_times.append(now)
+            # Every request fails and tries two retries.
             for _ in range(2):
-                if one.try_acquire('desk', now):
-                    repeats.append(now)
+                if gateway.try_acquire('desk', now):
+                    retry_times.append(now)
         for start in range(0, 50_000, 500):
             end = start + WINDOW
-            asked = sum(1 for at in firsts if start <= at < end)
-            made = sum(1 for at in repeats if start <= at < end)
-            self.assertLessEqual(made, 0.2 * asked + 106 + 9)
+            request_count = sum(1 for at in request_times if start <= at < end)
+            retry_count = sum(1 for at in retry_times if start <= at < end)
+            self.assertLessEqual(retry_count, 0.2 * request_count + 106 + 9)
 
-    def test_a_quiet_gateway_still_repeats_some(self):
+    def test_idle_gateway_has_slack(self):
         budget = RetryBudget(0.2, 106, WINDOW)
         budget.gateway_count = 9
         taken = sum(budget.try_acquire('desk', 5) for _ in range(50))
@@ -42,7 +42,7 @@
         self.assertFalse(budget.try_acquire('desk', WINDOW))
         self.assertTrue(budget.try_acquire('desk', WINDOW + 1))
 
-    def test_services_have_budgets_of_their_own(self):
+    def test_budgets_are_per_service(self):
         budget = RetryBudget(0, 1, WINDOW)
         self.assertTrue(budget.try_acquire('desk', 0))
         self.assertTrue(budget.try_acquire('ledger', 0))
--- a/tests/test_serving_registry.py
+++ b/tests/test_serving_registry.py
@@ -1,4 +1,4 @@
-"""Which of many tellings of a worker holds, in whatever order they come."""
+"""Which update of a worker takes effect, in any order of arrival."""
 
 import itertools
 import unittest
@@ -30,11 +30,12 @@
 class RegistryTest(unittest.TestCase):
     def states(self, registry):
         return {
-            one.worker_id: one.state for one in registry.worker_by_id.values()
+            known.worker_id: known.state
+            for known in registry.worker_by_id.values()
         }
 
-    def test_what_holds(self):
-        # what is told in this order, and the states that hold then
+    def test_state_after_updates(self):
+        # updates in order, resulting states
         cases = (
             ([worker()], {'w1': READY}),
             ([worker(), worker(state=DRAINING)], {'w1': DRAINING}),
@@ -46,27 +47,27 @@
             ([worker('w2', born=11), worker()], {'w2': READY}),
             ([worker(), worker('w2', port=81)], {'w1': READY, 'w2': READY}),
         )
-        for told, wanted in cases:
-            with self.subTest(told=told):
+        for updates, expected in cases:
+            with self.subTest(updates=updates):
                 registry = WorkerRegistry()
-                for one in told:
-                    registry.merge(one)
-                self.assertEqual(self.states(registry), wanted)
+                for update in updates:
+                    registry.merge(update)
+                self.assertEqual(self.states(registry), expected)
 
-    def test_the_order_of_one_life_does_not_matter(self):
-        life = (
+    def test_updates_of_one_incarnation_commute(self):
+        incarnation = (
             worker(),
             worker(sequence=2),
             worker(state=DRAINING, sequence=3),
             worker(state=GONE, sequence=4),
         )
-        for told in itertools.permutations(life):
+        for updates in itertools.permutations(incarnation):
             registry = WorkerRegistry()
-            for one in told:
-                registry.merge(one)
+            for update in updates:
+                registry.merge(update)
             self.assertEqual(self.states(registry), {'w1': GONE})
 
-    def test_a_silent_worker_is_dropped_and_may_come_back(self):
+    def test_dropped_worker_may_register_again(self):
         registry = WorkerRegistry()
         registry.merge(worker())
         self.assertFalse(registry.drop('w1', 9))
@@ -83,9 +84,9 @@
         command = messages.DirectoryCommand(put_config=put)
         machine.apply(1, command.SerializeToString())
 
-    def test_the_highest_version_holds(self):
+    def test_highest_version_wins(self):
         machine = DirectoryMachine()
-        told = (
+        updates = (
             (3, b'c'),
             (1, b'a'),
             (3, b'x'),
@@ -93,16 +94,18 @@
             (7, b'x'),
             (5, b'e'),
         )
-        for version, body in told:
+        for version, body in updates:
             self.put(machine, version, body)
         self.assertEqual(machine.config_version, 7)
         self.assertEqual(machine.config_body, b'g')
 
-    def test_a_snapshot_holds_everything(self):
+    def test_snapshot_round_trip(self):
         machine = DirectoryMachine()
         self.put(machine, 4, b'body')
-        for one in (worker(), worker('w2', port=81, state=DRAINING)):
-            command = messages.DirectoryCommand(put_worker=encode_worker(one))
+        for update in (worker(), worker('w2', port=81, state=DRAINING)):
+            command = messages.DirectoryCommand(
+                put_worker=encode_worker(update)
+            )
             machine.apply(2, command.SerializeToString())
         other = DirectoryMachine()
         other.restore(machine.snapshot())
--- a/verbenathread/gateway/selection.py
+++ b/verbenathread/gateway/selection.py
@@ -224,7 +224,7 @@
         now = context.clock.now()
         if engine is None:
             return NoCapacity(None)
-        wanted = GenerationRequest(
+        request = GenerationRequest(
             self._prompt(),
             max(0, self._due - now),
             self._route.target_pause,
@@ -232,7 +232,7 @@
             context.data_centre,
         )
         return place(
-            wanted,
+            request,
             engine,
             self._candidates(),
             context.fleet,
@@ -286,12 +286,12 @@
     def _first_event_timeout(self, now: Millis) -> Millis:
         """Return the latest first event that is likely to be in time."""
         route = self._route
-        whole = max(
+        timeout = max(
             _MIN_FIRST_EVENT_TIMEOUT,
             _TIMEOUT_LATENCIES * route.target_latency,
             _TIMEOUT_PAUSES * route.target_pause,
         )
-        left = self._due - route.target_latency + whole - now
+        left = self._due - route.target_latency + timeout - now
         return int(left * _SAFE_FORECAST_SHARE)
 
     def _prompt(self) -> Prompt:
