--- a/verbenathread/gateway/exchange.py
+++ b/verbenathread/gateway/exchange.py
@@ -102,11 +102,11 @@
                 self._refusal = selected
                 self._fail(_UNAVAILABLE, selected.reason, selected.retry_after)
                 return
-            await self._send_with_memory(selected)
+            await self._reserve_and_send(selected)
         if self._reply.is_disconnected and not self._reply.done:
             self._record_outcome('abandoned', '')
 
-    async def _send_with_memory(self, selection: Selection) -> None:
+    async def _reserve_and_send(self, selection: Selection) -> None:
         """Send to the selected worker, reserving memory first if needed."""
         if not any(part.reserved_tokens for part in selection.parts):
             await self._send_recorded(selection)
--- a/verbenathread/serving/registry.py
+++ b/verbenathread/serving/registry.py
@@ -61,8 +61,8 @@
     def drop(self, worker_id: str, started_at: int) -> bool:
         """Remove a worker without heartbeats; return whether it changed.
 
-        A worker that was draining is marked as gone. Any other one is
-        removed and may register again.
+        A draining worker is marked as gone. A ready one is removed and may
+        register again.
         """
         known = self.worker_by_id.get(worker_id)
         if known is None or known.started_at != started_at:
