--- a/verbenathread/gateway/context.py
+++ b/verbenathread/gateway/context.py
@@ -55,7 +55,7 @@
     view = ClusterView(me.node_id)
     fleet = FleetLoad()
     pool = ConnectionPool(clock)
-    caller = PooledWorkerClient(pool, clock)
+    worker_client = PooledWorkerClient(pool, clock)
     outliers = OutlierTracker()
     notices = GatewayNotices(me, view, fleet, outliers, clock)
     return GatewayContext(
@@ -71,10 +71,10 @@
             section.retry_share, section.retry_slack, section.retry_window
         ),
         notices=notices,
-        worker_client=caller,
-        prober=LoadProber(me.node_id, view, caller, dialect, (notices,)),
+        worker_client=worker_client,
+        prober=LoadProber(me.node_id, view, worker_client, dialect, (notices,)),
         reservations=ReservationManager(
-            caller,
+            worker_client,
             dialect,
             clock,
             int(section.reserve_stale * _LEASE_SHARE),
--- a/verbenathread/gateway/exchange.py
+++ b/verbenathread/gateway/exchange.py
@@ -408,7 +408,7 @@
             queued=started - self._routed.request.received_at,
             forecast=selection.first_event_in,
             beside=selection.concurrent,
-            context=1 + len(selection.parts),
+            parts=1 + len(selection.parts),
             pace=round(selection.pace, 2),
             first=None if first is None else first - started,
             pause=attempt.longest_pause,
--- a/verbenathread/gateway/probing.py
+++ b/verbenathread/gateway/probing.py
@@ -44,14 +44,14 @@
         self,
         node_id: NodeId,
         view: ClusterView,
-        caller: WorkerClient,
+        client: WorkerClient,
         dialect: Dialect,
         listeners: Iterable[ProbeListener],
     ) -> None:
         """Report the pace of the engines of ``view`` to ``listeners``."""
         self._node_id = node_id
         self._view = view
-        self._caller = caller
+        self._client = client
         self._dialect = dialect
         self._listeners = tuple(listeners)
         self._preferences = PreferredNodeCache()
@@ -88,7 +88,7 @@
     async def _probe(self, worker: Worker) -> None:
         worker_id = worker.worker_id
         call = self._dialect.probe_call(worker_id)
-        answer = await self._caller.call(worker, call, PROBE_TIMEOUT)
+        answer = await self._client.call(worker, call, PROBE_TIMEOUT)
         if answer is None:
             misses = self._misses_by_id.get(worker_id, 0) + 1
             self._misses_by_id[worker_id] = misses
