--- a/tests/test_observability.py
+++ b/tests/test_observability.py
@@ -24,8 +24,16 @@
     log_line(
         'g1', '10:00:00.200000', 'gateway: A worker changed.', worker='w9'
     ),
-    log_line('g1', '10:00:01.500000', 'gateway: The directory is lost.'),
-    log_line('g2', '10:00:01.600000', 'gateway: The directory is lost.'),
+    log_line(
+        'g1',
+        '10:00:01.500000',
+        'gateway: Lost the connection to the directory.',
+    ),
+    log_line(
+        'g2',
+        '10:00:01.600000',
+        'gateway: Lost the connection to the directory.',
+    ),
     log_line(
         'g1',
         '10:00:02.500000',
@@ -62,7 +70,7 @@
             history,
             [
                 '10:00:00.100 g1 gateway: A worker changed. worker=w1',
-                '10:00:01.500 g1 gateway: The directory is lost. ',
+                '10:00:01.500 g1 gateway: Lost the connection to the directory. ',
                 '10:00:02.400 g1 gateway: A send ended. worker=w1'
                 ' verdict=broken',
                 '10:00:02.500 g1 gateway: A request ended. outcome=failed'
