--- a/tools/cell_cost.py
+++ b/tools/cell_cost.py
@@ -18,7 +18,7 @@
 from grpclib import server as grpclib_server
 from grpclib.protocol import H2Protocol
 
-from tests.cell_network import engine
+from tests.cell_network import engine_record
 from tests.node_network import FakeEngines, node_settings, tree_update
 from verbenathread.clock import SystemClock, seconds
 from verbenathread.entry.cell_node import CellNode, NodeContext
@@ -138,13 +138,13 @@
         name = self._rng.choice(self._names)
         models = (f'model-{self._rng.random()}',)
         node = self._rng.choice(self.nodes)
-        node.cell.announce(engine(name)._replace(models=models))
+        node.cell.announce(engine_record(name)._replace(models=models))
 
     async def _renew(self) -> None:
         pause = _RENEW_S / len(self._names)
         for name in itertools.cycle(self._names):
             node = self._rng.choice(self.nodes)
-            held = node.cell.table.get(name) or engine(name)
+            held = node.cell.table.get(name) or engine_record(name)
             node.cell.announce(held)
             await asyncio.sleep(pause)  # noqa: WPS476 - spread over time
 
@@ -163,9 +163,9 @@
     granted = await node.reservations.reserve(_work(name), name)
     if not isinstance(granted, Reservation):
         raise RuntimeError(f'not granted: {granted}')
-    node.reservations.started(granted)
+    node.reservations.report_started(granted)
     await asyncio.sleep(_HOLD_S)
-    node.reservations.progress(granted, 1)
+    node.reservations.report_progress(granted, 1)
     await asyncio.sleep(_HOLD_S)
     node.reservations.release(granted, output_tokens=100, failed=False)
 
@@ -240,7 +240,7 @@
     granted = await node.reservations.reserve(_work(f'r{number}'), f'a{number}')
     if not isinstance(granted, Reservation):
         raise RuntimeError(f'not granted: {granted}')
-    node.reservations.started(granted)
+    node.reservations.report_started(granted)
     node.reservations.release(granted, output_tokens=100, failed=False)
 
 
--- a/verbenathread/directory/daemon.py
+++ b/verbenathread/directory/daemon.py
@@ -34,8 +34,8 @@
 _JOIN_INTERVAL: Millis = 700
 _JOIN_TIMEOUT: Millis = 600
 _REFRESH_INTERVAL: Millis = 2000
-# Most records hold a whole configuration and a snapshot holds only one, so a
-# short log matters more than few snapshots on a disk of 128 MB.
+# Log records hold whole configurations and a snapshot holds only one, so a short
+# log matters more than few snapshots on a disk of 128 MB.
 _SNAPSHOT_RECORDS = 100
 # Fits configurations of thousands of routes. Gateways have a lower limit.
 _MAX_BODY_BYTES = 0x1000000
@@ -185,7 +185,7 @@
             voters = sum(1 for member in status.members if member.voter)
             metrics.voters.set(voters)
             metrics.config_version.set(self._machine.config_version)
-            live_workers = sum(1 for _ in self._machine.registry.living())
+            live_workers = sum(1 for _ in self._machine.registry.live_workers())
             metrics.workers.set(live_workers)
             metrics.gateways.set(self._service.gateway_count())
 
--- a/verbenathread/membership/cell.py
+++ b/verbenathread/membership/cell.py
@@ -1,8 +1,8 @@
-"""One node of a cell: a task for each peer and two for leases.
+"""One node of a cell, with a task for each peer and two for leases.
 
-Each peer's task sends a message at least once a second, and at once when
-there is news or a lease to ask for; the reply confirms it. The same message
-carries upstream records, questions about renewals and engine leases.
+The task of a peer sends a message at least once a second, and immediately
+when there is an update or a lease to request; the reply confirms it. The same
+message carries upstream records, renewal queries and engine lease requests.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 from verbenathread.membership.engine_leases import EngineLeases
 from verbenathread.membership.gossip import Gossip
 from verbenathread.membership.lease_acceptor import (
-    LONGEST_LEASE_MS,
+    MAX_LEASE_MS,
     LeaseAcceptor,
 )
 from verbenathread.membership.peer_view import PeerViews
@@ -33,19 +33,18 @@
     UpstreamState,
 )
 
-# A peer without news still gets a message this often.
-IDLE_MS = 1000
-# Time that a peer has to reply.
-EXCHANGE_MS = 1000
-# Pause after a failed exchange; it doubles up to the idle time.
-_FIRST_RETRY_MS = 50
-# Messages to one peer are at least this far apart, to gather news.
-_GATHER_MS = 5
-# How often the leases of engines, and of upstreams, are looked at.
-_ENGINE_STEP_MS = 200
-_UPSTREAM_STEP_MS = 500
-# How long a leave waits for other entries.
-_LEAVE_MS = 2500
+# A peer gets a message at least this often, even without updates.
+HEARTBEAT_INTERVAL_MS = 1000
+EXCHANGE_TIMEOUT_MS = 1000
+# Delay after a failed exchange; doubles up to HEARTBEAT_INTERVAL_MS.
+_INITIAL_RETRY_MS = 50
+# Minimum time between messages to one peer, so that updates are batched.
+_BATCH_DELAY_MS = 5
+# Intervals between checks of the engine and of the upstream leases.
+_ENGINE_LEASE_INTERVAL_MS = 200
+_UPSTREAM_LEASE_INTERVAL_MS = 500
+# How long a leave waits for confirmation by other entries.
+_LEAVE_TIMEOUT_MS = 2500
 _LEAVE_POLL_MS = 20
 
 _NO_ADDRESS: Final = Address('', 0)
@@ -58,7 +57,7 @@
 
 
 class PeerTransport(Protocol):
-    """Carries a message to one peer and brings its reply."""
+    """Sends messages to peers and returns their replies."""
 
     async def exchange(
         self, peer_id: NodeId, message: peer_pb2.PeerMessage
@@ -66,39 +65,41 @@
         """Return the reply, or raise :class:`PeerUnreachableError`."""
 
 
-class Rider(Protocol):
-    """Something else that travels with the messages of a cell."""
+class MessageExtension(Protocol):
+    """Additional data exchanged in the messages of a cell."""
 
-    def compose(self, peer_id: NodeId, message: peer_pb2.PeerMessage) -> None:
-        """Put what is due for a peer into a message to it."""
+    def fill_message(
+        self, peer_id: NodeId, message: peer_pb2.PeerMessage
+    ) -> None:
+        """Add the data due for a peer to a message to it."""
 
-    def answer(
+    def handle_message(
         self, message: peer_pb2.PeerMessage, reply: peer_pb2.PeerReply
     ) -> None:
-        """Take what came with a message, and put what is due in its reply."""
+        """Process the data of a message and fill its reply."""
 
-    def absorb(
+    def handle_reply(
         self,
         peer_id: NodeId,
         message: peer_pb2.PeerMessage,
         reply: peer_pb2.PeerReply,
     ) -> None:
-        """Take the reply to a message that was sent."""
+        """Process the reply to a message that was sent."""
 
 
 class NodeIdentity(NamedTuple):
-    """Who a node is; the incarnation grows with each start."""
+    """Identity of a node; the incarnation grows with each start."""
 
     node_id: NodeId
     incarnation: int
-    # All nodes of the cell, this one included.
+    # All nodes of the cell, including this one.
     cell_ids: tuple[NodeId, ...]
 
 
 class Cell:
-    """Upstreams, living peers and engine leases, as one node sees them.
+    """Upstreams, live peers and engine leases as seen by one node.
 
-    All methods but the reads of :attr:`table` run on one event loop.
+    All methods except reads of :attr:`table` run on one event loop.
     """
 
     def __init__(
@@ -108,9 +109,9 @@
         clock: Clock,
         lease_of: Callable[[str], Millis],
         *,
-        lease: Millis = LONGEST_LEASE_MS,
+        lease: Millis = MAX_LEASE_MS,
     ) -> None:
-        """Take what carries messages, and the upstream lease of a service."""
+        """Create a node; ``lease_of`` returns the lease of a service."""
         self.identity = identity
         self.table = UpstreamTable()
         self.views = PeerViews(identity.node_id, identity.cell_ids)
@@ -124,7 +125,7 @@
             node_id=identity.node_id,
             lease=lease,
         )
-        self._riders: tuple[Rider, ...] = ()
+        self._extensions: tuple[MessageExtension, ...] = ()
         self._clock = clock
         self._transport = transport
         self._upstream_leases = UpstreamLeases(
@@ -134,53 +135,53 @@
         self._event_by_peer = {
             peer_id: asyncio.Event() for peer_id in self.views.by_id
         }
-        self._questions: tuple[int, ...] = ()
+        self._lease_queries: tuple[int, ...] = ()
         self._tasks: tuple[asyncio.Task[None], ...] = ()
 
-    def carry(self, *riders: Rider) -> None:
-        """Let these travel with the messages; call it before the start."""
-        self._riders = (*self._riders, *riders)
+    def add_extensions(self, *extensions: MessageExtension) -> None:
+        """Exchange additional data with peers; call before :meth:`start`."""
+        self._extensions = (*self._extensions, *extensions)
 
     def start(self) -> None:
         """Start one task for each peer and two for leases."""
         links = [
-            asyncio.create_task(self._link(peer_id))
+            asyncio.create_task(self._run_link(peer_id))
             for peer_id in self.views.by_id
         ]
         self._tasks = (
             *links,
-            asyncio.create_task(self._keep_engine_leases()),
+            asyncio.create_task(self._maintain_engine_leases()),
             asyncio.create_task(self._watch_upstream_leases()),
         )
 
     async def stop(self) -> None:
-        """Hand the leases over, tell the peers, and end all tasks."""
+        """Release the leases, notify the peers and end all tasks."""
         self.stopping = True
         self.engine_leases.release_all()
         for peer_id in self.views.by_id:
             self.wake(peer_id)
-        await asyncio.sleep(seconds(IDLE_MS // 2))
+        await asyncio.sleep(seconds(HEARTBEAT_INTERVAL_MS // 2))
         await self.close()
 
     async def close(self) -> None:
-        """End all tasks and tell nobody."""
+        """End all tasks without notifying the peers."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self._tasks = ()
 
     def announce(self, record: UpstreamRecord) -> UpstreamRecord:
-        """Take an announcement or a renewal; return what holds now."""
+        """Apply an announcement or renewal; return the record now in force."""
         now = self._clock.now()
         if self.table.announce(record, now):
-            self._gossip.spread(record.upstream_id)
+            self._gossip.enqueue(record.upstream_id)
         held = self.table.get(record.upstream_id) or record
         if held.incarnation == record.incarnation:
-            self._upstream_leases.heard(record.upstream_id, now)
+            self._upstream_leases.record_renewal(record.upstream_id, now)
         return held
 
     async def leave(self, upstream_id: UpstreamId, incarnation: int) -> bool:
-        """Take a leave; True once a majority of living peers has it."""
+        """Apply a leave; return whether a majority of live peers confirmed."""
         held = self.table.get(upstream_id)
         if held is not None and held.incarnation > incarnation:
             return True
@@ -188,10 +189,12 @@
             held = _unknown_record(upstream_id, incarnation)
         if held.state < UpstreamState.LEAVING:
             self._retire(held, UpstreamState.LEAVING)
-        return await self._spread_enough(upstream_id)
+        return await self._wait_for_majority(upstream_id)
 
-    def answer(self, message: peer_pb2.PeerMessage) -> peer_pb2.PeerReply:
-        """Take a peer's message and return the reply."""
+    def handle_message(
+        self, message: peer_pb2.PeerMessage
+    ) -> peer_pb2.PeerReply:
+        """Process a peer's message and return the reply."""
         now = self._clock.now()
         reply = peer_pb2.PeerReply(
             number=message.number,
@@ -206,24 +209,27 @@
                 f'{message.node_id} is not in the cell of this entry: '
                 + 'list the same entries under [entry] cell on every VM'
             )
-        if not view.heard(message.incarnation, message.stopping, now):
+        if not view.record_message(message.incarnation, message.stopping, now):
             raise PeerUnreachableError(
-                f'{message.node_id} sends as a former incarnation: stop the '
+                f'{message.node_id} uses an outdated incarnation: stop the '
                 + 'older process of the two that share this name'
             )
-        self._gossip.answer(message.node_id, message, reply, now)
-        for rider in self._riders:
-            rider.answer(message, reply)
+        self._gossip.handle_message(message.node_id, message, reply, now)
+        for extension in self._extensions:
+            extension.handle_message(message, reply)
         for upstream_hash in message.heard_asks:
-            age = self._upstream_leases.age(upstream_hash, now)
+            age = self._upstream_leases.renewal_age(upstream_hash, now)
             reply.heard_ages.append(0 if age is None else age + 1)
-        wire.put_answers(
+        wire.add_responses(
             reply,
             [
-                self.engine_leases.answer(
-                    message.node_id, message.incarnation, ask, message.lease_ms
+                self.engine_leases.handle_request(
+                    message.node_id,
+                    message.incarnation,
+                    request,
+                    message.lease_ms,
                 )
-                for ask in wire.asks_from(message)
+                for request in wire.decode_requests(message)
             ],
         )
         return reply
@@ -238,23 +244,23 @@
         )
 
     def wake(self, peer_id: NodeId) -> None:
-        """Send a peer its next message now."""
+        """Send the next message to a peer without waiting."""
         self._event_by_peer[peer_id].set()
 
     def serving_ids(self) -> frozenset[NodeId]:
-        """Return the living nodes that do not stop, this one included."""
+        """Return the live nodes that are not stopping, including this one."""
         serving = self.views.serving_ids(self._clock.now())
         return serving if self.stopping else serving | {self.identity.node_id}
 
     def _retire(self, record: UpstreamRecord, state: UpstreamState) -> None:
         if self.table.retire(record, state, self._clock.now()):
-            self._gossip.spread(record.upstream_id)
+            self._gossip.enqueue(record.upstream_id)
 
-    async def _spread_enough(self, upstream_id: UpstreamId) -> bool:
+    async def _wait_for_majority(self, upstream_id: UpstreamId) -> bool:
         if not self.views.by_id:
             return True
-        limit = self._clock.now() + _LEAVE_MS
-        while self._clock.now() < limit:
+        deadline = self._clock.now() + _LEAVE_TIMEOUT_MS
+        while self._clock.now() < deadline:
             alive_ids = self.views.alive_ids(self._clock.now())
             confirmed = self._gossip.confirmed_ids(upstream_id) & alive_ids
             if len(confirmed) > len(alive_ids) // 2:
@@ -262,21 +268,21 @@
             await asyncio.sleep(seconds(_LEAVE_POLL_MS))
         return False
 
-    async def _link(self, peer_id: NodeId) -> None:
+    async def _run_link(self, peer_id: NodeId) -> None:
         number = 0
-        pause = _FIRST_RETRY_MS
+        delay = _INITIAL_RETRY_MS
         while True:
             number += 1
             try:
                 await self._exchange(peer_id, number)
             except PeerUnreachableError as error:
-                if pause == _FIRST_RETRY_MS:
+                if delay == _INITIAL_RETRY_MS:
                     _log.info('A peer is out of reach.', why=str(error))
-                await asyncio.sleep(seconds(pause))
-                pause = min(pause * 2, IDLE_MS)
+                await asyncio.sleep(seconds(delay))
+                delay = min(delay * 2, HEARTBEAT_INTERVAL_MS)
                 continue
-            pause = _FIRST_RETRY_MS
-            await self._wait_for_news(peer_id)
+            delay = _INITIAL_RETRY_MS
+            await self._wait_for_update(peer_id)
 
     async def _exchange(self, peer_id: NodeId, number: int) -> None:
         view = self.views.by_id[peer_id]
@@ -289,69 +295,73 @@
             lease_ms=self.engine_leases.lease,
             stopping=self.stopping,
         )
-        self._gossip.compose(peer_id, message)
-        message.heard_asks.extend(self._questions)
-        for rider in self._riders:
-            rider.compose(peer_id, message)
-        asks = wire.ordered_asks(
-            self.engine_leases.take_asks(peer_id), view.incarnation
+        self._gossip.fill_message(peer_id, message)
+        message.heard_asks.extend(self._lease_queries)
+        for extension in self._extensions:
+            extension.fill_message(peer_id, message)
+        requests = wire.order_requests(
+            self.engine_leases.take_requests(peer_id), view.incarnation
         )
-        wire.put_asks(message, asks, view.incarnation)
+        wire.add_requests(message, requests, view.incarnation)
         try:
-            async with asyncio.timeout(seconds(EXCHANGE_MS)):
+            async with asyncio.timeout(seconds(EXCHANGE_TIMEOUT_MS)):
                 reply = await self._transport.exchange(peer_id, message)
         except TimeoutError:
             raise PeerUnreachableError(
                 f'{peer_id} did not reply in time: see whether it runs'
             ) from None
         now = self._clock.now()
-        if not view.heard(reply.incarnation, reply.stopping, now):
+        if not view.record_message(reply.incarnation, reply.stopping, now):
             return
-        view.note_clock(sent_at, reply.now_ms)
-        self._gossip.absorb(peer_id, message, reply, now)
-        for rider in self._riders:
-            rider.absorb(peer_id, message, reply)
-        self._upstream_leases.absorb(
-            peer_id, wire.heard_from(message, reply), sent_at
+        view.record_clock(sent_at, reply.now_ms)
+        self._gossip.handle_reply(peer_id, message, reply, now)
+        for extension in self._extensions:
+            extension.handle_reply(peer_id, message, reply)
+        self._upstream_leases.handle_renewal_ages(
+            peer_id, wire.decode_renewal_ages(message, reply), sent_at
         )
-        for ask, answer in zip(asks, wire.answers_from(reply), strict=True):
-            self.engine_leases.absorb(peer_id, reply.incarnation, ask, answer)
+        for request, response in zip(
+            requests, wire.decode_responses(reply), strict=True
+        ):
+            self.engine_leases.handle_response(
+                peer_id, reply.incarnation, request, response
+            )
 
-    async def _wait_for_news(self, peer_id: NodeId) -> None:
+    async def _wait_for_update(self, peer_id: NodeId) -> None:
         event = self._event_by_peer[peer_id]
         try:
-            async with asyncio.timeout(seconds(IDLE_MS)):
+            async with asyncio.timeout(seconds(HEARTBEAT_INTERVAL_MS)):
                 await event.wait()
         except TimeoutError:
             return
-        await asyncio.sleep(seconds(_GATHER_MS))
+        await asyncio.sleep(seconds(_BATCH_DELAY_MS))
 
-    async def _keep_engine_leases(self) -> None:
+    async def _maintain_engine_leases(self) -> None:
         while True:
             self.engine_leases.run_step(
                 self.engine_ids(),
                 self.serving_ids(),
-                self.views.settled_ids(self._clock.now()),
+                self.views.stable_ids(self._clock.now()),
             )
-            await asyncio.sleep(seconds(_ENGINE_STEP_MS))
+            await asyncio.sleep(seconds(_ENGINE_LEASE_INTERVAL_MS))
 
     async def _watch_upstream_leases(self) -> None:
         while True:
             now = self._clock.now()
             alive_ids = self.views.alive_ids(now)
-            findings = self._upstream_leases.look(now, alive_ids)
-            self._questions = findings.asks
-            for record in findings.ended:
+            check = self._upstream_leases.check(now, alive_ids)
+            self._lease_queries = check.queries
+            for record in check.expired:
                 _log.info('A lease ended.', upstream=record.upstream_id)
                 self._retire(record, UpstreamState.GONE)
-            self.table.forget_gone(now)
-            await asyncio.sleep(seconds(_UPSTREAM_STEP_MS))
+            self.table.expire_tombstones(now)
+            await asyncio.sleep(seconds(_UPSTREAM_LEASE_INTERVAL_MS))
 
 
 def _unknown_record(
     upstream_id: UpstreamId, incarnation: int
 ) -> UpstreamRecord:
-    """Return a record for an upstream that leaves before it was known."""
+    """Return a record for an upstream that leaves without announcement."""
     return UpstreamRecord(
         upstream_id=upstream_id,
         incarnation=incarnation,
--- a/verbenathread/membership/wire.py
+++ b/verbenathread/membership/wire.py
@@ -1,10 +1,10 @@
-"""Messages between entries, to and from the types of this package."""
+"""Conversion between messages of entries and the types of this package."""
 
 from collections.abc import Iterable, Sequence
 
-from verbenathread.membership.engine_leases import LeaseAsk, Step
-from verbenathread.membership.lease_acceptor import Answer, Verdict
-from verbenathread.membership.upstream_leases import Heard
+from verbenathread.membership.engine_leases import LeaseRequest, Phase
+from verbenathread.membership.lease_acceptor import LeaseResponse, Verdict
+from verbenathread.membership.upstream_leases import RenewalAge
 from verbenathread.membership.upstreams import UpstreamKey
 from verbenathread.schema import peer_pb2
 from verbenathread.types import (
@@ -15,8 +15,8 @@
 )
 
 
-def news_of(record: UpstreamRecord) -> peer_pb2.UpstreamNews:
-    """Return the message for one record."""
+def encode_record(record: UpstreamRecord) -> peer_pb2.UpstreamNews:
+    """Encode one upstream record."""
     return peer_pb2.UpstreamNews(
         upstream_id=record.upstream_id,
         incarnation=record.incarnation,
@@ -33,8 +33,8 @@
     )
 
 
-def record_of(news: peer_pb2.UpstreamNews) -> UpstreamRecord:
-    """Return the record in one message."""
+def decode_record(news: peer_pb2.UpstreamNews) -> UpstreamRecord:
+    """Decode one upstream record."""
     return UpstreamRecord(
         upstream_id=news.upstream_id,
         incarnation=news.incarnation,
@@ -50,8 +50,8 @@
     )
 
 
-def wire_key(key: UpstreamKey) -> peer_pb2.UpstreamKey:
-    """Return the message for the rank of one record."""
+def encode_key(key: UpstreamKey) -> peer_pb2.UpstreamKey:
+    """Encode the rank of one record."""
     return peer_pb2.UpstreamKey(
         upstream_id=key.upstream_id,
         incarnation=key.incarnation,
@@ -61,8 +61,8 @@
     )
 
 
-def key_from(message: peer_pb2.UpstreamKey) -> UpstreamKey:
-    """Return the rank in one message."""
+def decode_key(message: peer_pb2.UpstreamKey) -> UpstreamKey:
+    """Decode the rank of one record."""
     return UpstreamKey(
         message.upstream_id,
         message.incarnation,
@@ -72,79 +72,90 @@
     )
 
 
-def ordered_asks(asks: Iterable[LeaseAsk], life: int) -> tuple[LeaseAsk, ...]:
-    """Return the asks in the order of the wire.
+def order_requests(
+    requests: Iterable[LeaseRequest], incarnation: int
+) -> tuple[LeaseRequest, ...]:
+    """Return the requests in the order in which a message lists them.
 
-    A proposal whose promise came from another life of the acceptor than
-    ``life`` is left out: it would only be refused.
+    A proposal whose promise came from another incarnation of the acceptor is
+    left out, since the acceptor would refuse it.
     """
-    by_step: dict[Step, list[LeaseAsk]] = {step: [] for step in Step}
-    for ask in asks:
-        if ask.step is Step.PROPOSE and ask.life != life:
+    by_phase: dict[Phase, list[LeaseRequest]] = {phase: [] for phase in Phase}
+    for request in requests:
+        if (
+            request.phase is Phase.PROPOSE
+            and request.acceptor_incarnation != incarnation
+        ):
             continue
-        by_step[ask.step].append(ask)
+        by_phase[request.phase].append(request)
     return (
-        *by_step[Step.PREPARE],
-        *by_step[Step.PROPOSE],
-        *by_step[Step.RELEASE],
+        *by_phase[Phase.PREPARE],
+        *by_phase[Phase.PROPOSE],
+        *by_phase[Phase.RELEASE],
     )
 
 
-def put_asks(
-    message: peer_pb2.PeerMessage, asks: Sequence[LeaseAsk], life: int
+def add_requests(
+    message: peer_pb2.PeerMessage,
+    requests: Sequence[LeaseRequest],
+    incarnation: int,
 ) -> None:
-    """Put ordered asks into a message."""
-    batch_by_step = {
-        Step.PREPARE: message.prepare,
-        Step.PROPOSE: message.propose,
-        Step.RELEASE: message.release,
+    """Add ordered lease requests to a message."""
+    batch_by_phase = {
+        Phase.PREPARE: message.prepare,
+        Phase.PROPOSE: message.propose,
+        Phase.RELEASE: message.release,
     }
-    for ask in asks:
-        batch_by_step[ask.step].engines.append(ask.engine)
-        batch_by_step[ask.step].rounds.append(ask.round)
+    for request in requests:
+        batch_by_phase[request.phase].engines.append(request.engine)
+        batch_by_phase[request.phase].rounds.append(request.round)
     if message.propose.engines:
-        message.acceptor_incarnation = life
+        message.acceptor_incarnation = incarnation
 
 
-def asks_from(message: peer_pb2.PeerMessage) -> tuple[LeaseAsk, ...]:
-    """Return the asks in a message, in the order of the wire."""
-    asks = []
-    life = message.acceptor_incarnation
-    for step, batch in (
-        (Step.PREPARE, message.prepare),
-        (Step.PROPOSE, message.propose),
-        (Step.RELEASE, message.release),
+def decode_requests(message: peer_pb2.PeerMessage) -> tuple[LeaseRequest, ...]:
+    """Decode the lease requests of a message, in its order."""
+    requests = []
+    incarnation = message.acceptor_incarnation
+    for phase, batch in (
+        (Phase.PREPARE, message.prepare),
+        (Phase.PROPOSE, message.propose),
+        (Phase.RELEASE, message.release),
     ):
         for engine, ballot_round in zip(
             batch.engines, batch.rounds, strict=True
         ):
-            asks.append(LeaseAsk(step, engine, ballot_round, life, 0))
-    return tuple(asks)
+            requests.append(
+                LeaseRequest(phase, engine, ballot_round, incarnation, 0)
+            )
+    return tuple(requests)
 
 
-def put_answers(reply: peer_pb2.PeerReply, answers: Iterable[Answer]) -> None:
-    """Put the answers to a message's asks into its reply."""
-    for answer in answers:
-        reply.leases.verdicts.append(int(answer.verdict))
-        reply.leases.rounds.append(answer.promised_round)
+def add_responses(
+    reply: peer_pb2.PeerReply, responses: Iterable[LeaseResponse]
+) -> None:
+    """Add the responses to a message's lease requests to its reply."""
+    for response in responses:
+        reply.leases.verdicts.append(int(response.verdict))
+        reply.leases.rounds.append(response.promised_round)
 
 
-def answers_from(reply: peer_pb2.PeerReply) -> tuple[Answer, ...]:
-    """Return the answers in a reply, in the order of the asks."""
+def decode_responses(reply: peer_pb2.PeerReply) -> tuple[LeaseResponse, ...]:
+    """Decode the lease responses of a reply, in the order of the requests."""
     return tuple(
-        Answer(Verdict(verdict), promised_round)
+        LeaseResponse(Verdict(verdict), promised_round)
         for verdict, promised_round in zip(
             reply.leases.verdicts, reply.leases.rounds, strict=True
         )
     )
 
 
-def heard_from(
+def decode_renewal_ages(
     message: peer_pb2.PeerMessage, reply: peer_pb2.PeerReply
-) -> tuple[Heard, ...]:
-    """Return what a reply says of the upstreams that were asked for."""
+) -> tuple[RenewalAge, ...]:
+    """Decode the renewal ages of the upstreams that a message queried."""
     return tuple(
-        Heard(upstream_hash, age - 1 if age else None)
+        RenewalAge(upstream_hash, age - 1 if age else None)
         for upstream_hash, age in zip(
             message.heard_asks, reply.heard_ages, strict=False
         )
