--- a/verbenathread/consensus/follower.py
+++ b/verbenathread/consensus/follower.py
@@ -32,7 +32,7 @@
         self._warned = False
 
     async def append(self, request: AppendRequest) -> AppendReply:
-        """Append entries that match the end of this log."""
+        """Append entries whose predecessor matches this log."""
         state = self._state
         if not self.accepts(request.head):
             return AppendReply(head=state.envelope())
--- a/verbenathread/consensus/leader.py
+++ b/verbenathread/consensus/leader.py
@@ -117,7 +117,7 @@
             return state.log.members_index()
 
     async def _write_batches(self, leadership: Leadership) -> None:
-        """Append all queued proposals as one batch with one sync."""
+        """Append queued proposals in batches, each with one sync."""
         state = self._state
         while state.still_leads(leadership):
             if not leadership.queue:
--- a/verbenathread/consensus/replica.py
+++ b/verbenathread/consensus/replica.py
@@ -75,7 +75,7 @@
         self._failure = ''
 
     async def start(self) -> None:
-        """Load the saved state and join in the group.
+        """Load the saved state and take part in the group.
 
         Raises StorageError if the data folder is damaged or unsuitable.
         """
--- a/verbenathread/consensus/state.py
+++ b/verbenathread/consensus/state.py
@@ -262,8 +262,8 @@
             self.changed.notify_all()
 
 
-# Until it first hears from a leader, a replica waits this fraction of the
-# election timeout per step.
+# Until it first hears from a leader, a replica waits in steps of the election
+# timeout divided by this.
 _STARTUP_WAIT_DIVISOR = 8
 
 
