--- a/tests/control_commands.py
+++ b/tests/control_commands.py
@@ -1,4 +1,4 @@
-"""Commands and texts that the tests of control share."""
+"""Commands and settings texts shared by the tests of control."""
 
 import hashlib
 
@@ -13,7 +13,7 @@
 
 
 def account_text(rate: int, name: str = 'tillery') -> str:
-    """Return a branch with one client account at ``rate`` requests/s."""
+    """Return a branch text with one client account at ``rate`` requests/s."""
     hashed = hashlib.sha256(name.encode()).hexdigest()
     return (
         f'[account {name}]\nkey_sha256 = {hashed}\n'
@@ -22,7 +22,7 @@
 
 
 def operator_text(name: str) -> str:
-    """Return a section that names one operator."""
+    """Return the section of one operator."""
     return f'[operator {name}]\nkey_sha256 = {OPERATOR_SHA}\n'
 
 
@@ -36,7 +36,7 @@
     key: str = ROOT_KEY,
     remove: bool = False,
 ) -> commands_pb2.Command:
-    """Return a change of one branch as the proposer writes it."""
+    """Return the command that changes one branch."""
     return commands_pb2.Command(
         change=commands_pb2.ChangeCommand(
             operation_id=operation_id,
@@ -50,7 +50,7 @@
 
 
 class Log:
-    """A log of one replica that can be replayed or cut by a snapshot."""
+    """The log of one replica, which can be replayed or compacted."""
 
     def __init__(self) -> None:
         self.machine = ControlMachine()
@@ -69,7 +69,7 @@
         return control_pb2.ChangeReply.FromString(self.apply(command, now))
 
     def restore_from_snapshot(self) -> None:
-        """Go on with a machine that was restored from a snapshot."""
+        """Replace the machine by one restored from its snapshot."""
         restored = ControlMachine()
         restored.restore(self.machine.snapshot())
         self.machine = restored
--- a/tests/control_processes.py
+++ b/tests/control_processes.py
@@ -1,4 +1,4 @@
-"""Real control processes for tests, each started and ended by its id."""
+"""Real control processes for tests, each stopped by its process id."""
 
 import asyncio
 import contextlib
@@ -23,7 +23,7 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports that nobody used a moment ago."""
+    """Return ports that were free a moment ago."""
     socks = [socket.socket() for _ in range(count)]
     for sock in socks:
         sock.bind(('127.0.0.1', 0))
@@ -34,7 +34,7 @@
 
 
 class ControlGroup:
-    """Control processes c0, c1, ... over one folder each."""
+    """Control processes c0, c1, ... with one data folder each."""
 
     def __init__(
         self, processes: Processes, *, count: int = 3, records: int = 50
@@ -64,7 +64,7 @@
             self.start(name)
 
     def start(self, name: str) -> Started:
-        """Start one process; its name is free again after it ended."""
+        """Start one process; its name can be reused after it ended."""
         return self.processes.start(
             name,
             'verbenathread',
@@ -74,7 +74,7 @@
         )
 
     def lose_disk(self, name: str) -> None:
-        """Kill a process and give it an empty folder that waits to join."""
+        """Kill a process and restart it with an empty folder, set to join."""
         started = self.processes.by_name[name]
         started.send(signal.SIGKILL)
         started.wait(20)
@@ -94,22 +94,22 @@
 
 
 class NodeSession:
-    """A node that takes what control pushes and reports what it runs."""
+    """A node that applies updates from control and reports its revision."""
 
     def __init__(self, group: ControlGroup, node_id: str, *names: str) -> None:
         self.node_id = node_id
         self.revision = 0
         self.regressed = False
-        # Loop time at which each revision was first run.
+        # Monotonic time at which each revision was applied.
         self.time_by_revision: dict[int, float] = {}
         self._addresses = [group.address_by_name[name] for name in names]
 
     async def run(self) -> None:
         """Hold a session with any of the processes, until cancelled."""
-        turn = 0
+        attempts = 0
         while True:
-            address = self._addresses[turn % len(self._addresses)]
-            turn += 1
+            address = self._addresses[attempts % len(self._addresses)]
+            attempts += 1
             channel = Channel(address.host, address.port)
             with contextlib.suppress(GRPCError, StreamTerminatedError, OSError):
                 await self._exchange_messages(ControlStub(channel))
@@ -117,7 +117,7 @@
             await asyncio.sleep(0.05)
 
     def apply_update(self, update: control_pb2.TreeUpdate) -> None:
-        """Run what an update brings, and note if it were older."""
+        """Apply an update, and record whether it is older."""
         if update.branches and update.revision < self.revision:
             self.regressed = True
         if update.revision <= self.revision:
--- a/tests/test_control_audit.py
+++ b/tests/test_control_audit.py
@@ -1,4 +1,4 @@
-"""Tests of what an operator reads of the audit trail."""
+"""Tests of reading the audit trail."""
 
 import unittest
 
@@ -21,4 +21,4 @@
         for after, limit, path, expected in cases:
             with self.subTest(after=after, limit=limit, path=path):
                 found = trail.after(after, limit, path)
-                self.assertEqual([each.index for each in found], expected)
+                self.assertEqual([record.index for record in found], expected)
--- a/tests/test_control_claims.py
+++ b/tests/test_control_claims.py
@@ -1,4 +1,4 @@
-"""The claim table: a call that may not be repeated runs at most once."""
+"""Tests that a call that is not idempotent runs at most once."""
 
 import unittest
 
@@ -55,48 +55,60 @@
 
 class ClaimTableTest(unittest.TestCase):
     def test_answers(self):
-        """Each row: what came before, the claim, the time, the answer."""
+        """Each row: earlier commands, the claim, its time, the state."""
         first = claim('a')
         gone = commands_pb2.OwnerGone(node_id='e1', incarnation=1)
-        for name, before, asked, now, expected in (
+        for name, earlier, request, now, expected in (
             ('first', (), first, 0, HELD),
             ('resent', (first,), first, 5, HELD),
             ('second entry', (first,), claim('b', node='e2'), 5, IN_PROGRESS),
             ('other body', (first,), claim('b', body='c'), 5, 6),
             ('over its limit', (first,), claim('b'), LIMIT + 1, UNKNOWN),
-            ('its own, too late', (first,), first, LIMIT + 1, UNKNOWN),
+            (
+                'own attempt, over its limit',
+                (first,),
+                first,
+                LIMIT + 1,
+                UNKNOWN,
+            ),
             ('restarted', (first,), claim('b', incarnation=2), 5, UNKNOWN),
             ('owner gone', (first, gone), claim('b', node='e2'), 5, UNKNOWN),
             ('completed', (first, settle('a', COMPLETED)), claim('b'), 5, 3),
             ('not run', (first, settle('a', NOT_RUN)), claim('b'), 5, HELD),
-            ('late copy', (first, settle('a', NOT_RUN)), first, 5, NOT_RUN),
             (
-                'one let in',
+                'repeated after not run',
+                (first, settle('a', NOT_RUN)),
+                first,
+                5,
+                NOT_RUN,
+            ),
+            (
+                'only one more attempt',
                 (first, settle('a', NOT_RUN), claim('b')),
                 claim('c'),
                 5,
                 IN_PROGRESS,
             ),
             (
-                'unknown, then told',
+                'completed after unknown',
                 (first, gone, settle('a', COMPLETED)),
                 claim('b', node='e2'),
                 5,
                 COMPLETED,
             ),
-            ('kept', (first,), claim('b'), LIMIT + RETENTION - 1, UNKNOWN),
-            ('forgotten', (first,), claim('b'), LIMIT + RETENTION, HELD),
+            ('retained', (first,), claim('b'), LIMIT + RETENTION - 1, UNKNOWN),
+            ('removed', (first,), claim('b'), LIMIT + RETENTION, HELD),
         ):
             with self.subTest(name):
                 log = Log()
-                for step in before:
+                for step in earlier:
                     log.apply(_command(step))
                 log.restore_from_snapshot()
-                reply = log.apply(_command(asked), now)
+                reply = log.apply(_command(request), now)
                 state = control_pb2.ClaimReply.FromString(reply).state
                 self.assertEqual(state, expected)
 
-    def test_settle_resent_gets_the_same_answer(self):
+    def test_repeated_settle_gets_the_same_answer(self):
         for state in (COMPLETED, NOT_RUN, UNKNOWN):
             table = ClaimTable()
             table.claim(claim('a'), 0)
@@ -108,7 +120,7 @@
             with self.subTest(state=state):
                 self.assertEqual(set(codes), {control_pb2.OK})
 
-    def test_contradictions_are_refused(self):
+    def test_conflicting_outcome_is_refused(self):
         table = ClaimTable()
         table.claim(claim('a'), 0)
         table.settle(settle('a', COMPLETED), 1)
@@ -130,7 +142,7 @@
             codes.add(table.claim(request, 3).answer.code)
         self.assertEqual(codes, {control_pb2.OK, control_pb2.NO_QUORUM})
 
-    def test_replaced_run_gets_nothing(self):
+    def test_replaced_incarnation_is_refused(self):
         table = ClaimTable()
         table.claim(claim('a', incarnation=2), 0)
         reply = table.claim(claim('b', incarnation=1), 1)
@@ -138,21 +150,21 @@
 
 
 class ClaimsRunOnce(RuleBasedStateMachine):
-    """Entries that claim, send, settle, resend, die and come back.
+    """Entries that claim, send, settle, retry, crash and restart.
 
     An entry sends only on HELD, once for each attempt, and within the time
-    limit by its own clock; what it sends counts as run unless the entry
-    itself then says that it was not.
+    limit by its own clock. A sent call counts as run unless the entry itself
+    then reports that it was not.
     """
 
     @initialize()
-    def begin(self) -> None:
+    def initialize_log(self) -> None:
         self.log = Log()
         self.now = 0
         self.number = 0
         self.sent: set[str] = set()
         self.not_run: set[str] = set()
-        self.asked: dict[str, control_pb2.ClaimRequest] = {}
+        self.request_by_attempt: dict[str, control_pb2.ClaimRequest] = {}
         self.settled: dict[str, tuple[control_pb2.SettleRequest, int]] = {}
         self.incarnation = {'e1': 1, 'e2': 1}
 
@@ -160,13 +172,15 @@
     def arrive(self, node: str) -> None:
         self.number += 1
         attempt = f'{node}/{self.incarnation[node]}/{self.number}'
-        self._ask(claim(attempt, node=node, incarnation=self.incarnation[node]))
+        self._claim(
+            claim(attempt, node=node, incarnation=self.incarnation[node])
+        )
 
     @rule(pick=st.integers(0, 99))
     def resend_claim(self, pick: int) -> None:
-        if self.asked:
-            attempts = sorted(self.asked)
-            self._ask(self.asked[attempts[pick % len(attempts)]])
+        if self.request_by_attempt:
+            attempts = sorted(self.request_by_attempt)
+            self._claim(self.request_by_attempt[attempts[pick % len(attempts)]])
 
     @rule(
         pick=st.integers(0, 99),
@@ -196,9 +210,9 @@
         )
         assert reply.answer.code == code
 
-    @rule(node=st.sampled_from(('e1', 'e2')), told=st.booleans())
-    def die(self, node: str, told: bool) -> None:
-        if told:
+    @rule(node=st.sampled_from(('e1', 'e2')), reported=st.booleans())
+    def crash(self, node: str, reported: bool) -> None:
+        if reported:
             gone = commands_pb2.OwnerGone(
                 node_id=node, incarnation=self.incarnation[node]
             )
@@ -207,7 +221,7 @@
 
     @rule(step=st.sampled_from((1, LIMIT // 2, LIMIT + 1)))
     def wait(self, step: int) -> None:
-        # The whole run stays within the retention.
+        # The whole run stays within the retention time.
         self.now = min(self.now + step, RETENTION)
 
     @rule()
@@ -218,9 +232,9 @@
     def at_most_one_run(self) -> None:
         assert len(self.sent - self.not_run) <= 1, self.sent
 
-    def _ask(self, request: control_pb2.ClaimRequest) -> None:
+    def _claim(self, request: control_pb2.ClaimRequest) -> None:
         attempt = request.attempt_id
-        self.asked[attempt] = request
+        self.request_by_attempt[attempt] = request
         reply = control_pb2.ClaimReply.FromString(
             self.log.apply(_command(request), self.now)
         )
--- a/tests/test_control_load_limit.py
+++ b/tests/test_control_load_limit.py
@@ -1,4 +1,4 @@
-"""Tests of how many loads of weights are ordered at once, and which."""
+"""Tests of how many weight loads are ordered at once, and which first."""
 
 import unittest
 
@@ -10,44 +10,44 @@
 class LoadLimitTest(unittest.TestCase):
     def setUp(self):
         self.clock = ManualClock()
-        self.most = 2
-        self.limit = WeightLoadLimiter(lambda: self.most, self.clock)
+        self.max_loads = 2
+        self.limit = WeightLoadLimiter(lambda: self.max_loads, self.clock)
 
-    def storm(self, engines=20, model='m'):
+    def started_engines(self, engines=20, model='m'):
         return [
             engine
             for engine in range(engines)
             if self.limit.may_load(f'e{engine}', model)
         ]
 
-    def test_a_storm_of_restarts_loads_a_few_at_a_time(self):
-        self.assertEqual(self.storm(), [0, 1])
-        self.assertEqual(self.storm(), [0, 1])
+    def test_many_restarted_engines_load_a_few_at_a_time(self):
+        self.assertEqual(self.started_engines(), [0, 1])
+        self.assertEqual(self.started_engines(), [0, 1])
         self.limit.record_models('e0', ('m',))
-        self.assertEqual(len(self.storm()), 2)
+        self.assertEqual(len(self.started_engines()), 2)
 
-    def test_what_nobody_serves_goes_first(self):
+    def test_unserved_model_loads_first(self):
         self.limit.record_models('e9', ('common',))
-        self.most = 0
+        self.max_loads = 0
         self.assertFalse(self.limit.may_load('e1', 'common'))
         self.assertFalse(self.limit.may_load('e2', 'rare'))
-        self.most = 1
+        self.max_loads = 1
         self.assertFalse(self.limit.may_load('e1', 'common'))
         self.assertTrue(self.limit.may_load('e2', 'rare'))
 
-    def test_places_come_back(self):
+    def test_slots_are_freed(self):
         cases = (
             ('refused or gone', lambda: self.limit.forget('e0')),
             ('shown', lambda: self.limit.record_models('e0', ('m',))),
-            ('too late', lambda: self.clock.advance(LOAD_TIMEOUT + 1)),
+            ('timed out', lambda: self.clock.advance(LOAD_TIMEOUT + 1)),
         )
-        for name, act in cases:
+        for name, free in cases:
             with self.subTest(name):
                 self.setUp()
-                self.most = 1
+                self.max_loads = 1
                 self.assertTrue(self.limit.may_load('e0', 'm'))
                 self.assertFalse(self.limit.may_load('e1', 'm'))
-                act()
+                free()
                 self.assertTrue(
                     self.limit.may_load('e1', 'm')
                     or self.limit.may_load('e0', 'm')
--- a/tests/test_control_machine.py
+++ b/tests/test_control_machine.py
@@ -1,4 +1,4 @@
-"""Changes of the tree, answers to resends and the audit trail."""
+"""Tests of tree changes, replies to retries and the audit trail."""
 
 import unittest
 
@@ -12,7 +12,7 @@
     def setUp(self):
         self.log = make.Log()
 
-    def test_one_number_one_winner(self):
+    def test_only_one_change_per_revision_is_accepted(self):
         for writer in ('first', 'second'):
             text = make.operator_text(writer).replace(
                 make.OPERATOR_SHA, make.ROOT_SHA
@@ -20,8 +20,8 @@
             self.log.change(
                 make.change(writer, text, 0, path=f'/desk/{writer}')
             )
-        won = self.log.change(make.change('a', make.account_text(1), 0))
-        lost = self.log.change(
+        accepted = self.log.change(make.change('a', make.account_text(1), 0))
+        refused = self.log.change(
             make.change(
                 'b',
                 make.account_text(2),
@@ -31,14 +31,14 @@
                 path='/desk',
             )
         )
-        self.assertEqual(won.answer.code, control_pb2.OK)
-        # The operator of /desk/first may not touch /desk at all.
-        self.assertEqual(lost.answer.code, control_pb2.DENIED)
-        lost = self.log.change(make.change('c', make.account_text(2), 0))
-        self.assertEqual(lost.answer.code, control_pb2.CONFLICT)
-        self.assertEqual(lost.current.changed_by, 'root')
-        self.assertEqual(lost.current.text, make.account_text(1))
-        self.assertIn(f'revision {won.revision}', lost.answer.message)
+        self.assertEqual(accepted.answer.code, control_pb2.OK)
+        # The operator of /desk/first may not change /desk.
+        self.assertEqual(refused.answer.code, control_pb2.DENIED)
+        refused = self.log.change(make.change('c', make.account_text(2), 0))
+        self.assertEqual(refused.answer.code, control_pb2.CONFLICT)
+        self.assertEqual(refused.current.changed_by, 'root')
+        self.assertEqual(refused.current.text, make.account_text(1))
+        self.assertIn(f'revision {accepted.revision}', refused.answer.message)
         results = [record.result for record in self.log.machine.audit.images()]
         self.assertEqual(results[2:], ['accepted', 'denied', 'conflict'])
 
@@ -49,12 +49,12 @@
         again = make.change('x', make.account_text(5), 1)
         self.assertEqual(self.log.change(again).revision, 3)
 
-    def test_resend_gets_its_first_answer(self):
-        won = make.change('won', make.account_text(1), 0)
-        lost = make.change('lost', make.account_text(2), 0)
+    def test_retry_gets_the_first_reply(self):
+        accepted = make.change('won', make.account_text(1), 0)
+        refused = make.change('lost', make.account_text(2), 0)
         first_by_id = {
-            'won': self.log.apply(won),
-            'lost': self.log.apply(lost),
+            'won': self.log.apply(accepted),
+            'lost': self.log.apply(refused),
         }
         revision = 1
         for count in range(500):
@@ -66,7 +66,7 @@
             if count == 250:
                 self.log.restore_from_snapshot()
         self.log.restore_from_snapshot()
-        for command in (won, lost):
+        for command in (accepted, refused):
             answer = self.log.apply(command)
             self.assertEqual(answer, first_by_id[command.change.operation_id])
         current = self.log.machine.tree.get('/desk')
@@ -79,13 +79,13 @@
         current = self.log.machine.tree.get('/desk')
         self.assertEqual(current.text, make.account_text(1))
 
-    def test_denied_stranger_uses_up_no_identifier(self):
+    def test_denied_request_uses_up_no_operation_id(self):
         text = make.account_text(1)
         self.log.apply(make.change('a', text, 0, key='wrong'))
         reply = self.log.change(make.change('a', text, 0))
         self.assertEqual(reply.answer.code, control_pb2.OK)
 
-    def test_operator_stays_in_the_branch(self):
+    def test_operator_may_change_only_own_branches(self):
         self.log.apply(make.change('o', make.operator_text('mo'), 0))
         for path, key, code in (
             ('/desk', make.OPERATOR_KEY, control_pb2.OK),
@@ -153,7 +153,7 @@
         self.log.restore_from_snapshot()
         self.assertEqual(self.log.machine.snapshot(), snapshot)
 
-    def test_unreadable_snapshots_stop(self):
+    def test_unreadable_snapshot_raises(self):
         image = commands_pb2.Image(version=99)
         for damaged in (image.SerializeToString(), b'\xff\xff'):
             with self.subTest(damaged=damaged):
--- a/tests/test_control_orders.py
+++ b/tests/test_control_orders.py
@@ -1,4 +1,4 @@
-"""Orders: fencing, the frozen leader, and the wait of a new one."""
+"""Tests of order fencing, a suspended leader and the takeover delay."""
 
 import asyncio
 import contextlib
@@ -23,7 +23,7 @@
 
 
 class FakeControlLog:
-    """The log as one process sees it."""
+    """The control log of one process, reduced to its leadership."""
 
     def __init__(self, term: int) -> None:
         self.term = term
@@ -34,18 +34,18 @@
 
 
 class FakeEngine:
-    """An engine in memory; it may check fencing numbers or ignore them."""
+    """An in-memory engine that checks fencing numbers or ignores them."""
 
     def __init__(self, *, checked: bool) -> None:
         self.checked = checked
-        self.shown = ReportedState(0, (), 'both', '')
+        self.reported = ReportedState(0, (), 'both', '')
         self.accepted: list[tuple[int, str]] = []
         self.before_check: list[Any] = []
         self.after_check: list[Any] = []
         self.lost_sends = 0
 
     def read(self, address, limit):
-        return self.shown
+        return self.reported
 
     def send(self, address, order, limit, may_send):
         while self.before_check:
@@ -57,13 +57,13 @@
         if self.lost_sends:
             self.lost_sends -= 1
             raise UnavailableError('lost')
-        if self.checked and order.fencing < self.shown.fencing:
+        if self.checked and order.fencing < self.reported.fencing:
             raise OrderRefusedError('old number')
         self.accepted.append((order.fencing, order.subject))
-        self.shown = self.shown._replace(
+        self.reported = self.reported._replace(
             fencing=order.fencing, role=order.subject
         )
-        return self.shown
+        return self.reported
 
 
 def order(log: Log, action: str, subject: str, address: str = '') -> None:
@@ -94,19 +94,19 @@
 
 
 def make_sender(log, engine, clock, term):
-    leadership = FakeControlLog(term)
+    control_log = FakeControlLog(term)
     sender = OrderSender(
-        log=leadership,
+        log=control_log,
         machine=log.machine,
         transport=engine,
         clock=clock,
         lease=LEASE,
     )
-    return sender, leadership
+    return sender, control_log
 
 
 def advance(sender, clock, steps, step=200):
-    async def scene():
+    async def scenario():
         left = steps
         while left:
             left -= 1
@@ -114,42 +114,45 @@
             await sender.idle()
             clock.advance(step)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def freeze_old_leader(frozen, checked):
-    """Freeze the old leader at one step of an order; return what came."""
+def suspend_old_leader(suspend_point, checked):
+    """Suspend the old leader while it sends an order.
+
+    Return how many of its orders were accepted, and the final role.
+    """
     log = service_log('checked' if checked else 'ignored')
     order(log, 'role', 'prefill')
     engine = FakeEngine(checked=checked)
     clock = ManualClock(1000)
-    old, old_lead = make_sender(log, engine, clock, 1)
-    later = Log()
-    later.machine.restore(log.machine.snapshot())
-    later.commands = list(log.commands)
-    order(later, 'role', 'decode')
-    new, _ = make_sender(later, engine, clock, 2)
-
-    def freeze():
-        # While the old leader stands still another one takes over.
-        old_lead.is_leader = False
+    old, old_log = make_sender(log, engine, clock, 1)
+    new_log = Log()
+    new_log.machine.restore(log.machine.snapshot())
+    new_log.commands = list(log.commands)
+    order(new_log, 'role', 'decode')
+    new, _ = make_sender(new_log, engine, clock, 2)
+
+    def suspend():
+        # Another leader takes over while the old one is suspended.
+        old_log.is_leader = False
         advance(new, clock, 30)
 
     advance(old, clock, 15, step=210)
     wanted = next(iter(log.machine.wanted.images()))
-    getattr(engine, frozen).append(freeze)
+    getattr(engine, suspend_point).append(suspend)
     engine.accepted.clear()
-    engine.shown = engine.shown._replace(role='both', fencing=0)
+    engine.reported = engine.reported._replace(role='both', fencing=0)
     with contextlib.suppress(LeadershipLostError, OrderRefusedError):
         old.reconcile(wanted, 1, checked=checked)
-    taken = list(engine.accepted)
+    accepted = list(engine.accepted)
     advance(new, clock, 60)
-    late = [entry for entry in taken if entry[1] == 'prefill']
-    return len(late), engine.shown.role
+    stale_orders = [entry for entry in accepted if entry[1] == 'prefill']
+    return len(stale_orders), engine.reported.role
 
 
 class OrderSenderTest(unittest.TestCase):
-    def test_new_leader_waits_where_numbers_are_ignored(self):
+    def test_new_leader_waits_if_fencing_is_ignored(self):
         for fencing, waits in (('ignored', True), ('checked', False)):
             with self.subTest(fencing=fencing):
                 log = service_log(fencing)
@@ -163,37 +166,37 @@
                 advance(sender, clock, 5)
                 self.assertEqual(engine.accepted, [(2, 'prefill')])
 
-    def test_frozen_leader_wakes_and_orders(self):
-        """Frozen before the check: not sent. After it: put right."""
-        for frozen, checked, expected in (
+    def test_order_of_resumed_leader_has_no_lasting_effect(self):
+        """Suspended before the check: not sent. After it: corrected."""
+        for suspend_point, checked, expected in (
             ('before_check', False, 0),
             ('before_check', True, 0),
             ('after_check', False, 1),
             ('after_check', True, 0),
         ):
-            with self.subTest(frozen=frozen, checked=checked):
-                late, role = freeze_old_leader(frozen, checked)
-                self.assertEqual(late, expected)
+            with self.subTest(suspend_point=suspend_point, checked=checked):
+                stale_orders, role = suspend_old_leader(suspend_point, checked)
+                self.assertEqual(stale_orders, expected)
                 self.assertEqual(role, 'decode')
 
-    def test_lost_orders_are_repeated_until_shown(self):
+    def test_lost_orders_are_repeated_until_reported(self):
         log = service_log('checked')
         order(log, 'role', 'decode')
         engine = FakeEngine(checked=True)
         engine.lost_sends = 3
         clock = ManualClock(1000)
-        sender, leadership = make_sender(log, engine, clock, 1)
+        sender, control_log = make_sender(log, engine, clock, 1)
         advance(sender, clock, 60)
-        self.assertEqual(engine.shown.role, 'decode')
+        self.assertEqual(engine.reported.role, 'decode')
         self.assertEqual(sender.statuses()[0].state, 'shown')
-        # An engine that restarted and forgot is brought back too.
-        engine.shown = ReportedState(0, (), 'both', '')
+        # An engine that lost its state in a restart is reconciled too.
+        engine.reported = ReportedState(0, (), 'both', '')
         advance(sender, clock, 600)
-        self.assertEqual(engine.shown.role, 'decode')
-        leadership.is_leader = False
+        self.assertEqual(engine.reported.role, 'decode')
+        control_log.is_leader = False
         order(log, 'role', 'prefill')
         advance(sender, clock, 50)
-        self.assertEqual(engine.shown.role, 'decode')
+        self.assertEqual(engine.reported.role, 'decode')
 
 
 class HttpUpstreamsTest(unittest.TestCase):
@@ -217,17 +220,17 @@
             with self.subTest(fencing=fencing):
                 states = {status.state for status in sender.statuses()}
                 self.assertEqual(states, {'shown'})
-                # An older slot is repeated under the newest number.
+                # An older order is repeated with the newest fencing number.
                 standin.state.order['role'] = 'both'
                 advance(sender, clock, 30)
                 self.assertEqual(standin.state.order['role'], 'decode')
                 with contextlib.suppress(OrderRefusedError):
                     sender.reconcile(stale, 1, checked=True)
-                # Only an engine that ignores numbers takes the old order.
-                taken = 'adapter-7' in standin.state.order['models']
-                self.assertEqual(taken, fencing == 'ignored')
+                # Only an engine that ignores fencing accepts the old order.
+                accepted = 'adapter-7' in standin.state.order['models']
+                self.assertEqual(accepted, fencing == 'ignored')
 
-    def test_dead_upstream_is_named(self):
+    def test_error_names_the_unreachable_upstream(self):
         with self.assertRaises(UnavailableError) as caught:
             HttpOrderTransport().read('127.0.0.1:1', 500)
         self.assertIn('127.0.0.1:1', str(caught.exception))
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -1,4 +1,7 @@
-"""Three control processes over synced disks, killed, frozen and restarted."""
+"""Tests of three control processes that are killed, suspended or restarted.
+
+The processes sync their log to real disks.
+"""
 
 import asyncio
 import contextlib
@@ -27,20 +30,20 @@
 
 
 async def until(condition):
-    """Wait for ``condition``; the bound is far over any run."""
+    """Wait for ``condition``; the timeout is far longer than any run."""
     async with asyncio.timeout(30):
         while not condition():
             await asyncio.sleep(0.02)
 
 
-async def nodes_at(client, revision):
-    """Return how many nodes run ``revision``, as the leader knows."""
+async def count_nodes_at(client, revision):
+    """Return how many nodes report ``revision`` to the leader."""
     reply = await client.status()
     return sum(node.revision == revision for node in reply.nodes)
 
 
 async def leader_hint(group, name):
-    """Return whom one process takes for the leader."""
+    """Return the leader according to one process."""
     address = group.address_by_name[name]
     with contextlib.closing(Channel(address.host, address.port)) as channel:
         reply = await ControlStub(channel).Status(
@@ -52,7 +55,7 @@
     return reply.answer.leader
 
 
-async def change_in_turn(client, count, revision):
+async def change_repeatedly(client, count, revision):
     """Change one branch ``count`` times; return the last revision."""
     left = count
     while left:
@@ -64,19 +67,19 @@
 
 
 async def call_leader(group, request, call='Claim', node_key=NODE_KEY):
-    """Send a node's call to each process in turn until one leads."""
+    """Send a node's call to each process in turn until the leader answers."""
     request.cluster = CLUSTER
     request.node_key = node_key
-    turn = 0
+    attempts = 0
     while True:
-        address = group.address_by_name[NAMES[turn % 3]]
-        turn += 1
+        address = group.address_by_name[NAMES[attempts % 3]]
+        attempts += 1
         channel = Channel(address.host, address.port)
         method = getattr(ControlStub(channel), call)
         try:
             reply = await asyncio.wait_for(method(request, timeout=4), 4)
         except (OSError, StreamTerminatedError):
-            # The process was killed; the same attempt asks again.
+            # The process was killed; retry the same attempt.
             reply = control_pb2.ClaimReply()
         channel.close()
         if reply.answer.code == control_pb2.OK:
@@ -103,21 +106,21 @@
 
 
 class ProcessesTest(unittest.TestCase):
-    def run_scene(self, scene, **options):
+    def run_scenario(self, scenario, **options):
         with tempfile.TemporaryDirectory() as name:
             with running(Path(name)) as processes:
                 group = ControlGroup(processes, **options)
-                asyncio.run(scene(group, processes, group.client()))
+                asyncio.run(scenario(group, processes, group.client()))
 
-    def test_change_outlives_the_leader_and_a_restart(self):
-        async def scene(group, processes, client):
+    def test_change_survives_leader_loss_and_restart(self):
+        async def scenario(group, processes, client):
             first = await client.change(
                 '/desk', account_text(1), 0, operation_id='first'
             )
             leader = (await client.status()).leader
             processes.by_name[leader].send(signal.SIGKILL)
             second = await client.change('/desk', account_text(2), first)
-            # The answer to a resend is the first one, from another leader.
+            # A retry at another leader gets the first reply.
             again = await client.change(
                 '/desk', account_text(1), 0, operation_id='first'
             )
@@ -125,7 +128,7 @@
             with self.assertRaises(BranchConflictError) as caught:
                 await client.change('/desk', account_text(3), first)
             self.assertEqual(caught.exception.current.text, account_text(2))
-            last = await change_in_turn(client, 500, second)
+            last = await change_repeatedly(client, 500, second)
             for name in NAMES:
                 processes.by_name[name].send(signal.SIGKILL)
                 processes.by_name[name].process.wait()
@@ -139,10 +142,10 @@
             self.assertEqual(tree.branches[0].text, account_text(10))
             client.close()
 
-        self.run_scene(scene)
+        self.run_scenario(scenario)
 
-    def test_change_in_force_while_the_leader_is_killed(self):
-        async def scene(group, processes, client):
+    def test_change_reaches_nodes_while_leader_is_killed(self):
+        async def scenario(group, processes, client):
             nodes = [
                 NodeSession(group, f'e{number}', *NAMES[number % 3 :], *NAMES)
                 for number in range(9)
@@ -160,8 +163,8 @@
                 lambda: all(node.revision == revision for node in nodes)
             )
             async with asyncio.timeout(20):
-                # Followers tell the new leader within a second.
-                while await nodes_at(client, revision) < 9:
+                # Followers report to the new leader within a second.
+                while await count_nodes_at(client, revision) < 9:
                     await asyncio.sleep(0.1)
             self.assertFalse(any(node.regressed for node in nodes))
             for task in tasks:
@@ -169,35 +172,35 @@
             await asyncio.wait(tasks)
             client.close()
 
-        self.run_scene(scene)
+        self.run_scenario(scenario)
 
-    def test_frozen_leader_with_operators_on_both_sides(self):
-        async def scene(group, processes, client):
+    def test_suspended_leader_with_operators_on_both_sides(self):
+        async def scenario(group, processes, client):
             revision = await client.change('/desk', account_text(1), 0)
             leader = (await client.status()).leader
             others = [name for name in NAMES if name != leader]
             processes.by_name[leader].send(signal.SIGSTOP)
-            stuck = group.client(leader, limit=60_000)
-            late = asyncio.create_task(
-                stuck.change('/desk', account_text(2), revision)
+            old_client = group.client(leader, limit=60_000)
+            stale_change = asyncio.create_task(
+                old_client.change('/desk', account_text(2), revision)
             )
-            there = group.client(*others)
-            won = await there.change('/desk', account_text(3), revision)
+            new_client = group.client(*others)
+            won = await new_client.change('/desk', account_text(3), revision)
             processes.by_name[leader].send(signal.SIGCONT)
             with self.assertRaises(BranchConflictError) as caught:
-                await late
+                await stale_change
             self.assertEqual(caught.exception.current.revision, won)
-            tree = await stuck.read_tree()
+            tree = await old_client.read_tree()
             self.assertEqual(tree.branches[0].text, account_text(3))
-            for one in (client, stuck, there):
-                one.close()
+            for each in (client, old_client, new_client):
+                each.close()
 
-        self.run_scene(scene)
+        self.run_scenario(scenario)
 
-    def test_lost_disk_and_then_a_second_vm(self):
-        async def scene(group, processes, client):
+    def test_lost_disk_then_loss_of_a_second_vm(self):
+        async def scenario(group, processes, client):
             revision = await client.change('/desk', account_text(1), 0)
-            last = await change_in_turn(client, 120, revision)
+            last = await change_repeatedly(client, 120, revision)
             leader = (await client.status()).leader
             lost, second = (name for name in NAMES if name != leader)
             address = str(group.address_by_name[lost])
@@ -205,22 +208,24 @@
             await client.change_member('remove', lost)
             await client.change_member('add', lost, address)
             await client.change_member('promote', lost)
-            # Right after the repair: the new member is one of the two left.
+            # The quorum now depends on the member that was just added.
             processes.by_name[second].send(signal.SIGKILL)
             last = await client.change('/desk', account_text(2), last)
             tree = await client.read_tree()
             self.assertEqual(tree.revision, last)
             members = (await client.status()).members
-            self.assertEqual([one.voter for one in members], [True, True, True])
+            self.assertEqual(
+                [each.voter for each in members], [True, True, True]
+            )
             trail = await client.audit(last - 8, 20, '')
             actions = {record.action for record in trail.records}
             self.assertIn('member add', actions)
             client.close()
 
-        self.run_scene(scene)
+        self.run_scenario(scenario)
 
-    def test_claim_outlives_leader_and_owner(self):
-        async def scene(group, processes, client):
+    def test_claim_survives_loss_of_leader_and_owner(self):
+        async def scenario(group, processes, client):
             held = await call_leader(group, claim('a'))
             self.assertEqual(held.state, control_pb2.CLAIM_HELD)
             with self.assertRaises(GRPCError):
@@ -233,21 +238,21 @@
             self.assertEqual(restarted.state, control_pb2.CLAIM_OUTCOME_UNKNOWN)
             client.close()
 
-        self.run_scene(scene)
+        self.run_scenario(scenario)
 
-    def test_frozen_leader_wakes_and_orders_nothing(self):
+    def test_resumed_leader_sends_no_orders(self):
         engine = LocalStandIn('engine', '--fencing', 'ignored')
         self.addCleanup(engine.stop)
-        taken = []
+        accepted = []
         take_order = engine.state.take_order
 
         def record(order):
-            taken.append(order['subject'])
+            accepted.append(order['subject'])
             return take_order(order)
 
         engine.state.take_order = record
 
-        async def scene(group, processes, client):
+        async def scenario(group, processes, client):
             await client.change('/', service_text(), 0)
             await client.order(
                 'w1',
@@ -256,27 +261,29 @@
                 address=str(engine.address),
                 service='draft-desk',
             )
-            await until(lambda: taken)
+            await until(lambda: accepted)
             leader = (await client.status()).leader
             processes.by_name[leader].send(signal.SIGSTOP)
-            # The engine forgets, so that the old leader has cause to order.
+            # The engine loses its role, so that the old leader would resend.
             engine.state.order['role'] = 'both'
-            there = group.client(*(name for name in NAMES if name != leader))
-            await there.order('w1', 'role', 'decode')
-            await until(lambda: 'decode' in taken)
-            taken.clear()
+            new_client = group.client(
+                *(name for name in NAMES if name != leader)
+            )
+            await new_client.order('w1', 'role', 'decode')
+            await until(lambda: 'decode' in accepted)
+            accepted.clear()
             engine.state.order['role'] = 'both'
             processes.by_name[leader].send(signal.SIGCONT)
-            await until(lambda: taken)
+            await until(lambda: accepted)
             await asyncio.sleep(2)
-            self.assertEqual(set(taken), {'decode'})
+            self.assertEqual(set(accepted), {'decode'})
             client.close()
-            there.close()
+            new_client.close()
 
-        self.run_scene(scene)
+        self.run_scenario(scenario)
 
-    def test_planned_stop_hands_leadership_over(self):
-        async def scene(group, processes, client):
+    def test_planned_stop_transfers_leadership(self):
+        async def scenario(group, processes, client):
             revision = await client.change('/desk', account_text(1), 0)
             leader = (await client.status()).leader
             term = (await client.status()).term
@@ -284,10 +291,12 @@
             session = asyncio.create_task(node.run())
             await until(lambda: node.revision)
             processes.by_name[leader].send(signal.SIGTERM)
-            changes = asyncio.create_task(change_in_turn(client, 20, revision))
+            changes = asyncio.create_task(
+                change_repeatedly(client, 20, revision)
+            )
             code = await asyncio.to_thread(processes.by_name[leader].wait, 20)
             self.assertEqual(code, 0)
-            # Without a hand-over the others still take it for the leader.
+            # Without a transfer, the others would still follow the old leader.
             other = next(name for name in NAMES if name != leader)
             self.assertNotEqual(
                 await leader_hint(group, other),
@@ -297,8 +306,8 @@
             await until(lambda: node.revision == last)
             session.cancel()
             await asyncio.wait((session,))
-            # The successor stood once: nobody waited for a silence.
+            # One election: the successor did not wait for an election timeout.
             self.assertEqual((await client.status()).term, term + 1)
             client.close()
 
-        self.run_scene(scene)
+        self.run_scenario(scenario)
--- a/tests/test_control_proposals.py
+++ b/tests/test_control_proposals.py
@@ -1,4 +1,4 @@
-"""Proposals to a group of replicas that is cut in two, on the virtual loop."""
+"""Tests of proposals to a partitioned group, on the virtual event loop."""
 
 import asyncio
 import unittest
@@ -38,54 +38,56 @@
     )
 
 
-def machine_index(machines):
+def max_applied(machines):
     return max(machine.applied() for machine in machines)
 
 
 class ProposalsTest(unittest.TestCase):
     def setUp(self):
-        place = 'tests.consensus_network.ListMachine'
-        self.enterContext(patch(place, ControlMachine))
+        target = 'tests.consensus_network.ListMachine'
+        self.enterContext(patch(target, ControlMachine))
 
-    def at(self, group, node_id):
-        """Return what the process of one replica proposes with."""
+    def proposer_at(self, group, node_id):
+        """Return the proposer of one replica."""
         machine = group.machine_by_id[node_id]
         clock = ManualClock(1000)
         return Proposer(group.replicas[node_id], machine, clock)
 
     def test_isolated_leader_with_operators_on_both_sides(self):
-        async def scene():
+        async def scenario():
             async with Group() as group:
                 old = await group.leader()
                 first = change('a', account_text(1), 0).change
-                reply = await self.at(group, old).change(first)
+                reply = await self.proposer_at(group, old).change(first)
                 group.network.isolate(old)
                 lost = change('b', account_text(2), reply.revision).change
-                cut_off = asyncio.create_task(self.at(group, old).change(lost))
+                cut_off = asyncio.create_task(
+                    self.proposer_at(group, old).change(lost)
+                )
                 refused = asyncio.create_task(
-                    self.at(group, old).claim(claim('x'))
+                    self.proposer_at(group, old).claim(claim('x'))
                 )
                 rest = set(group.replicas) - {old}
                 new = await group.leader(among=rest)
                 won = change('c', account_text(3), reply.revision).change
-                accepted = await self.at(group, new).change(won)
+                accepted = await self.proposer_at(group, new).change(won)
                 codes = {
                     (await cut_off).answer.code,
                     (await refused).answer.code,
                 }
-                # Minutes go by before the network is mended.
+                # The partition lasts minutes.
                 await asyncio.sleep(300)
                 group.network.heal()
                 await group.wait_applied(accepted.revision)
                 leader = await group.leader()
-                resent = await self.at(group, leader).change(lost)
+                resent = await self.proposer_at(group, leader).change(lost)
                 trees = {
                     machine.tree.get('/desk').text
                     for machine in group.machine_by_id.values()
                 }
                 return codes, accepted, resent, trees, group
 
-        codes, accepted, resent, trees, group = run_virtual(scene())
+        codes, accepted, resent, trees, group = run_virtual(scenario())
         self.assertLessEqual(
             codes,
             {
@@ -99,35 +101,35 @@
         self.assertEqual(resent.current.changed_by, 'root')
         self.assertEqual(trees, {account_text(3)})
         for machine in group.machine_by_id.values():
-            # What the isolated side was asked ran nowhere.
+            # No claim sent to the isolated side was recorded.
             self.assertEqual(len(machine.claims), 0)
 
     def test_change_is_checked_again_at_apply(self):
-        async def scene():
+        async def scenario():
             async with Group() as group:
                 leader = await group.leader()
-                proposals = self.at(group, leader)
-                await proposals.change(change('o', '', 0, path='/o').change)
-                # Each is sound alone; both name one client account.
+                proposer = self.proposer_at(group, leader)
+                await proposer.change(change('o', '', 0, path='/o').change)
+                # Each is valid alone; both define the same client account.
                 both = await asyncio.gather(
                     *(
-                        proposals.change(
+                        proposer.change(
                             change(path, account_text(1), 0, path=path).change
                         )
                         for path in ('/a', '/b')
                     )
                 )
                 machines = group.machine_by_id.values()
-                await group.wait_applied(machine_index(machines))
+                await group.wait_applied(max_applied(machines))
                 return both, [machine.snapshot() for machine in machines]
 
-        both, snapshots = run_virtual(scene())
+        both, snapshots = run_virtual(scenario())
         codes = [reply.answer.code for reply in both]
         self.assertEqual(codes, [control_pb2.OK, control_pb2.INVALID])
         self.assertEqual(len(set(snapshots)), 1)
 
-    def test_view_of_an_isolated_process_needs_a_key(self):
-        async def scene():
+    def test_status_of_an_isolated_process_needs_a_key(self):
+        async def scenario():
             async with Group() as group:
                 node_id = await group.leader()
                 group.network.isolate(node_id)
@@ -135,7 +137,7 @@
                 calls = OperatorCalls(
                     log=group.replicas[node_id],
                     machine=machine,
-                    proposals=self.at(group, node_id),
+                    proposals=self.proposer_at(group, node_id),
                     nodes=NodeTable(LoopClock()),
                     orders=list,
                     root_key_sha256=ROOT_SHA,
@@ -143,34 +145,34 @@
                 await asyncio.sleep(5)
                 replies = []
 
-                async def ask(key):
+                async def send(key):
                     request = control_pb2.StatusRequest(
                         operator_name='root', operator_key=key
                     )
                     replies.append(await calls.status(request))
 
-                await run_in_order(ask, (ROOT_KEY, 'wrong'))
+                await run_in_order(send, (ROOT_KEY, 'wrong'))
                 return replies
 
-        known, stranger = run_virtual(scene())
-        self.assertEqual(known.answer.code, control_pb2.NO_QUORUM)
-        self.assertEqual(len(known.members), 3)
-        self.assertEqual(stranger.answer.code, control_pb2.DENIED)
-        self.assertEqual(len(stranger.members), 0)
+        authorized, unauthorized = run_virtual(scenario())
+        self.assertEqual(authorized.answer.code, control_pb2.NO_QUORUM)
+        self.assertEqual(len(authorized.members), 3)
+        self.assertEqual(unauthorized.answer.code, control_pb2.DENIED)
+        self.assertEqual(len(unauthorized.members), 0)
 
-    def test_refusals_stand_in_the_audit_without_the_text(self):
-        async def scene():
+    def test_refusals_are_audited_without_the_text(self):
+        async def scenario():
             async with Group() as group:
                 node_id = await group.leader()
-                proposals = self.at(group, node_id)
+                proposer = self.proposer_at(group, node_id)
                 secret = f'{account_text(1)}password = hunter2\n'
-                await proposals.change(
+                await proposer.change(
                     change('o', operator_text('mo'), 0).change
                 )
                 codes = []
 
-                async def ask(command):
-                    reply = await proposals.change(command.change)
+                async def send(command):
+                    reply = await proposer.change(command.change)
                     codes.append(reply.answer.code)
 
                 commands = (
@@ -179,12 +181,12 @@
                     change('c', '', 0, path='/x', operator='mo', key='no'),
                     change('', '', 0, path='/x'),
                     change('d', '', 0, path='/x', remove=True),
-                    # A resend of a refusal gets the same answer.
+                    # A retry of a refused change gets the same reply.
                     change('a', secret, 0, path='/x'),
                 )
-                await run_in_order(ask, commands)
+                await run_in_order(send, commands)
                 flood = [
-                    proposals.change(
+                    proposer.change(
                         change(f'f{number}', '', 0, operator='no').change
                     )
                     for number in range(90)
@@ -199,7 +201,7 @@
                 )
                 return codes, records, log
 
-        codes, records, log = run_virtual(scene())
+        codes, records, log = run_virtual(scenario())
         self.assertEqual(
             codes,
             [
@@ -225,11 +227,11 @@
         self.assertLess(len(records), 30)
         self.assertNotIn(b'hunter2', log)
 
-    def test_claim_of_a_silent_or_replaced_owner(self):
+    def test_claim_of_a_timed_out_or_replaced_owner(self):
         for name, wait, incarnation, expected in (
-            ('heard', 3 * OWNER_TIMEOUT, 1, control_pb2.CLAIM_IN_PROGRESS),
-            ('silent', OWNER_TIMEOUT + 1000, None, UNKNOWN),
-            ('not silent for long', 1000, None, control_pb2.CLAIM_IN_PROGRESS),
+            ('reported', 3 * OWNER_TIMEOUT, 1, control_pb2.CLAIM_IN_PROGRESS),
+            ('timed out', OWNER_TIMEOUT + 1000, None, UNKNOWN),
+            ('before the timeout', 1000, None, control_pb2.CLAIM_IN_PROGRESS),
             ('replaced', 1000, 2, UNKNOWN),
         ):
             with self.subTest(name):
@@ -240,11 +242,11 @@
     async def _sweep(self, wait, incarnation):
         async with Group() as group:
             node_id = await group.leader()
-            proposals = self.at(group, node_id)
+            proposer = self.proposer_at(group, node_id)
             machine = group.machine_by_id[node_id]
             nodes = NodeTable(LoopClock())
-            sweeper = ClaimSweeper(machine, nodes, proposals, LoopClock())
-            held = await proposals.claim(claim('a'))
+            sweeper = ClaimSweeper(machine, nodes, proposer, LoopClock())
+            held = await proposer.claim(claim('a'))
             self.assertEqual(held.state, HELD)
             left = wait
             while left > 0:
@@ -257,7 +259,7 @@
                     )
                 await sweeper.sweep()
                 await asyncio.sleep(0.5)
-            reply = await proposals.claim(claim('b', node='e2'))
+            reply = await proposer.claim(claim('b', node='e2'))
             files = group.files_by_id[node_id]
             log = b''.join(files.content[name] for name in files.names())
             return reply.state, log
--- a/tests/test_control_sessions.py
+++ b/tests/test_control_sessions.py
@@ -1,4 +1,4 @@
-"""Sessions: a lost update is sent again, and no older one ever goes out."""
+"""Tests that lost updates are resent, and older ones are never sent."""
 
 import asyncio
 import random
@@ -15,9 +15,9 @@
 class LossyNode:
     """A node whose session loses messages in both directions."""
 
-    def __init__(self, chance, share, revision=0) -> None:
-        self.rng = chance
-        self.loss = share
+    def __init__(self, rng, loss, revision=0) -> None:
+        self.rng = rng
+        self.loss = loss
         self.revision = revision
         self.reports: asyncio.Queue[control_pb2.NodeReport] = asyncio.Queue()
         self.sent: list[tuple[int, int]] = []
@@ -53,37 +53,37 @@
 
 
 class SessionsTest(unittest.TestCase):
-    def test_lost_messages_stall_nothing(self):
+    def test_updates_arrive_despite_lost_messages(self):
         for seed in range(8):
             node = LossyNode(random.Random(seed), 0.5)
             log = Log()
             with self.subTest(seed=seed):
-                run_virtual(self._scene(node, log, random.Random(seed)))
+                run_virtual(self._change_tree(node, log, random.Random(seed)))
                 tree = log.machine.tree
                 self.assertEqual(node.revision, tree.revision())
-                stands = {
+                expected = {
                     branch.path: branch.text for branch in tree.branches()
                 }
-                self.assertEqual(node.text_by_path, stands)
+                self.assertEqual(node.text_by_path, expected)
                 self.assertTrue(all(old <= new for old, new in node.sent))
 
-    def test_stale_process_sends_nothing_older(self):
+    def test_stale_process_sends_no_older_revision(self):
         node = LossyNode(random.Random(0), 0, revision=9)
         log = Log()
         log.apply(change('a', account_text(1), 0))
         run_virtual(self._serve(node, log.machine.tree, 30))
-        # Only words that show that control is there, at the node's revision.
+        # Only keepalives at the revision of the node.
         self.assertGreater(len(node.sent), 3)
         self.assertEqual(set(node.sent), {(9, 9)})
 
-    def test_silent_session_ends(self):
+    def test_session_without_reports_ends(self):
         node = LossyNode(random.Random(0), 1.1)
         ended = run_virtual(self._serve(node, Log().machine.tree, 60))
         self.assertTrue(ended)
 
-    async def _scene(self, node, log, chance):
+    async def _change_tree(self, node, log, rng):
         sessions = Sessions(log.machine.tree, NodeTable(LoopClock()))
-        beat = asyncio.create_task(node.heartbeat())
+        heartbeat = asyncio.create_task(node.heartbeat())
         served = asyncio.create_task(sessions.serve(node.report(), node))
         number = 0
         while number < 40:
@@ -101,18 +101,18 @@
                 )
             )
             sessions.wake('')
-            await asyncio.sleep(chance.uniform(0, 2))
+            await asyncio.sleep(rng.uniform(0, 2))
         await asyncio.sleep(30)
-        beat.cancel()
+        heartbeat.cancel()
         served.cancel()
 
     async def _serve(self, node, tree, limit):
         sessions = Sessions(tree, NodeTable(LoopClock()))
-        beat = asyncio.create_task(node.heartbeat())
+        heartbeat = asyncio.create_task(node.heartbeat())
         served = asyncio.create_task(sessions.serve(node.report(), node))
         done, _ = await asyncio.wait((served,), timeout=limit)
         served.cancel()
-        beat.cancel()
+        heartbeat.cancel()
         await asyncio.wait((served,))
         self.assertEqual(len(sessions), 0)
         return bool(done)
--- a/verbenathread/control/__init__.py
+++ b/verbenathread/control/__init__.py
@@ -1,1 +1,1 @@
-"""What control keeps on the replicated log, and its daemon."""
+"""The control role: replicated state and the daemon that serves it."""
--- a/verbenathread/control/access.py
+++ b/verbenathread/control/access.py
@@ -1,7 +1,7 @@
-"""Who may do what: operators by the hash of their key, nodes by the key.
+"""Authenticates and authorizes operators by the hash of their key.
 
-Keys are compared in constant time. Past the process that was asked, only the
-hash of an operator's key goes on.
+Keys are compared in constant time. The process that receives an operator's
+key passes on only its hash.
 """
 
 import hmac
@@ -16,7 +16,7 @@
 def credential_of(
     operator_name: str, operator_key: str, root_key_sha256: str
 ) -> commands_pb2.Credential:
-    """Return what an operator presented, by hash."""
+    """Return the credential of an operator, with the key hashed."""
     hashed = key_hash(operator_key)
     is_root = operator_name == ROOT_OPERATOR
     return commands_pb2.Credential(
@@ -27,7 +27,7 @@
 
 
 def may_read(tree: EffectiveTree, credential: commands_pb2.Credential) -> bool:
-    """Tell whether the credential is of any operator of the tree."""
+    """Return whether the credential belongs to an operator of the tree."""
     if credential.root:
         return True
     operator = tree.operator(credential.operator_name)
@@ -41,7 +41,7 @@
 def may_change(
     tree: EffectiveTree, credential: commands_pb2.Credential, path: str
 ) -> bool:
-    """Tell whether the operator may change the branch at ``path``."""
+    """Return whether the operator may change the branch at ``path``."""
     if credential.root:
         return True
     operator = tree.operator(credential.operator_name)
@@ -53,12 +53,12 @@
 
 
 def denied(operator_name: str, path: str = '') -> control_pb2.Answer:
-    """Return the answer to an operator who may not do what was asked."""
-    place = f' at {path}' if path else ''
+    """Return the answer to an operator without permission."""
+    location = f' at {path}' if path else ''
     return control_pb2.Answer(
         code=control_pb2.DENIED,
         message=(
-            f'operator {operator_name!r} may not do this{place}; '
+            f'operator {operator_name!r} may not do this{location}; '
             + 'check the name and key, or ask an operator of a branch above'
         ),
     )
--- a/verbenathread/control/answers.py
+++ b/verbenathread/control/answers.py
@@ -1,4 +1,4 @@
-"""Answers for errors of the replicated log, alike for every call."""
+"""Answers shared by all calls, such as those for errors of the log."""
 
 from verbenathread.exceptions import (
     NotLeaderError,
@@ -11,7 +11,7 @@
 
 
 def answer_of(error: VerbenathreadError) -> control_pb2.Answer:
-    """Return the answer that tells a caller of ``error``."""
+    """Return the answer that reports ``error`` to a caller."""
     if isinstance(error, NotLeaderError) and error.leader:
         return control_pb2.Answer(
             code=control_pb2.NOT_LEADER,
@@ -28,10 +28,10 @@
 
 
 def ok() -> control_pb2.Answer:
-    """Return the answer to a call that was done."""
+    """Return the answer to a successful call."""
     return control_pb2.Answer(code=control_pb2.OK)
 
 
 def invalid(message: str) -> control_pb2.Answer:
-    """Return the answer to a call that can't be used as written."""
+    """Return the answer to an invalid call."""
     return control_pb2.Answer(code=control_pb2.INVALID, message=message)
--- a/verbenathread/control/audit.py
+++ b/verbenathread/control/audit.py
@@ -1,8 +1,7 @@
 """The audit trail: who changed what, when, and what was refused.
 
-Bounded by count and by the bytes of the texts it holds; the oldest records go
-first. Refused texts stand in it by their hash alone, since a text that was
-not accepted may hold a secret.
+Limited by the count and the bytes of its records; the oldest are dropped
+first. A refused text is recorded only by its hash, since it may hold a secret.
 """
 
 from collections import deque
@@ -17,12 +16,12 @@
 
 
 class AuditTrail:
-    """Records in the order of the log."""
+    """Audit records in log order."""
 
     def __init__(
         self, max_records: int = MAX_RECORDS, max_bytes: int = MAX_BYTES
     ) -> None:
-        """Keep at most ``most`` records and ``most_bytes`` of them."""
+        """Keep at most ``max_records`` records and ``max_bytes`` bytes."""
         self._max_records = max_records
         self._max_bytes = max_bytes
         self._records: deque[control_pb2.AuditRecord] = deque()
@@ -33,7 +32,7 @@
         return len(self._records)
 
     def add(self, record: control_pb2.AuditRecord) -> None:
-        """Append a record and drop the oldest beyond the bounds."""
+        """Append a record and drop the oldest ones over the limits."""
         self._records.append(record)
         self._bytes += record.ByteSize()
         while len(self._records) > self._max_records or self._over_bytes():
@@ -44,7 +43,7 @@
     ) -> list[control_pb2.AuditRecord]:
         """Return up to ``limit`` records after ``index``, oldest first.
 
-        Index 0 asks for the newest ones.
+        Index 0 returns the newest ones.
         """
         if not index:
             return self._newest(limit, path)
@@ -72,7 +71,7 @@
         yield from self._records
 
     def load(self, images: Iterable[control_pb2.AuditRecord]) -> None:
-        """Replace the records by what a snapshot holds."""
+        """Replace the records by the content of a snapshot."""
         self._records = deque(images)
         self._bytes = sum(record.ByteSize() for record in self._records)
 
--- a/verbenathread/control/changes.py
+++ b/verbenathread/control/changes.py
@@ -1,8 +1,8 @@
-"""The decision on one change of a branch, made alike by every replica.
+"""Decides on changes of branches, with the same result on every replica.
 
-The proposer asks first, so that a text which is refused never reaches the
-log; each replica decides again when the change is applied, since another
-change may have come between.
+The proposer decides first, so that a refused text never reaches the log. Each
+replica decides again when it applies the change, since another change may
+have been applied in between.
 """
 
 from collections.abc import Mapping
@@ -29,13 +29,13 @@
 def decide_change(
     tree: BranchTree, change: commands_pb2.ChangeCommand
 ) -> control_pb2.ChangeReply:
-    """Return the answer to a change; the revision of an accepted one is 0.
+    """Return the reply to a change; its revision is 0 if accepted.
 
-    The caller writes the revision, which is the index on the log.
+    The caller sets the revision, which is the index on the log.
     """
     if change.checked_revision and tree.revision() == change.checked_revision:
-        # Nothing came between, so the proposer's decision is this one. All
-        # replicas follow it, also one that runs other rules.
+        # No change came in between, so the decision of the proposer holds.
+        # Replicas follow it even if their version has different rules.
         return _accept()
     operator = change.credential.operator_name
     if not may_change(tree.effective(), change.credential, change.path):
@@ -60,7 +60,7 @@
 def put_change(
     tree: BranchTree, change: commands_pb2.ChangeCommand, index: int
 ) -> None:
-    """Write an accepted change at its revision."""
+    """Apply an accepted change to the tree at its revision."""
     tree.put(
         control_pb2.Branch(
             path=change.path,
@@ -73,11 +73,11 @@
 
 
 def digest_of_change(change: commands_pb2.ChangeCommand) -> str:
-    """Return the SHA-256 over what the operator asked."""
-    asked = commands_pb2.ChangeCommand()
-    asked.CopyFrom(change)
-    asked.ClearField('checked_revision')
-    return digest_of(asked)
+    """Return the SHA-256 over the request of the operator."""
+    requested = commands_pb2.ChangeCommand()
+    requested.CopyFrom(change)
+    requested.ClearField('checked_revision')
+    return digest_of(requested)
 
 
 def _accept() -> control_pb2.ChangeReply:
@@ -89,13 +89,13 @@
 def _conflict(
     current: control_pb2.Branch, change: commands_pb2.ChangeCommand
 ) -> control_pb2.ChangeReply:
-    who = current.changed_by or 'nobody'
+    author = current.changed_by or 'nobody'
     return control_pb2.ChangeReply(
         answer=control_pb2.Answer(
             code=control_pb2.CONFLICT,
             message=(
                 f'{change.path} stands at revision {current.revision}, '
-                + f'last changed by {who}, and not at '
+                + f'last changed by {author}, and not at '
                 + f'{change.expected_revision}; look at what stands and '
                 + 'change that'
             ),
--- a/verbenathread/control/claim_replies.py
+++ b/verbenathread/control/claim_replies.py
@@ -1,16 +1,16 @@
-"""Answers of the claim table."""
+"""Builds the replies of the claim table."""
 
 from verbenathread.schema import control_pb2
 
 MAX_ANSWER_BYTES = 65_536
-# How long a caller waits before it asks again, in ms.
+# Delay before a caller repeats its request.
 RETRY_AFTER_MS = 1000
 
 
 def without_large_body(
     stored: control_pb2.StoredAnswer,
 ) -> control_pb2.StoredAnswer:
-    """Return an answer as it is stored; a body over the limit is left out."""
+    """Return the answer to store; a body over the limit is omitted."""
     if len(stored.body) <= MAX_ANSWER_BYTES:
         return stored
     return control_pb2.StoredAnswer(
@@ -24,7 +24,7 @@
     state: control_pb2.ClaimState,
     stored: control_pb2.StoredAnswer | None = None,
 ) -> control_pb2.ClaimReply:
-    """Return the answer to a claim; a completed one brings what is stored."""
+    """Return the reply to a claim, with the stored answer if completed."""
     return control_pb2.ClaimReply(
         answer=control_pb2.Answer(code=control_pb2.OK),
         state=state,
@@ -33,14 +33,14 @@
 
 
 def invalid_claim(message: str) -> control_pb2.ClaimReply:
-    """Return the answer to a claim that can't be used as written."""
+    """Return the reply to an invalid claim."""
     return control_pb2.ClaimReply(
         answer=control_pb2.Answer(code=control_pb2.INVALID, message=message)
     )
 
 
 def table_full() -> control_pb2.ClaimReply:
-    """Return the answer to a claim that has no room; nothing was run."""
+    """Return the reply to a claim that does not fit; nothing was run."""
     return control_pb2.ClaimReply(
         answer=control_pb2.Answer(
             code=control_pb2.NO_QUORUM,
@@ -53,17 +53,17 @@
 def settle_reply(
     code: control_pb2.Code, message: str
 ) -> control_pb2.SettleReply:
-    """Return the answer to an outcome."""
+    """Return the reply to a reported outcome."""
     return control_pb2.SettleReply(
         answer=control_pb2.Answer(code=code, message=message)
     )
 
 
 def repeated_settle_reply(
-    stands: control_pb2.ClaimState, asked: control_pb2.ClaimState
+    recorded: control_pb2.ClaimState, requested: control_pb2.ClaimState
 ) -> control_pb2.SettleReply:
-    """Return the answer to an outcome that was recorded before."""
-    if stands == asked:
+    """Return the reply to an outcome that was already recorded."""
+    if recorded == requested:
         return settle_reply(control_pb2.OK, '')
     return settle_reply(
         control_pb2.CONFLICT, 'the attempt was settled with another outcome'
--- a/verbenathread/control/claims.py
+++ b/verbenathread/control/claims.py
@@ -1,10 +1,10 @@
-"""Claims for calls that may not be repeated: each runs at most once.
+"""Claims for calls that are not idempotent: each runs at most once.
 
-A claim is held by one attempt until it is settled. Only a settled "not run"
-lets another attempt in, and exactly one. A claim that nobody settled within
-its time limit, or whose owner is gone, has an unknown outcome for good, unless
-the attempt that held it still tells what became of it. Every time here is the
-wall time that commands carry.
+A claim is held by one attempt until it is settled. Only an attempt settled as
+"not run" lets another attempt in, and exactly one. A claim that was not
+settled within its time limit, or whose owner is gone, stays at an unknown
+outcome unless the attempt that held it reports the outcome later. All times
+are the wall times that commands carry.
 """
 
 import heapq
@@ -41,7 +41,7 @@
 
 
 class ClaimKey(NamedTuple):
-    """What makes two calls the same call."""
+    """Identifies a call; calls with the same key are the same call."""
 
     account: str
     service: str
@@ -49,24 +49,25 @@
 
 
 class Owner(NamedTuple):
-    """One run of the node that holds a claim."""
+    """One incarnation of the node that holds a claim."""
 
     node_id: str
     incarnation: int
 
 
 class ClaimTable:
-    """Claims by key; the state machine is its only writer."""
+    """Claims by key; written only by the state machine."""
 
     def __init__(self, max_bytes: int = MAX_TABLE_BYTES) -> None:
-        """Keep at most ``most_bytes`` of claims and stored answers."""
+        """Keep at most ``max_bytes`` of claims and stored answers."""
         self._max_bytes = max_bytes
         self._bytes = 0
-        # Serialised, since a message takes three times the memory.
+        # Serialised: a parsed message takes three times the memory.
         self._claim_by_key: dict[ClaimKey, bytes] = {}
         self._held_by_owner: dict[Owner, set[ClaimKey]] = {}
         self._incarnation_by_node: dict[str, int] = {}
-        # (wall time to forget at, key); entries that moved are stale.
+        # (removal wall time, key). An entry whose time differs from forget_ms
+        # of its claim is stale.
         self._removal_queue: list[tuple[int, ClaimKey]] = []
 
     def __len__(self) -> int:
@@ -80,7 +81,7 @@
     def claim(
         self, request: control_pb2.ClaimRequest, now: int
     ) -> control_pb2.ClaimReply:
-        """Let the attempt in, or answer what became of the earlier one."""
+        """Grant the claim, or return the state of the earlier attempt."""
         refusal = self._check_request(request)
         if refusal is not None:
             return refusal
@@ -108,7 +109,7 @@
         if claim is None:
             return settle_reply(
                 control_pb2.NOT_FOUND,
-                'the claim is not known or was forgotten; claim it first',
+                'the claim is unknown or has expired; claim it first',
             )
         if request.state not in _SETTLED_STATES:
             return settle_reply(
@@ -122,35 +123,35 @@
                 'another attempt holds this claim; do not send the call',
             )
         self._expire_if_overdue(key, claim, now)
-        stands = claim.state if ended is None else ended
-        if stands not in {_HELD, _OUTCOME_UNKNOWN}:
-            return repeated_settle_reply(stands, request.state)
+        current = claim.state if ended is None else ended
+        if current not in {_HELD, _OUTCOME_UNKNOWN}:
+            return repeated_settle_reply(current, request.state)
         self._settle(key, claim, request, now)
         return settle_reply(control_pb2.OK, '')
 
     def mark_owner_gone(self, gone: commands_pb2.OwnerGone) -> int:
-        """Turn the claims of a gone owner to unknown; return how many."""
-        turned = 0
+        """Mark claims of a gone owner as outcome unknown; return how many."""
+        count = 0
         for owner in self.owners():
             if owner.node_id != gone.node_id:
                 continue
             if owner.incarnation > gone.incarnation:
                 continue
             keys = self._held_by_owner.pop(owner)
-            turned += len(keys)
+            count += len(keys)
             for key in keys:
                 claim = self._get(key)
                 if claim is not None:
                     claim.state = _OUTCOME_UNKNOWN
                     self._put(key, claim)
-        return turned
+        return count
 
     def remove_expired(self, now: int) -> None:
-        """Drop the claims whose retention is over."""
+        """Remove the claims whose retention has expired."""
         while self._removal_queue and self._removal_queue[0][0] <= now:
-            moment, key = heapq.heappop(self._removal_queue)
+            removal_time, key = heapq.heappop(self._removal_queue)
             claim = self._get(key)
-            if claim is None or claim.forget_ms != moment:
+            if claim is None or claim.forget_ms != removal_time:
                 continue
             self._remove_from_owner(key, claim)
             self._bytes -= len(self._claim_by_key.pop(key))
@@ -176,7 +177,7 @@
         claims: Iterable[commands_pb2.ClaimImage],
         owners: Iterable[commands_pb2.OwnerImage],
     ) -> None:
-        """Replace the table by what a snapshot holds."""
+        """Replace the table by the content of a snapshot."""
         self._claim_by_key = {}
         self._incarnation_by_node = {
             owner.node_id: owner.incarnation for owner in owners
@@ -207,7 +208,7 @@
         newest = self._incarnation_by_node.get(request.node_id, 0)
         if request.node_incarnation < newest:
             return invalid_claim(
-                'this run of the node was replaced; restart it'
+                'this incarnation of the node was replaced; restart it'
             )
         self._record_incarnation(request.node_id, request.node_incarnation)
         return None
@@ -244,8 +245,8 @@
             ended_attempts=ended,
         )
         key = _key_of(request)
-        earlier = len(self._claim_by_key.get(key, b''))
-        if self._bytes + claim.ByteSize() - earlier > self._max_bytes:
+        previous_size = len(self._claim_by_key.get(key, b''))
+        if self._bytes + claim.ByteSize() - previous_size > self._max_bytes:
             return table_full()
         self._put(key, claim)
         self._add_to_owner(key, claim)
@@ -264,7 +265,7 @@
             and claim.node_incarnation == request.node_incarnation
         )
         if same_attempt:
-            # The first answer may have been lost on its way.
+            # A retry: the first reply may have been lost.
             return claim_reply(_HELD)
         reply = claim_reply(_IN_PROGRESS)
         reply.retry_after_ms = min(
@@ -334,7 +335,7 @@
         | commands_pb2.ClaimImage
     ),
 ) -> ClaimKey:
-    # Accounts and services are few, so their names are kept once.
+    # Accounts and services are few, so interning saves memory.
     return ClaimKey(
         sys.intern(source.account),
         sys.intern(source.service),
@@ -347,8 +348,8 @@
 
 
 def _retention_ms(request: control_pb2.ClaimRequest) -> int:
-    asked = request.retention_s * _MS_PER_SECOND
-    return min(max(asked, _MIN_RETENTION_MS), _MAX_RETENTION_MS)
+    requested = request.retention_s * _MS_PER_SECOND
+    return min(max(requested, _MIN_RETENTION_MS), _MAX_RETENTION_MS)
 
 
 def _ended_state(
@@ -364,5 +365,5 @@
     ended = list(claim.ended_attempts)
     ended.append(commands_pb2.AttemptEnd(attempt_id=attempt_id, state=_NOT_RUN))
     claim.ClearField('ended_attempts')
-    # A sender that gave up so many attempts ago is not heard again.
+    # Older attempts are dropped; their senders no longer retry.
     claim.ended_attempts.extend(ended[-MAX_ENDED_ATTEMPTS:])
--- a/verbenathread/control/daemon.py
+++ b/verbenathread/control/daemon.py
@@ -1,4 +1,4 @@
-"""One control process: a replica of the log, its service and its duties."""
+"""A control process: a log replica, its service and background tasks."""
 
 import asyncio
 import socket
@@ -30,7 +30,7 @@
 _ORDER_INTERVAL: Millis = 200
 _SWEEP_INTERVAL: Millis = 500
 _APPLY_TIMEOUT: Millis = 1000
-# Time for the last answers to leave before connections close, in ms.
+# Time to send the last replies before connections close, in ms.
 _DRAIN_DELAY: Millis = 100
 
 _log = get_logger('control')
@@ -40,7 +40,7 @@
     """A control process that other programs can embed."""
 
     def __init__(self, settings: settings_pb2.NodeSettings) -> None:
-        """Wire the parts; nothing runs before :meth:`start`."""
+        """Create the components; nothing runs before :meth:`start`."""
         node = settings.node
         control = settings.control
         clock = SystemClock()
@@ -91,27 +91,27 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self, sock: socket.socket | None = None) -> None:
-        """Load the data folder, listen and take part in the group.
+        """Load the data folder, listen and join the group.
 
         ``sock`` is a bound socket to use instead of the address in the
-        settings. Raises StorageError for a folder that can't be trusted.
+        settings. Raises StorageError if the data folder can't be trusted.
         """
         if sock is None:
             await self._server.start(self._listen.host, self._listen.port)
         else:
             await self._server.start(sock=sock)
         await self.replica.start()
-        for duty in (
+        for task in (
             self._notify_sessions,
             self._sweep_while_leading,
             self._send_orders,
             self._report_nodes,
         ):
-            self._tasks.append(asyncio.create_task(duty()))
-        _log.info('Control runs.', listen=str(self._listen))
+            self._tasks.append(asyncio.create_task(task()))
+        _log.info('Control started.', listen=str(self._listen))
 
     async def stop(self) -> None:
-        """Hand leadership over, answer what is in progress, and end."""
+        """Transfer leadership, finish the calls in progress and stop."""
         await self.orders.stop()
         await self.replica.stop()
         for task in self._tasks:
@@ -125,26 +125,26 @@
         _log.info('Control stopped.')
 
     async def wait_failed(self) -> str:
-        """Return why the replica stopped by itself, once it did."""
+        """Wait until the replica stops on its own, and return the reason."""
         while not self.replica.status().failure:
             await asyncio.sleep(seconds(_SWEEP_INTERVAL))
         return self.replica.status().failure
 
     async def _notify_sessions(self) -> None:
-        """Let sessions look for what is newer after each command."""
+        """Notify the sessions after each applied command."""
         applied = 0
         while True:
             applied = await self.replica.wait_applied(applied, _APPLY_TIMEOUT)
             self.sessions.wake(self.replica.status().leader_address)
 
     async def _sweep_while_leading(self) -> None:
-        led = False
+        was_leading = False
         while True:
-            leads = self.replica.status().is_leader
-            if leads and not led:
+            leading = self.replica.status().is_leader
+            if leading and not was_leading:
                 self._sweeper.reset()
-            led = leads
-            if leads:
+            was_leading = leading
+            if leading:
                 await self._sweep()
             await asyncio.sleep(seconds(_SWEEP_INTERVAL))
 
@@ -152,7 +152,9 @@
         try:
             await self._sweeper.sweep()
         except VerbenathreadError as error:
-            _log.warning('Claims of a gone owner wait.', reason=str(error))
+            _log.warning(
+                'Could not mark an owner of claims as gone.', reason=str(error)
+            )
 
     async def _send_orders(self) -> None:
         while True:
@@ -160,7 +162,7 @@
             await asyncio.sleep(seconds(_ORDER_INTERVAL))
 
     async def _report_nodes(self) -> None:
-        """Tell the leader of this process's sessions, each second."""
+        """Report this process's sessions to the leader, each second."""
         while True:
             status = self.replica.status()
             if status.leader_address and not status.is_leader:
--- a/verbenathread/control/load_limit.py
+++ b/verbenathread/control/load_limit.py
@@ -1,6 +1,6 @@
-"""Keeps loads of weights within what the weight store bears.
+"""Limits concurrent weight loads to protect the weight store.
 
-The order sender asks here before it orders a load, from its worker threads.
+The order sender calls this from its worker threads before it orders a load.
 """
 
 import threading
@@ -16,14 +16,15 @@
 
 
 class WeightLoadLimiter:
-    """At most so many loads in progress over the fleet, by need.
+    """Limits the loads in progress across the fleet, ordered by demand.
 
-    A model that no engine shows goes first, then the one that the fewest do.
-    A load is in progress from its order until the engine shows the model.
+    Models that no engine reports are loaded first, then those that the fewest
+    report. A load is in progress from its order until the engine reports the
+    model.
     """
 
     def __init__(self, read_limit: Callable[[], int], clock: Clock) -> None:
-        """Read the limit in force from ``most`` each time."""
+        """Read the current limit from ``read_limit`` on each call."""
         self._read_limit = read_limit
         self._clock = clock
         self._lock = threading.Lock()
@@ -31,7 +32,7 @@
         self._models_by_upstream: dict[str, tuple[str, ...]] = {}
 
     def may_load(self, upstream_id: str, model: str) -> bool:
-        """Tell whether this load may be ordered now; if not, it waits."""
+        """Return whether this load may be ordered now; if not, queue it."""
         load = WeightLoad(upstream_id, model)
         with self._lock:
             self._queue.limit = self._read_limit()
@@ -40,14 +41,14 @@
             return self._queue.is_started(load)
 
     def record_models(self, upstream_id: str, models: tuple[str, ...]) -> None:
-        """Note the models that an engine shows, which ends their loads."""
+        """Record the models that an engine reports and end their loads."""
         with self._lock:
             self._models_by_upstream[upstream_id] = models
             for model in models:
                 self._queue.finish(WeightLoad(upstream_id, model))
 
     def forget(self, upstream_id: str) -> None:
-        """Free the places of an engine that does not answer or refuses."""
+        """Free the slots of an engine that does not answer or refuses."""
         with self._lock:
             self._models_by_upstream.pop(upstream_id, None)
             self._queue.forget(upstream_id)
@@ -58,7 +59,7 @@
             for models in self._models_by_upstream.values()
             for model in models
         )
-        # Control hears of no demand, so every model counts alike.
+        # Control has no demand data, so every model has the same weight.
         return {
             model: ModelDemand(1, count) for model, count in engines.items()
         }
--- a/verbenathread/control/machine.py
+++ b/verbenathread/control/machine.py
@@ -1,8 +1,8 @@
 """The deterministic state machine on the control log.
 
-Every replica applies the same commands in the same order and so holds the
-same state. Nothing here reads a clock: time is what the commands carry, and
-it never goes back.
+Every replica applies the same commands in the same order and so reaches the
+same state. Nothing here reads a clock: the commands carry the time, and the
+time of the machine never goes back.
 """
 
 import hashlib
@@ -30,7 +30,7 @@
 
 
 class ControlMachine:
-    """All state of control; ``apply`` is its only writer."""
+    """The whole state of control; changed only by ``apply``."""
 
     def __init__(self) -> None:
         """Start empty, before index 1 of the log."""
@@ -67,10 +67,10 @@
         return self._apply_by_kind[kind](index, getattr(parsed, kind))
 
     def recorded_reply(self, operation_id: str, digest: str) -> bytes | None:
-        """Return the first answer of an operation, or None if unknown.
+        """Return the first reply to an operation, or None if unknown.
 
         Raises :class:`ReusedOperationError` when the operation id was used
-        for a request with another content.
+        for a request with different content.
         """
         image = self.operations.get(operation_id)
         if image is None:
@@ -117,14 +117,14 @@
     def restore(self, image: bytes) -> None:
         """Replace the whole state by a snapshot.
 
-        Raises :class:`StorageError` for one that this program can't read.
+        Raises :class:`StorageError` if this version can't read the snapshot.
         """
         parsed = commands_pb2.Image()
         try:
             parsed.ParseFromString(image)
         except DecodeError as error:
             raise StorageError(
-                f'the snapshot is damaged ({error}); add this member anew'
+                f'the snapshot is damaged ({error}); add this member again'
             )
         if parsed.version != IMAGE_VERSION:
             raise StorageError(
@@ -144,11 +144,11 @@
     ) -> bytes:
         digest = digest_of_change(change)
         try:
-            earlier = self.recorded_reply(change.operation_id, digest)
+            recorded = self.recorded_reply(change.operation_id, digest)
         except ReusedOperationError as error:
             return self._refuse_reused(index, change, error)
-        if earlier is not None:
-            return earlier
+        if recorded is not None:
+            return recorded
         before = self.tree.get(change.path).text
         reply = decide_change(self.tree, change)
         code = reply.answer.code
@@ -191,16 +191,16 @@
     def _apply_refusal(
         self, index: int, refusal: commands_pb2.RefusalCommand
     ) -> bytes:
-        remembers = bool(refusal.digest)
-        if remembers:
+        records_reply = bool(refusal.digest)
+        if records_reply:
             try:
-                earlier = self.recorded_reply(
+                recorded = self.recorded_reply(
                     refusal.operation_id, refusal.digest
                 )
             except ReusedOperationError as error:
                 return error.change_reply().SerializeToString()
-            if earlier is not None:
-                return earlier
+            if recorded is not None:
+                return recorded
         self._audit(
             index,
             operator_name=refusal.operator_name,
@@ -213,7 +213,7 @@
             operation_id=refusal.operation_id,
             comment=refusal.comment,
         )
-        if not remembers:
+        if not records_reply:
             return refusal.reply.SerializeToString()
         return self._record_reply(
             refusal.operation_id, refusal.digest, refusal.reply
@@ -234,15 +234,16 @@
     ) -> bytes:
         digest = order.digest or digest_of(order)
         try:
-            earlier = self.recorded_reply(order.operation_id, digest)
+            recorded = self.recorded_reply(order.operation_id, digest)
         except ReusedOperationError as error:
             return error.order_reply().SerializeToString()
-        if earlier is not None:
-            return earlier
+        if recorded is not None:
+            return recorded
         answer = self.decide_order(order)
         reply = control_pb2.OrderReply(answer=answer)
         if answer.code == control_pb2.OK:
-            # An index of the log only grows, also across leaders.
+            # The log index only grows, also across leaders, so it serves as
+            # the fencing number.
             reply.fencing = index
             reply.state = 'wanted'
             self.wanted.put(order, index)
@@ -289,13 +290,13 @@
         serialised = reply.SerializeToString()
         code: int = reply.answer.code  # type: ignore[attr-defined]
         if operation_id and code != control_pb2.DENIED:
-            # A denied stranger must not use up an operator's identifier.
+            # A denied request must not use up an operator's operation id.
             self.operations.record(operation_id, digest, serialised, self._now)
         return serialised
 
 
 class ReusedOperationError(ValueError):
-    """An operation id came again with another content."""
+    """An operation id was used again with different content."""
 
     def __init__(self, operation_id: str) -> None:
         """Name the operation."""
@@ -305,11 +306,11 @@
         )
 
     def change_reply(self) -> control_pb2.ChangeReply:
-        """Return the answer to a change."""
+        """Return the reply to a change."""
         return control_pb2.ChangeReply(answer=self._answer())
 
     def order_reply(self) -> control_pb2.OrderReply:
-        """Return the answer to an order."""
+        """Return the reply to an order."""
         return control_pb2.OrderReply(answer=self._answer())
 
     def _answer(self) -> control_pb2.Answer:
@@ -317,7 +318,7 @@
 
 
 def redacted(text: str) -> str:
-    """Return a text by its hash, since it may hold a secret."""
+    """Return the hash of a text that may hold a secret."""
     hashed = hashlib.sha256(text.encode()).hexdigest()
     return f'sha256:{hashed}'
 
@@ -328,7 +329,7 @@
         parsed.ParseFromString(command)
     except DecodeError as error:
         raise StorageError(
-            f'record {index} of the log is no command ({error}); '
+            f'record {index} of the log is not a command ({error}); '
             + 'run the program that wrote it'
         )
     return parsed
--- a/verbenathread/control/node_reports.py
+++ b/verbenathread/control/node_reports.py
@@ -1,4 +1,4 @@
-"""Tells the leader of the nodes that hold a session with this process."""
+"""Reports the nodes with a session at this process to the leader."""
 
 import asyncio
 
@@ -11,26 +11,26 @@
 from verbenathread.settings.node import parse_address
 from verbenathread.types import Millis
 
-# Time between two reports to the leader, in ms.
+# Interval between reports to the leader, in ms.
 REPORT_INTERVAL: Millis = 1000
 _REPORT_TIMEOUT_S = 2.0
 
 
 class NodeReporter:
-    """Keeps one channel to whoever leads."""
+    """Keeps one channel to the current leader."""
 
     def __init__(self, cluster: str, node_key: str, nodes: NodeTable) -> None:
-        """Report what ``nodes`` holds."""
+        """Report the content of ``nodes``."""
         self._cluster = cluster
         self._node_key = node_key
         self._nodes = nodes
         self._leader = ''
         self._channel: Channel | None = None
-        # What this leader has of the upstreams; only what differs is sent.
+        # The upstreams last reported to this leader; only changes are sent.
         self._reported_by_upstream: dict[str, control_pb2.UpstreamStatus] = {}
 
     async def report(self, leader: str) -> bool:
-        """Send one report to the leader; False when it did not arrive."""
+        """Send one report to the leader; return False if the call failed."""
         if leader != self._leader:
             self.close()
             self._leader = leader
--- a/verbenathread/control/node_service.py
+++ b/verbenathread/control/node_service.py
@@ -1,4 +1,4 @@
-"""The part of the Control service that nodes call, over grpclib."""
+"""The calls of the Control service for nodes, over grpclib."""
 
 import hmac
 from collections.abc import Awaitable, Callable
@@ -25,7 +25,7 @@
 
 
 class NodeService:
-    """Answers nodes of this cluster that hold its key."""
+    """Answers nodes of this cluster that present its key."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         sessions: Sessions,
         nodes: NodeTable,
     ) -> None:
-        """Refuse nodes that do not hold ``node_key`` of ``cluster``."""
+        """Refuse nodes without the ``node_key`` of ``cluster``."""
         self._cluster = cluster
         self._node_key = node_key
         self._proposals = proposals
@@ -68,7 +68,7 @@
     async def ReportNodes(  # noqa: N802  the generated base sets the name
         self, stream: Stream[messages.NodesReport, messages.NodesReply]
     ) -> None:
-        """Take the nodes that a follower heard."""
+        """Record the nodes that a follower reports."""
         await answer_call(stream, self._report_nodes)
 
     async def _claim(
@@ -101,7 +101,7 @@
         ):
             raise GRPCError(
                 Status.UNAUTHENTICATED,
-                'the node key is another one; set [node] node_key',
+                'the node key is wrong; set [node] node_key',
             )
 
 
--- a/verbenathread/control/operator_calls.py
+++ b/verbenathread/control/operator_calls.py
@@ -1,4 +1,4 @@
-"""What operators may ask of a control process; the leader answers."""
+"""Handles the calls of operators; only the leader answers most of them."""
 
 from collections.abc import Callable, Sequence
 
@@ -39,7 +39,7 @@
 
 
 class OperatorCalls:
-    """Answers operators from the log and the state built from it."""
+    """Answers operators from the log and the replicated state."""
 
     def __init__(
         self,
@@ -124,7 +124,7 @@
     ) -> control_pb2.StatusReply:
         """Return the group, the nodes and the upstreams.
 
-        While nobody leads, the answer is NO_QUORUM with this process's view.
+        Without a leader, the answer is NO_QUORUM with the local state.
         """
         credential = self._credential(request)
         answer = ok()
@@ -143,9 +143,9 @@
     async def place_order(
         self, request: control_pb2.OrderRequest
     ) -> control_pb2.OrderReply:
-        """Set what an upstream is wanted to be.
+        """Set the wanted state of an upstream.
 
-        Its address and service may be left out once they are known.
+        Its address and service may be omitted once they are known.
         """
         try:
             await self._log.barrier(CHANGE_TIMEOUT)
@@ -201,13 +201,13 @@
             subject=request.subject,
         )
         order.digest = digest_of(order)
-        for known in (
+        for source in (
             self._nodes.upstream(request.upstream_id),
             self._machine.wanted.get(request.upstream_id),
         ):
-            if known is not None:
-                order.address = order.address or known.address
-                order.service = order.service or known.service
+            if source is not None:
+                order.address = order.address or source.address
+                order.service = order.service or source.service
         parse_address(order.address)
         return order
 
@@ -222,7 +222,9 @@
         for member in self._log.status().members:
             if member.node_id == request.node_id:
                 return Peer(member.node_id, member.address)
-        raise UsageError(f'{request.node_id!r} is no member; give its address')
+        raise UsageError(
+            f'{request.node_id!r} is not a member; give its address'
+        )
 
     async def _allow_read(self, request: control_pb2.ReadTreeRequest) -> None:
         credential = self._credential(request)
--- a/verbenathread/control/order_http.py
+++ b/verbenathread/control/order_http.py
@@ -1,9 +1,9 @@
-"""Orders over HTTP, each on a connection of its own.
+"""Sends orders over HTTP, each on its own connection.
 
-The leadership is looked at between the connect and the first byte of the
-order, so that little time passes between the check and the act. A connection
-that is given up is reset: the kernel must not deliver an order later that
-nobody stands behind any more.
+Leadership is checked after the connect and right before the first byte of
+the order, to keep the time between the check and the send short. An abandoned
+connection is reset, so that the kernel can't deliver an order later that no
+leader is responsible for any more.
 """
 
 import json
@@ -40,45 +40,45 @@
 
 
 class ReportedState(NamedTuple):
-    """What an upstream shows of the orders it follows."""
+    """The state that an upstream reports at its orders path."""
 
     fencing: int
     models: tuple[str, ...]
     role: str
-    # Empty when the upstream does not show it.
+    # Empty when the upstream does not report it.
     drain: str
 
 
 class OrderRefusedError(Exception):
-    """The upstream refused the order, for its fencing number or content."""
+    """The upstream rejected the fencing number or the content of an order."""
 
 
 class LeadershipLostError(Exception):
-    """The lead was lost before the order was sent."""
+    """Leadership was lost before the order was sent."""
 
 
 class OrderTransport(Protocol):
-    """How orders reach upstreams."""
+    """Reads the state of upstreams and sends them orders."""
 
-    def read(self, address: str, limit: Millis) -> ReportedState:
-        """Return what the upstream shows; UnavailableError if it does not."""
+    def read(self, address: str, timeout: Millis) -> ReportedState:
+        """Return the reported state, or raise UnavailableError."""
 
     def send(
-        self, address: str, order: Order, limit: Millis, may_send: MaySend
+        self, address: str, order: Order, timeout: Millis, may_send: MaySend
     ) -> ReportedState:
-        """Send one order and return what the upstream shows then.
+        """Send one order and return the state reported afterwards.
 
         Raises :class:`OrderRefusedError`, :class:`LeadershipLostError` or
-        UnavailableError; only the last leaves open whether it took effect.
+        UnavailableError; after the last one the order may have taken effect.
         """
 
 
 class HttpOrderTransport:
-    """Upstreams that speak the HTTP interface of docs/UPSTREAMS.md."""
+    """Uses the HTTP interface described in docs/UPSTREAMS.md."""
 
-    def read(self, address: str, limit: Millis) -> ReportedState:
-        """Return what the upstream shows."""
-        connection = _connection(address, limit)
+    def read(self, address: str, timeout: Millis) -> ReportedState:
+        """Return the reported state."""
+        connection = _connection(address, timeout)
         try:
             return _exchange(connection, 'GET', None)
         except _CONNECTION_ERRORS as error:
@@ -87,10 +87,10 @@
             connection.close()
 
     def send(
-        self, address: str, order: Order, limit: Millis, may_send: MaySend
+        self, address: str, order: Order, timeout: Millis, may_send: MaySend
     ) -> ReportedState:
-        """Send one order, if this process may once it is connected."""
-        connection = _connection(address, limit)
+        """Connect, then send one order if ``may_send`` allows it."""
+        connection = _connection(address, timeout)
         try:
             return _send(connection, order, may_send)
         except _CONNECTION_ERRORS as error:
@@ -99,15 +99,15 @@
             connection.close()
 
 
-def _connection(address: str, limit: Millis) -> HTTPConnection:
+def _connection(address: str, timeout: Millis) -> HTTPConnection:
     parsed = parse_address(address)
     return HTTPConnection(
         parsed.host,
         parsed.port,
-        timeout=seconds(limit),
+        timeout=seconds(timeout),
         socket_options=[
             (socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE),
-            (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, limit),
+            (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, timeout),
             (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
         ],
     )
@@ -136,7 +136,7 @@
     response = connection.getresponse()
     content = response.read(_MAX_REPLY_BYTES)
     if response.status == _STATUS_FENCED:
-        raise OrderRefusedError('it knows a higher fencing number')
+        raise OrderRefusedError('it has a higher fencing number')
     if response.status >= _FIRST_ERROR_STATUS:
         raise OrderRefusedError(f'it answered status {response.status}')
     return _parse_state(json.loads(content))
@@ -144,7 +144,7 @@
 
 def _parse_state(members: Any) -> ReportedState:
     if not isinstance(members, Mapping):
-        raise ValueError('the answer is no JSON object')
+        raise ValueError('the response is not a JSON object')
     return ReportedState(
         fencing=int(members.get('fencing', 0)),
         models=tuple(str(name) for name in members.get('models', ())),
@@ -156,5 +156,5 @@
 def _unavailable(address: str, error: Exception) -> UnavailableError:
     return UnavailableError(
         f'the upstream at {address} did not answer an order: {error}; '
-        + 'see that it runs and serves /v1/orders'
+        + 'check that it is running and serves /v1/orders'
     )
--- a/verbenathread/control/orders.py
+++ b/verbenathread/control/orders.py
@@ -1,10 +1,11 @@
-"""Brings upstreams to their wanted state; only the leader sends orders.
+"""Reconciles upstreams with their wanted state; only the leader sends orders.
 
-An upstream that checks fencing numbers refuses the orders of an earlier
-leader by itself. For one that ignores them a new leader first waits until no
-order of the old one can still be sent or be in flight. Orders are the wanted
-state, one at a time for each upstream, read back and repeated, so that even an
-order which a frozen process let slip after all is put right.
+An upstream that checks fencing numbers rejects the orders of a previous
+leader by itself. For one that ignores them, a new leader first waits until
+the old leader can no longer send an order or have one in flight. Orders
+describe the wanted state. They are sent one at a time to each upstream, read
+back and repeated, so that a stale order that a suspended process still sent
+is corrected.
 """
 
 import asyncio
@@ -28,9 +29,9 @@
 from verbenathread.schema import commands_pb2, control_pb2
 from verbenathread.types import Millis
 
-# Longest time that one order may take, from its connect to its answer.
+# Limit for one order, from the connect to the response.
 ORDER_TIMEOUT: Millis = 2000
-# Clocks of two machines may differ in rate by this share.
+# Largest relative difference between the clock rates of two machines.
 MAX_CLOCK_DRIFT = 0.05
 MIN_RECHECK_DELAY: Millis = 1000
 MAX_RETRY_DELAY: Millis = 30_000
@@ -42,7 +43,7 @@
 
 
 class _Progress(NamedTuple):
-    """When one upstream is looked at next, and what was seen last."""
+    """When one upstream is checked next, and the result of the last check."""
 
     fencing: int
     next_check: Millis
@@ -52,7 +53,7 @@
 
 
 class OrderSender:
-    """Looks after the wanted state of every upstream while it leads."""
+    """Reconciles every upstream with its wanted state while it leads."""
 
     def __init__(
         self,
@@ -63,7 +64,7 @@
         clock: Clock,
         lease: Millis,
     ) -> None:
-        """Send over ``upstreams``; a leader's lease lasts ``lease`` ms."""
+        """Send over ``transport``; a leader's lease lasts ``lease`` ms."""
         self._log = log
         self._machine = machine
         self._transport = transport
@@ -79,7 +80,7 @@
         self._task_by_upstream: dict[str, asyncio.Task[None]] = {}
 
     def step(self) -> None:
-        """Start what is due; called several times a second."""
+        """Start the checks that are due; called several times a second."""
         status = self._log.status()
         if self._stopped or not status.is_leader:
             self._term = 0
@@ -94,10 +95,10 @@
             self._start_due(wanted, now)
 
     def statuses(self) -> Sequence[control_pb2.OrderStatus]:
-        """Return how far each order has come, as this process saw it."""
+        """Return the state of each order as this process last saw it."""
         statuses = []
         for wanted in self._machine.wanted.images():
-            follow = self._progress_by_upstream.get(wanted.upstream_id)
+            progress = self._progress_by_upstream.get(wanted.upstream_id)
             for wanted_item in wanted.items:
                 statuses.append(
                     control_pb2.OrderStatus(
@@ -105,14 +106,14 @@
                         action=wanted_item.action,
                         subject=wanted_item.subject,
                         fencing=wanted_item.fencing,
-                        state=follow.state if follow else 'waiting',
-                        message=follow.message if follow else '',
+                        state=progress.state if progress else 'waiting',
+                        message=progress.message if progress else '',
                     )
                 )
         return statuses
 
     async def stop(self) -> None:
-        """Send nothing more, and wait for what is in flight."""
+        """Stop sending and wait for the orders in flight."""
         self._stopped = True
         self._term = 0
         await self.idle()
@@ -123,63 +124,64 @@
             await asyncio.wait(self._task_by_upstream.values())
 
     def may_send(self, term: int, *, checked: bool) -> bool:
-        """Tell whether an order of ``term`` may go out at this moment.
+        """Return whether an order of ``term`` may be sent now.
 
-        Asked from worker threads right before the first byte.
+        Called from worker threads right before the first byte is sent.
         """
         if not checked and self._clock.now() < self._takeover_ends:
             return False
         try:
             status = self._log.status()
         except RuntimeError:
-            # The group changed while it was read from this thread.
+            # The membership changed while this thread was reading it.
             return False
         return status.is_leader and status.term == term == self._term
 
     def reconcile(
         self, wanted: commands_pb2.WantedImage, term: int, *, checked: bool
     ) -> str:
-        """Bring one upstream to its wanted state; return what is missing.
+        """Send one upstream its missing orders; return the slots still missing.
 
         Blocks; runs in a worker thread.
         """
-        shown = self._transport.read(wanted.address, ORDER_TIMEOUT)
+        reported = self._transport.read(wanted.address, ORDER_TIMEOUT)
         self._load_limiter.record_models(
-            wanted.upstream_id, tuple(shown.models)
+            wanted.upstream_id, tuple(reported.models)
         )
         fencing = newest_fencing(wanted)
         missing = []
         may_send = partial(self.may_send, term, checked=checked)
         for wanted_item in wanted.items:
-            if satisfies(shown, wanted_item, fencing):
+            if satisfies(reported, wanted_item, fencing):
                 continue
             if not self._may_order(wanted.upstream_id, wanted_item):
                 missing.append(wanted_item.slot)
                 continue
-            # Every order names the newest number: it stands for the whole
-            # wanted state, and an upstream that checks refuses older ones.
+            # Every order carries the newest fencing number: it is valid for
+            # the whole wanted state, and an upstream that checks fencing
+            # rejects older numbers.
             order = Order(
                 order_id=wanted_item.order_id,
                 fencing=fencing,
                 action=wanted_item.action,
                 subject=wanted_item.subject,
             )
-            shown = self._transport.send(
+            reported = self._transport.send(
                 wanted.address, order, ORDER_TIMEOUT, may_send
             )
-            if not satisfies(shown, wanted_item, fencing):
+            if not satisfies(reported, wanted_item, fencing):
                 missing.append(wanted_item.slot)
         return ', '.join(missing)
 
     def _start_due(self, wanted: commands_pb2.WantedImage, now: Millis) -> None:
         name = wanted.upstream_id
         fencing = newest_fencing(wanted)
-        follow = self._progress_by_upstream.get(name)
-        if follow is None or follow.fencing != fencing:
-            follow = _Progress(fencing, now, MIN_RECHECK_DELAY)
-            self._progress_by_upstream[name] = follow
+        progress = self._progress_by_upstream.get(name)
+        if progress is None or progress.fencing != fencing:
+            progress = _Progress(fencing, now, MIN_RECHECK_DELAY)
+            self._progress_by_upstream[name] = progress
         busy = name in self._task_by_upstream
-        if busy or follow.next_check > now:
+        if busy or progress.next_check > now:
             return
         if len(self._task_by_upstream) >= MAX_CONCURRENT_UPSTREAMS:
             return
@@ -189,7 +191,7 @@
         image = commands_pb2.WantedImage()
         image.CopyFrom(wanted)
         task = asyncio.create_task(
-            self._reconcile_upstream(image, follow, checked=checked)
+            self._reconcile_upstream(image, progress, checked=checked)
         )
         self._task_by_upstream[name] = task
         task.add_done_callback(lambda _: self._task_by_upstream.pop(name))
@@ -197,7 +199,7 @@
     async def _reconcile_upstream(
         self,
         wanted: commands_pb2.WantedImage,
-        follow: _Progress,
+        progress: _Progress,
         *,
         checked: bool,
     ) -> None:
@@ -210,31 +212,31 @@
             return
         except OrderRefusedError as refusal:
             self._load_limiter.forget(wanted.upstream_id)
-            self._record_progress(wanted, follow, 'refused', str(refusal))
+            self._record_progress(wanted, progress, 'refused', str(refusal))
         except UnavailableError as error:
             self._load_limiter.forget(wanted.upstream_id)
-            self._record_progress(wanted, follow, 'waiting', str(error))
+            self._record_progress(wanted, progress, 'waiting', str(error))
         else:
             state = 'waiting' if missing else 'shown'
-            self._record_progress(wanted, follow, state, missing)
+            self._record_progress(wanted, progress, state, missing)
 
     def _record_progress(
         self,
         wanted: commands_pb2.WantedImage,
-        follow: _Progress,
+        progress: _Progress,
         state: str,
         message: str,
     ) -> None:
         name = wanted.upstream_id
-        if self._progress_by_upstream.get(name) is not follow:
+        if self._progress_by_upstream.get(name) is not progress:
             return
-        if state != follow.state:
-            _log.info('An order moved on.', upstream=name, state=state)
-        longest = MAX_RECHECK_DELAY if state == 'shown' else MAX_RETRY_DELAY
+        if state != progress.state:
+            _log.info('Order state changed.', upstream=name, state=state)
+        max_delay = MAX_RECHECK_DELAY if state == 'shown' else MAX_RETRY_DELAY
         self._progress_by_upstream[name] = _Progress(
-            follow.fencing,
-            self._clock.now() + follow.delay,
-            min(2 * follow.delay, longest),
+            progress.fencing,
+            self._clock.now() + progress.delay,
+            min(2 * progress.delay, max_delay),
             state,
             message,
         )
@@ -247,7 +249,7 @@
         return self._load_limiter.may_load(upstream_id, wanted_item.subject)
 
     def _load_limit(self) -> int:
-        # The weight store is one for the fleet: the root's policy counts.
+        # The fleet shares one weight store, so the root's policy applies.
         return self._machine.tree.effective().policy('').weight_loads
 
     def _checks_fencing(self, service: str) -> bool:
@@ -256,21 +258,21 @@
 
 
 def newest_fencing(wanted: commands_pb2.WantedImage) -> int:
-    """Return the number that stands for the whole wanted state."""
+    """Return the fencing number that is valid for the whole wanted state."""
     return max((entry.fencing for entry in wanted.items), default=0)
 
 
 def satisfies(
-    shown: ReportedState, wanted_item: commands_pb2.WantedItem, fencing: int
+    reported: ReportedState, wanted_item: commands_pb2.WantedItem, fencing: int
 ) -> bool:
-    """Tell whether the upstream shows what one order wants."""
+    """Return whether the reported state fulfils one order."""
     if wanted_item.action == 'load':
-        return wanted_item.subject in shown.models
+        return wanted_item.subject in reported.models
     if wanted_item.action == 'unload':
-        return wanted_item.subject not in shown.models
+        return wanted_item.subject not in reported.models
     if wanted_item.action == 'role':
-        return shown.role == wanted_item.subject
-    if shown.drain:
-        return shown.drain == wanted_item.subject
-    # An upstream that shows no draining shows at least the number.
-    return shown.fencing >= fencing
+        return reported.role == wanted_item.subject
+    if reported.drain:
+        return reported.drain == wanted_item.subject
+    # An upstream without a drain state reports at least the fencing number.
+    return reported.fencing >= fencing
--- a/verbenathread/control/ports.py
+++ b/verbenathread/control/ports.py
@@ -1,4 +1,4 @@
-"""What control needs of the replicated log beneath it."""
+"""The interface of the replicated log that control uses."""
 
 from typing import Protocol
 
@@ -8,13 +8,13 @@
 
 
 class ControlLog(Protocol):
-    """The replicated log, as :class:`.Replica` offers it."""
+    """The replicated log, as implemented by :class:`.Replica`."""
 
     async def propose(self, command: bytes, limit: Millis) -> Applied:
-        """Put a command on the log and return once it is applied here."""
+        """Propose a command and return after it was applied locally."""
 
     async def barrier(self, limit: Millis) -> int:
-        """Return an index after which reads here are not stale."""
+        """Wait until local reads are not stale; return their index."""
 
     async def wait_applied(
         self, after: int, limit: Millis | None = None
@@ -27,4 +27,4 @@
         """Add, promote or remove one member."""
 
     def status(self) -> ReplicaStatus:
-        """Return what this replica knows; it may be stale."""
+        """Return the state of this replica; it may be stale."""
--- a/verbenathread/control/proposals.py
+++ b/verbenathread/control/proposals.py
@@ -1,4 +1,4 @@
-"""Proposals to the log, checked before they are made."""
+"""Checks requests and proposes them to the log."""
 
 from verbenathread.clock import Clock
 from verbenathread.control.access import denied, may_change, may_read
@@ -20,19 +20,19 @@
 
 CHANGE_TIMEOUT = 5000
 CLAIM_TIMEOUT = 3000
-_MAX_NAME_LENGTH = 128
-_MAX_COMMENT_LENGTH = 1000
+_MAX_ID_CHARS = 128
+_MAX_COMMENT_CHARS = 1000
 _MAX_DENIALS = 20
 _DENIAL_PERIOD_MS = 1000
 
 
 class Proposer:
-    """Checks what callers ask for and puts it on the log."""
+    """Checks the requests of callers and proposes them to the log."""
 
     def __init__(
         self, log: ControlLog, machine: ControlMachine, clock: Clock
     ) -> None:
-        """Propose to ``log``, whose commands ``machine`` applies."""
+        """Propose to ``log``, whose commands are applied by ``machine``."""
         self._log = log
         self._machine = machine
         self._clock = clock
@@ -41,7 +41,7 @@
     async def change(
         self, change: commands_pb2.ChangeCommand
     ) -> control_pb2.ChangeReply:
-        """Accept or refuse a change; both stand in the audit trail."""
+        """Accept or refuse a change; both are recorded in the audit trail."""
         problem = _length_problem(change.operation_id, change.comment)
         if problem:
             return control_pb2.ChangeReply(answer=invalid(problem))
@@ -53,7 +53,7 @@
     async def order(
         self, order: commands_pb2.OrderCommand
     ) -> control_pb2.OrderReply:
-        """Place an order to an upstream; refusals are recorded too."""
+        """Place an order to an upstream; record refusals too."""
         problem = _length_problem(order.operation_id, order.subject)
         if problem:
             return control_pb2.OrderReply(answer=invalid(problem))
@@ -65,7 +65,7 @@
     async def claim(
         self, request: control_pb2.ClaimRequest
     ) -> control_pb2.ClaimReply:
-        """Record a claim on a quorum, or answer what became of it."""
+        """Record a claim on a quorum, or return its state."""
         command = commands_pb2.Command(claim=request)
         command.claim.ClearField('node_key')
         try:
@@ -89,7 +89,7 @@
     async def propose(
         self, command: commands_pb2.Command, limit: Millis
     ) -> bytes:
-        """Stamp a command with the wall time and put it on the log."""
+        """Stamp a command with the wall time and propose it to the log."""
         command.time_ms = self._clock.wall()
         applied = await self._log.propose(command.SerializeToString(), limit)
         return applied.result
@@ -97,16 +97,16 @@
     async def require_operator(
         self, credential: commands_pb2.Credential, *, root: bool = False
     ) -> None:
-        """Make reads fresh, then raise unless the operator may do this."""
+        """Wait until reads are not stale, then check the operator."""
         await self._log.barrier(CHANGE_TIMEOUT)
         self.check_operator(credential, root=root)
 
     def check_operator(
         self, credential: commands_pb2.Credential, *, root: bool = False
     ) -> None:
-        """Raise unless the operator may read.
+        """Raise OperatorDeniedError unless the operator may read.
 
-        With ``root``, the operator must have the right to change the root.
+        With ``root``, the operator must be allowed to change the root.
         """
         tree = self._machine.tree.effective()
         allowed = may_read(tree, credential)
@@ -121,11 +121,11 @@
         await self._log.barrier(CHANGE_TIMEOUT)
         digest = digest_of_change(change)
         try:
-            earlier = self._machine.recorded_reply(change.operation_id, digest)
+            recorded = self._machine.recorded_reply(change.operation_id, digest)
         except ReusedOperationError as error:
             return error.change_reply()
-        if earlier is not None:
-            return control_pb2.ChangeReply.FromString(earlier)
+        if recorded is not None:
+            return control_pb2.ChangeReply.FromString(recorded)
         reply = decide_change(self._machine.tree, change)
         command = commands_pb2.Command(change=change)
         command.change.checked_revision = self._machine.tree.revision()
@@ -159,23 +159,21 @@
         digest: str,
         reply: control_pb2.ChangeReply,
     ) -> commands_pb2.Command:
-        """Return the record of a refusal, without the refused text."""
+        """Return the command that records a refusal, without the text."""
         code = reply.answer.code
         outcome = RESULT_BY_CODE[code]
         if code == control_pb2.INVALID:
             text = None if change.remove else change.text
-            places = self._machine.tree.problem_locations(change.path, text)
-            outcome = f'{outcome}: {"; ".join(places)}'[:_MAX_COMMENT_LENGTH]
+            locations = self._machine.tree.problem_locations(change.path, text)
+            outcome = f'{outcome}: {"; ".join(locations)}'[:_MAX_COMMENT_CHARS]
         denial = code == control_pb2.DENIED
         return commands_pb2.Command(
             refusal=commands_pb2.RefusalCommand(
                 operation_id=change.operation_id,
                 digest='' if denial else digest,
-                operator_name=change.credential.operator_name[
-                    :_MAX_NAME_LENGTH
-                ],
+                operator_name=change.credential.operator_name[:_MAX_ID_CHARS],
                 action='remove' if change.remove else 'change',
-                subject=change.path[:_MAX_COMMENT_LENGTH],
+                subject=change.path[:_MAX_COMMENT_CHARS],
                 expected_revision=change.expected_revision,
                 comment=change.comment,
                 result=outcome,
@@ -186,7 +184,7 @@
 
 
 class OperatorDeniedError(Exception):
-    """An operator may not do what was asked; holds the answer."""
+    """An operator is not authorized; holds the answer."""
 
     def __init__(self, answer: control_pb2.Answer) -> None:
         """Keep the answer."""
@@ -195,9 +193,9 @@
 
 
 class _DenialRateLimit:
-    """How many denials a second are written to the log.
+    """Limits how many denials per second are written to the log.
 
-    Anyone who reaches the port can be denied, so the rate is bounded.
+    Anyone who can reach the port can cause denials, so the rate is limited.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -215,8 +213,10 @@
 
 
 def _length_problem(operation_id: str, comment: str) -> str:
-    if not operation_id or len(operation_id) > _MAX_NAME_LENGTH:
-        return f'give an operation identifier of 1 to {_MAX_NAME_LENGTH} characters'
-    if len(comment) > _MAX_COMMENT_LENGTH:
-        return f'write at most {_MAX_COMMENT_LENGTH} characters'
+    if not operation_id or len(operation_id) > _MAX_ID_CHARS:
+        return (
+            f'give an operation identifier of 1 to {_MAX_ID_CHARS} characters'
+        )
+    if len(comment) > _MAX_COMMENT_CHARS:
+        return f'write at most {_MAX_COMMENT_CHARS} characters'
     return ''
--- a/verbenathread/control/service.py
+++ b/verbenathread/control/service.py
@@ -1,4 +1,4 @@
-"""The Control service over grpclib; its operator calls stand here."""
+"""The Control service over grpclib, with its calls for operators."""
 
 from grpclib.server import Stream
 
@@ -12,7 +12,7 @@
 
 
 class ControlService(NodeService, ControlBase):
-    """Answers nodes of this cluster, and operators."""
+    """Answers operators and the nodes of this cluster."""
 
     def __init__(
         self,
@@ -24,7 +24,7 @@
         sessions: Sessions,
         nodes: NodeTable,
     ) -> None:
-        """Pass operator calls on to ``operators``."""
+        """Delegate operator calls to ``operators``."""
         super().__init__(
             cluster=cluster,
             node_key=node_key,
--- a/verbenathread/control/sessions.py
+++ b/verbenathread/control/sessions.py
@@ -1,4 +1,4 @@
-"""Sessions of nodes: reports come in, newer branches of the tree go out."""
+"""Sessions of nodes: receives reports and sends changes of the tree."""
 
 import asyncio
 import contextlib
@@ -11,31 +11,31 @@
 from verbenathread.schema import control_pb2
 from verbenathread.types import Millis
 
-# An update that no report names is sent again after this long, in ms.
+# An update that no report confirms is resent after this time, in ms.
 RESEND_INTERVAL: Millis = 1000
-# The node hears from control at least this often, in ms.
+# A node receives a message from control at least this often, in ms.
 KEEPALIVE_INTERVAL: Millis = 3000
-# A session without a report for this long is closed, in ms.
+# A session without a report for this time is closed, in ms.
 SESSION_TIMEOUT: Millis = 15_000
 
 _log = get_logger('control')
 
 
 class SessionStream(Protocol):
-    """One session, as grpclib offers it to a server."""
+    """The server side of one session, as implemented by grpclib."""
 
     async def recv_message(self) -> control_pb2.NodeReport | None:
-        """Return the next report, or None once the node closed."""
+        """Return the next report, or None after the node closed."""
 
     async def send_message(self, message: control_pb2.TreeUpdate) -> None:
         """Send one update."""
 
 
 class Sessions:
-    """Serves the sessions of one control process, leader or not."""
+    """Serves the sessions of one control process, leader or follower."""
 
     def __init__(self, tree: BranchTree, nodes: NodeTable) -> None:
-        """Send what ``tree`` holds and tell ``nodes`` of reports."""
+        """Send the branches of ``tree`` and record reports in ``nodes``."""
         self._tree = tree
         self._nodes = nodes
         self._leader = ''
@@ -47,13 +47,16 @@
         return len(self._session_by_number)
 
     def wake(self, leader: str) -> None:
-        """Let every session look for what is newer."""
+        """Let every session check for a newer revision."""
         self._leader = leader
         for session in self._session_by_number.values():
             session.wake()
 
     def update_for(self, revision: int) -> control_pb2.TreeUpdate | None:
-        """Return what a node at ``revision`` lacks; never an older one."""
+        """Return the changes after ``revision``, or None if there are none.
+
+        A process that is behind the node sends it no older revision.
+        """
         newest = self._tree.revision()
         if revision >= newest:
             return None
@@ -67,19 +70,19 @@
         )
 
     def keepalive_for(self, revision: int) -> control_pb2.TreeUpdate:
-        """Return an update that only shows that control is there."""
+        """Return an update without changes that keeps the session alive."""
         return control_pb2.TreeUpdate(revision=revision, leader=self._leader)
 
     async def serve(
         self, first: control_pb2.NodeReport, stream: SessionStream
     ) -> None:
-        """Serve one node until it closes or falls silent."""
+        """Serve one node until it closes or its reports time out."""
         self._opened += 1
         number = self._opened
         session = Session(self, first.revision)
         self._session_by_number[number] = session
         self._nodes.record_report(first)
-        _log.info('A session opened.', node=first.node_id)
+        _log.info('Session opened.', node=first.node_id)
         with contextlib.ExitStack() as closing:
             closing.callback(self._close, number, first.node_id)
             sender = asyncio.create_task(session.send(stream))
@@ -94,7 +97,7 @@
 
     def _close(self, number: int, node_id: str) -> None:
         self._session_by_number.pop(number)
-        _log.info('A session closed.', node=node_id)
+        _log.info('Session closed.', node=node_id)
 
     async def _receive(
         self,
@@ -116,26 +119,26 @@
 
 
 class Session:
-    """What one node runs and what it was sent."""
+    """The revision that one node runs and the updates sent to it."""
 
     def __init__(self, sessions: Sessions, revision: int) -> None:
-        """Start at the revision that the node's first report names."""
+        """Start at the revision of the first report."""
         self._sessions = sessions
         self._revision = revision
         self._changed = asyncio.Event()
 
     def wake(self) -> None:
-        """Let the sender look for what is newer."""
+        """Let the sender check for a newer revision."""
         self._changed.set()
 
     def record_revision(self, revision: int) -> None:
-        """Take the revision that the node reports to run."""
+        """Record the revision that the node reports."""
         if revision > self._revision:
             self._revision = revision
             self._changed.set()
 
     async def send(self, stream: SessionStream) -> None:
-        """Send what is newer, again and again until a report names it."""
+        """Send updates, and resend each until a report confirms it."""
         while True:
             self._changed.clear()
             update = self._sessions.update_for(self._revision)
@@ -148,7 +151,7 @@
     async def _wait_to_send(
         self, limit: Millis, *, sent: control_pb2.TreeUpdate | None
     ) -> None:
-        """Wait until something newer stands, or it is time to resend."""
+        """Wait until there is a newer update or the time limit is over."""
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds(limit)
         while True:
@@ -161,7 +164,7 @@
             self._changed.clear()
             update = self._sessions.update_for(self._revision)
             if update is None and sent is not None:
-                # The node has it: the next word is a keepalive, in its time.
+                # The node confirmed the update; a keepalive is due next.
                 sent = None
                 end = loop.time() + seconds(KEEPALIVE_INTERVAL)
             if update is not None and update != sent:
--- a/verbenathread/control/status.py
+++ b/verbenathread/control/status.py
@@ -1,4 +1,4 @@
-"""What a control process shows to Prometheus and to the balancer."""
+"""The metrics, health and readiness of a control process."""
 
 from collections.abc import Callable
 
@@ -14,7 +14,7 @@
 
 
 def status_server(daemon: ControlDaemon, listen: Address) -> StatusServer:
-    """Return the server of metrics, health and readiness of ``daemon``."""
+    """Return the HTTP server for the status of ``daemon``."""
     metrics = ControlMetrics()
     replica = daemon.replica
     reader_by_gauge: dict[Gauge, Callable[[], float]] = {
--- a/verbenathread/control/sweeper.py
+++ b/verbenathread/control/sweeper.py
@@ -1,4 +1,4 @@
-"""Turns claims to unknown when the node that held them is gone."""
+"""Marks claims as outcome unknown when the node that held them is gone."""
 
 import asyncio
 
@@ -11,14 +11,17 @@
 from verbenathread.schema import commands_pb2
 from verbenathread.types import Millis
 
-# A node that no control process heard for this long counts as gone, in ms.
+# A node without a report to any control process for this time is gone, in ms.
 OWNER_TIMEOUT: Millis = 15_000
 
 _log = get_logger('control')
 
 
 class ClaimSweeper:
-    """Run by the leader; a follower's view of nodes is partial."""
+    """Finds claims of gone owners.
+
+    Runs only on the leader, since a follower has the state of some nodes only.
+    """
 
     def __init__(
         self,
@@ -27,7 +30,7 @@
         proposals: Proposer,
         clock: Clock,
     ) -> None:
-        """Look at the claims of ``machine`` and the reports in ``nodes``."""
+        """Check the owners in ``machine`` against the reports in ``nodes``."""
         self._machine = machine
         self._nodes = nodes
         self._proposals = proposals
@@ -35,11 +38,11 @@
         self._first_seen_by_owner: dict[Owner, Millis] = {}
 
     def reset(self) -> None:
-        """Forget what an earlier leadership saw."""
+        """Clear the state of a previous leadership."""
         self._first_seen_by_owner.clear()
 
     async def sweep(self) -> None:
-        """Record each owner that was replaced or is silent for too long."""
+        """Mark each owner that was replaced or timed out as gone."""
         now = self._clock.now()
         owners = self._machine.claims.owners()
         self._first_seen_by_owner = {
@@ -50,7 +53,7 @@
 
     async def _mark_gone(self, owner: Owner) -> None:
         _log.warning(
-            'The owner of claims is gone.',
+            'Owner of claims is gone.',
             node=owner.node_id,
             incarnation=owner.incarnation,
         )
@@ -62,13 +65,13 @@
         )
 
     def _is_gone(self, owner: Owner, now: Millis) -> bool:
-        # Silence counts from when this leader first saw the claim, since a
-        # new leader has heard of few nodes yet.
-        last = self._first_seen_by_owner[owner]
-        heard = self._nodes.get(owner.node_id)
-        if heard is not None:
-            if heard.status.incarnation > owner.incarnation:
+        # The timeout starts no earlier than when this leader first saw the
+        # owner, since a new leader has received few reports.
+        last_seen = self._first_seen_by_owner[owner]
+        record = self._nodes.get(owner.node_id)
+        if record is not None:
+            if record.status.incarnation > owner.incarnation:
                 return True
-            if heard.status.incarnation == owner.incarnation:
-                last = max(last, heard.reported_at)
-        return now - last > OWNER_TIMEOUT
+            if record.status.incarnation == owner.incarnation:
+                last_seen = max(last_seen, record.reported_at)
+        return now - last_seen > OWNER_TIMEOUT
--- a/verbenathread/control/tree.py
+++ b/verbenathread/control/tree.py
@@ -2,7 +2,7 @@
 
 The revision of a branch is the index on the log of the change that last
 touched it. A branch that never existed has revision 0; a removed branch keeps
-the revision of its removal, so that nodes which run an older one are told.
+the revision of its removal, so that nodes at an older revision are notified.
 """
 
 from collections.abc import Iterable, Iterator, Mapping
@@ -13,14 +13,14 @@
 
 
 class TreeDelta(NamedTuple):
-    """What changed after one revision."""
+    """The branches changed and removed after a revision."""
 
     branches: tuple[control_pb2.Branch, ...]
     removed_paths: tuple[str, ...]
 
 
 class BranchTree:
-    """Branches by path; the state machine is its only writer."""
+    """Branches by path; written only by the state machine."""
 
     def __init__(self) -> None:
         """Start with no branch at revision 0."""
@@ -33,14 +33,14 @@
         return self._revision
 
     def get(self, path: str) -> control_pb2.Branch:
-        """Return what stands at ``path``, with an empty text if nothing."""
+        """Return the branch at ``path``, with empty text if there is none."""
         image = self._image_by_path.get(path)
         if image is None:
             return control_pb2.Branch(path=path)
         return image.branch
 
     def exists(self, path: str) -> bool:
-        """Tell whether a branch stands at ``path``."""
+        """Return whether there is a branch at ``path``."""
         image = self._image_by_path.get(path)
         return image is not None and not image.removed
 
@@ -54,8 +54,8 @@
 
     def branches(self, path: str = '/') -> Iterator[control_pb2.Branch]:
         """Yield the branches at and below ``path``, sorted."""
-        for known, image in sorted(self._image_by_path.items()):
-            if image.removed or not covers(path, known):
+        for branch_path, image in sorted(self._image_by_path.items()):
+            if image.removed or not covers(path, branch_path):
                 continue
             yield image.branch
 
@@ -73,7 +73,7 @@
         return TreeDelta(tuple(changed), tuple(removed))
 
     def effective(self) -> EffectiveTree:
-        """Return the tree as nodes use it; kept until the next change."""
+        """Return the tree as nodes use it; cached until the next change."""
         if self._effective is None:
             self._effective = EffectiveTree(self._texts())
         return self._effective
@@ -81,8 +81,8 @@
     def problems(self, path: str, text: str | None) -> list[str]:
         """Check the whole tree as it would be with ``text`` at ``path``.
 
-        None stands for the removal of the branch. The lines are for the
-        operator who wrote the text, since they may quote it.
+        A text of None removes the branch. The messages may quote the text, so
+        show them only to the operator who wrote it.
         """
         return [
             str(problem) for problem in check_tree(self._texts_with(path, text))
@@ -100,7 +100,7 @@
         return [image for _, image in sorted(self._image_by_path.items())]
 
     def load(self, images: Iterable[commands_pb2.BranchImage]) -> None:
-        """Replace the tree by what a snapshot holds."""
+        """Replace the tree by the content of a snapshot."""
         self._image_by_path = {image.branch.path: image for image in images}
         self._effective = None
         self._revision = max(
--- a/verbenathread/control/wanted.py
+++ b/verbenathread/control/wanted.py
@@ -1,4 +1,7 @@
-"""What each upstream is wanted to be; orders say the state, not a step."""
+"""The wanted state of each upstream.
+
+Orders set the state to reach, not a step towards it.
+"""
 
 from collections.abc import Iterable
 
@@ -12,14 +15,14 @@
 
 
 def slot_of(action: str, subject: str) -> str:
-    """Return the slot that an order fills; the newest one is in force."""
+    """Return the slot that an order sets; its newest order applies."""
     if action in {'load', 'unload'}:
         return f'model:{subject}'
     return action
 
 
 def order_problem(action: str, subject: str) -> str:
-    """Return what is wrong with an order, or an empty text."""
+    """Return why an order is invalid, or an empty string."""
     if action not in ACTIONS:
         return f'no such action; use one of {", ".join(ACTIONS)}'
     if action in {'load', 'unload'} and not subject:
@@ -35,22 +38,22 @@
     """Wanted state by upstream; the state machine is its only writer."""
 
     def __init__(self) -> None:
-        """Start with nothing wanted."""
+        """Start without orders."""
         self._wanted_by_upstream: dict[str, commands_pb2.WantedImage] = {}
 
     def get(self, upstream_id: str) -> commands_pb2.WantedImage | None:
-        """Return what one upstream is wanted to be, or None."""
+        """Return the wanted state of one upstream, or None."""
         return self._wanted_by_upstream.get(upstream_id)
 
     def is_full(self, upstream_id: str) -> bool:
-        """Tell whether one more order for the upstream has no room."""
+        """Return whether the table has no room for another order."""
         wanted = self._wanted_by_upstream.get(upstream_id)
         if wanted is None:
             return len(self._wanted_by_upstream) >= MAX_UPSTREAMS
         return len(wanted.items) >= MAX_ITEMS
 
     def put(self, order: commands_pb2.OrderCommand, fencing: int) -> None:
-        """Set one slot of an upstream under a new fencing number."""
+        """Set one slot of an upstream with a new fencing number."""
         if order.action == 'forget':
             self._wanted_by_upstream.pop(order.upstream_id, None)
             return
@@ -61,7 +64,7 @@
         wanted.address = order.address
         wanted.service = order.service
         slot = slot_of(order.action, order.subject)
-        kept = [known for known in wanted.items if known.slot != slot]
+        kept = [item for item in wanted.items if item.slot != slot]
         kept.append(
             commands_pb2.WantedItem(
                 slot=slot,
@@ -81,7 +84,7 @@
         ]
 
     def load(self, images: Iterable[commands_pb2.WantedImage]) -> None:
-        """Replace the wanted state by what a snapshot holds."""
+        """Replace the wanted state by the content of a snapshot."""
         self._wanted_by_upstream = {
             wanted.upstream_id: wanted for wanted in images
         }
