--- a/tests/test_control_proposals.py
+++ b/tests/test_control_proposals.py
@@ -137,7 +137,7 @@
                 calls = OperatorCalls(
                     log=group.replicas[node_id],
                     machine=machine,
-                    proposals=self.proposer_at(group, node_id),
+                    proposer=self.proposer_at(group, node_id),
                     nodes=NodeTable(LoopClock()),
                     orders=list,
                     root_key_sha256=ROOT_SHA,
--- a/verbenathread/control/changes.py
+++ b/verbenathread/control/changes.py
@@ -57,7 +57,7 @@
     return _accept()
 
 
-def put_change(
+def apply_change(
     tree: BranchTree, change: commands_pb2.ChangeCommand, index: int
 ) -> None:
     """Apply an accepted change to the tree at its revision."""
--- a/verbenathread/control/claims.py
+++ b/verbenathread/control/claims.py
@@ -88,16 +88,16 @@
         key = _key_of(request)
         claim = self._get(key)
         if claim is None:
-            return self._open(request, now, ())
+            return self._grant(request, now, ())
         if claim.body_sha256 != request.body_sha256:
             return claim_reply(_MISMATCH)
         self._expire_if_overdue(key, claim, now)
         if claim.state == _NOT_RUN:
             if _ended_state(claim, request.attempt_id) is not None:
                 return claim_reply(_NOT_RUN)
-            return self._open(request, now, claim.ended_attempts)
+            return self._grant(request, now, claim.ended_attempts)
         if claim.state == _HELD:
-            return self._answer_held(claim, request, now)
+            return self._reply_held(claim, request, now)
         return claim_reply(claim.state, claim.stored)
 
     def settle(
@@ -222,7 +222,7 @@
             commands_pb2.OwnerGone(node_id=node_id, incarnation=incarnation - 1)
         )
 
-    def _open(
+    def _grant(
         self,
         request: control_pb2.ClaimRequest,
         now: int,
@@ -253,7 +253,7 @@
         heapq.heappush(self._removal_queue, (claim.forget_ms, key))
         return claim_reply(_HELD)
 
-    def _answer_held(
+    def _reply_held(
         self,
         claim: commands_pb2.ClaimImage,
         request: control_pb2.ClaimRequest,
--- a/verbenathread/control/daemon.py
+++ b/verbenathread/control/daemon.py
@@ -58,8 +58,8 @@
         )
         self.sessions = Sessions(self.machine.tree, self.nodes)
         self._reporter = NodeReporter(node.cluster, node.node_key, self.nodes)
-        proposals = Proposer(self.replica, self.machine, clock)
-        self._sweeper = ClaimSweeper(self.machine, self.nodes, proposals, clock)
+        proposer = Proposer(self.replica, self.machine, clock)
+        self._sweeper = ClaimSweeper(self.machine, self.nodes, proposer, clock)
         self.orders = OrderSender(
             log=self.replica,
             machine=self.machine,
@@ -73,12 +73,12 @@
             operators=OperatorCalls(
                 log=self.replica,
                 machine=self.machine,
-                proposals=proposals,
+                proposer=proposer,
                 nodes=self.nodes,
                 orders=self.orders.statuses,
                 root_key_sha256=control.root_key_sha256,
             ),
-            proposals=proposals,
+            proposer=proposer,
             sessions=self.sessions,
             nodes=self.nodes,
         )
--- a/verbenathread/control/machine.py
+++ b/verbenathread/control/machine.py
@@ -15,9 +15,9 @@
 from verbenathread.control.audit import AuditTrail
 from verbenathread.control.changes import (
     RESULT_BY_CODE,
+    apply_change,
     decide_change,
     digest_of_change,
-    put_change,
 )
 from verbenathread.control.claims import ClaimTable
 from verbenathread.control.operations import OperationTable, digest_of
@@ -153,7 +153,7 @@
         reply = decide_change(self.tree, change)
         code = reply.answer.code
         if code == control_pb2.OK:
-            put_change(self.tree, change, index)
+            apply_change(self.tree, change, index)
             reply.revision = index
         self._audit(
             index,
--- a/verbenathread/control/node_service.py
+++ b/verbenathread/control/node_service.py
@@ -32,14 +32,14 @@
         *,
         cluster: str,
         node_key: str,
-        proposals: Proposer,
+        proposer: Proposer,
         sessions: Sessions,
         nodes: NodeTable,
     ) -> None:
         """Refuse nodes without the ``node_key`` of ``cluster``."""
         self._cluster = cluster
         self._node_key = node_key
-        self._proposals = proposals
+        self._proposer = proposer
         self._sessions = sessions
         self._nodes = nodes
 
@@ -75,13 +75,13 @@
         self, request: messages.ClaimRequest
     ) -> messages.ClaimReply:
         self._check_node(request)
-        return await self._proposals.claim(request)
+        return await self._proposer.claim(request)
 
     async def _settle(
         self, request: messages.SettleRequest
     ) -> messages.SettleReply:
         self._check_node(request)
-        return await self._proposals.settle(request)
+        return await self._proposer.settle(request)
 
     async def _report_nodes(
         self, request: messages.NodesReport
--- a/verbenathread/control/operator_calls.py
+++ b/verbenathread/control/operator_calls.py
@@ -4,10 +4,10 @@
 
 from verbenathread.control.access import credential_of
 from verbenathread.control.answers import answer_of, invalid, ok
+from verbenathread.control.interfaces import ControlLog
 from verbenathread.control.machine import ControlMachine
 from verbenathread.control.nodes import NodeTable
 from verbenathread.control.operations import digest_of
-from verbenathread.control.ports import ControlLog
 from verbenathread.control.proposals import (
     CHANGE_TIMEOUT,
     OperatorDeniedError,
@@ -46,7 +46,7 @@
         *,
         log: ControlLog,
         machine: ControlMachine,
-        proposals: Proposer,
+        proposer: Proposer,
         nodes: NodeTable,
         orders: OrderStates,
         root_key_sha256: str,
@@ -54,7 +54,7 @@
         """Check keys against the tree and ``root_key_sha256``."""
         self._log = log
         self._machine = machine
-        self._proposals = proposals
+        self._proposer = proposer
         self._nodes = nodes
         self._orders = orders
         self._root_key_sha256 = root_key_sha256
@@ -63,7 +63,7 @@
         self, request: control_pb2.ChangeRequest
     ) -> control_pb2.ChangeReply:
         """Change one branch."""
-        return await self._proposals.change(
+        return await self._proposer.change(
             commands_pb2.ChangeCommand(
                 operation_id=request.operation_id,
                 credential=self._credential(request),
@@ -94,7 +94,7 @@
     ) -> control_pb2.HistoryReply:
         """Return the last accepted changes of one branch, newest first."""
         try:
-            await self._proposals.require_operator(self._credential(request))
+            await self._proposer.require_operator(self._credential(request))
         except (VerbenathreadError, OperatorDeniedError) as error:
             return control_pb2.HistoryReply(answer=_error_answer(error))
         return control_pb2.HistoryReply(
@@ -109,7 +109,7 @@
     ) -> control_pb2.AuditReply:
         """Return records of the audit trail, oldest first."""
         try:
-            await self._proposals.require_operator(self._credential(request))
+            await self._proposer.require_operator(self._credential(request))
         except (VerbenathreadError, OperatorDeniedError) as error:
             return control_pb2.AuditReply(answer=_error_answer(error))
         return control_pb2.AuditReply(
@@ -135,7 +135,7 @@
         if answer.code == control_pb2.NOT_LEADER:
             return control_pb2.StatusReply(answer=answer)
         try:
-            self._proposals.check_operator(credential)
+            self._proposer.check_operator(credential)
         except OperatorDeniedError as refused:
             return control_pb2.StatusReply(answer=refused.answer)
         return self._status_reply(answer)
@@ -152,7 +152,7 @@
             order = self._order(request)
         except VerbenathreadError as error:
             return control_pb2.OrderReply(answer=_error_answer(error))
-        return await self._proposals.order(order)
+        return await self._proposer.order(order)
 
     async def change_member(
         self, request: control_pb2.MemberRequest
@@ -166,7 +166,7 @@
 
     async def _change_member(self, request: control_pb2.MemberRequest) -> None:
         credential = self._credential(request)
-        await self._proposals.require_operator(credential, root=True)
+        await self._proposer.require_operator(credential, root=True)
         record = commands_pb2.MemberCommand(
             operation_id=request.operation_id,
             operator_name=request.operator_name,
@@ -212,7 +212,7 @@
         return order
 
     async def _record_audit(self, record: commands_pb2.MemberCommand) -> None:
-        await self._proposals.propose(
+        await self._proposer.propose(
             commands_pb2.Command(member=record), CHANGE_TIMEOUT
         )
 
@@ -229,9 +229,9 @@
     async def _allow_read(self, request: control_pb2.ReadTreeRequest) -> None:
         credential = self._credential(request)
         if request.may_be_stale:
-            self._proposals.check_operator(credential)
+            self._proposer.check_operator(credential)
             return
-        await self._proposals.require_operator(credential)
+        await self._proposer.require_operator(credential)
 
     def _credential(self, request: _OperatorRequest) -> commands_pb2.Credential:
         return credential_of(
--- a/verbenathread/control/orders.py
+++ b/verbenathread/control/orders.py
@@ -14,6 +14,7 @@
 from typing import NamedTuple
 
 from verbenathread.clock import Clock
+from verbenathread.control.interfaces import ControlLog
 from verbenathread.control.load_limit import WeightLoadLimiter
 from verbenathread.control.machine import ControlMachine
 from verbenathread.control.order_http import (
@@ -23,7 +24,6 @@
     OrderTransport,
     ReportedState,
 )
-from verbenathread.control.ports import ControlLog
 from verbenathread.exceptions import UnavailableError
 from verbenathread.observability.logs import get_logger
 from verbenathread.schema import commands_pb2, control_pb2
--- a/verbenathread/control/proposals.py
+++ b/verbenathread/control/proposals.py
@@ -8,12 +8,12 @@
     decide_change,
     digest_of_change,
 )
+from verbenathread.control.interfaces import ControlLog
 from verbenathread.control.machine import (
     ControlMachine,
     ReusedOperationError,
     redacted,
 )
-from verbenathread.control.ports import ControlLog
 from verbenathread.exceptions import VerbenathreadError
 from verbenathread.schema import commands_pb2, control_pb2
 from verbenathread.types import Millis
--- a/verbenathread/control/service.py
+++ b/verbenathread/control/service.py
@@ -20,7 +20,7 @@
         cluster: str,
         node_key: str,
         operators: OperatorCalls,
-        proposals: Proposer,
+        proposer: Proposer,
         sessions: Sessions,
         nodes: NodeTable,
     ) -> None:
@@ -28,7 +28,7 @@
         super().__init__(
             cluster=cluster,
             node_key=node_key,
-            proposals=proposals,
+            proposer=proposer,
             sessions=sessions,
             nodes=nodes,
         )
--- a/verbenathread/control/sweeper.py
+++ b/verbenathread/control/sweeper.py
@@ -27,13 +27,13 @@
         self,
         machine: ControlMachine,
         nodes: NodeTable,
-        proposals: Proposer,
+        proposer: Proposer,
         clock: Clock,
     ) -> None:
         """Check the owners in ``machine`` against the reports in ``nodes``."""
         self._machine = machine
         self._nodes = nodes
-        self._proposals = proposals
+        self._proposer = proposer
         self._clock = clock
         self._first_seen_by_owner: dict[Owner, Millis] = {}
 
@@ -60,7 +60,7 @@
         gone = commands_pb2.OwnerGone(
             node_id=owner.node_id, incarnation=owner.incarnation
         )
-        await self._proposals.propose(
+        await self._proposer.propose(
             commands_pb2.Command(owner_gone=gone), CLAIM_TIMEOUT
         )
 
