--- a/verbenathread/control/operator_calls.py
+++ b/verbenathread/control/operator_calls.py
@@ -1,13 +1,13 @@
-"""What operators may ask of a control process; the leader answers."""
+"""Handles the calls of operators; only the leader answers most of them."""
 
 from collections.abc import Callable, Sequence
 
 from verbenathread.control.access import credential_of
 from verbenathread.control.answers import answer_of, invalid, ok
+from verbenathread.control.interfaces import ControlLog
 from verbenathread.control.machine import ControlMachine
 from verbenathread.control.nodes import NodeTable
 from verbenathread.control.operations import digest_of
-from verbenathread.control.ports import ControlLog
 from verbenathread.control.proposals import (
     CHANGE_TIMEOUT,
     OperatorDeniedError,
@@ -39,14 +39,14 @@
 
 
 class OperatorCalls:
-    """Answers operators from the log and the state built from it."""
+    """Answers operators from the log and the replicated state."""
 
     def __init__(
         self,
         *,
         log: ControlLog,
         machine: ControlMachine,
-        proposals: Proposer,
+        proposer: Proposer,
         nodes: NodeTable,
         orders: OrderStates,
         root_key_sha256: str,
@@ -54,7 +54,7 @@
         """Check keys against the tree and ``root_key_sha256``."""
         self._log = log
         self._machine = machine
-        self._proposals = proposals
+        self._proposer = proposer
         self._nodes = nodes
         self._orders = orders
         self._root_key_sha256 = root_key_sha256
@@ -63,7 +63,7 @@
         self, request: control_pb2.ChangeRequest
     ) -> control_pb2.ChangeReply:
         """Change one branch."""
-        return await self._proposals.change(
+        return await self._proposer.change(
             commands_pb2.ChangeCommand(
                 operation_id=request.operation_id,
                 credential=self._credential(request),
@@ -94,7 +94,7 @@
     ) -> control_pb2.HistoryReply:
         """Return the last accepted changes of one branch, newest first."""
         try:
-            await self._proposals.require_operator(self._credential(request))
+            await self._proposer.require_operator(self._credential(request))
         except (VerbenathreadError, OperatorDeniedError) as error:
             return control_pb2.HistoryReply(answer=_error_answer(error))
         return control_pb2.HistoryReply(
@@ -109,7 +109,7 @@
     ) -> control_pb2.AuditReply:
         """Return records of the audit trail, oldest first."""
         try:
-            await self._proposals.require_operator(self._credential(request))
+            await self._proposer.require_operator(self._credential(request))
         except (VerbenathreadError, OperatorDeniedError) as error:
             return control_pb2.AuditReply(answer=_error_answer(error))
         return control_pb2.AuditReply(
@@ -124,7 +124,7 @@
     ) -> control_pb2.StatusReply:
         """Return the group, the nodes and the upstreams.
 
-        While nobody leads, the answer is NO_QUORUM with this process's view.
+        Without a leader, the answer is NO_QUORUM with the local state.
         """
         credential = self._credential(request)
         answer = ok()
@@ -135,7 +135,7 @@
         if answer.code == control_pb2.NOT_LEADER:
             return control_pb2.StatusReply(answer=answer)
         try:
-            self._proposals.check_operator(credential)
+            self._proposer.check_operator(credential)
         except OperatorDeniedError as refused:
             return control_pb2.StatusReply(answer=refused.answer)
         return self._status_reply(answer)
@@ -143,16 +143,16 @@
     async def place_order(
         self, request: control_pb2.OrderRequest
     ) -> control_pb2.OrderReply:
-        """Set what an upstream is wanted to be.
+        """Set the wanted state of an upstream.
 
-        Its address and service may be left out once they are known.
+        Its address and service may be omitted once they are known.
         """
         try:
             await self._log.barrier(CHANGE_TIMEOUT)
             order = self._order(request)
         except VerbenathreadError as error:
             return control_pb2.OrderReply(answer=_error_answer(error))
-        return await self._proposals.order(order)
+        return await self._proposer.order(order)
 
     async def change_member(
         self, request: control_pb2.MemberRequest
@@ -166,7 +166,7 @@
 
     async def _change_member(self, request: control_pb2.MemberRequest) -> None:
         credential = self._credential(request)
-        await self._proposals.require_operator(credential, root=True)
+        await self._proposer.require_operator(credential, root=True)
         record = commands_pb2.MemberCommand(
             operation_id=request.operation_id,
             operator_name=request.operator_name,
@@ -201,18 +201,18 @@
             subject=request.subject,
         )
         order.digest = digest_of(order)
-        for known in (
+        for source in (
             self._nodes.upstream(request.upstream_id),
             self._machine.wanted.get(request.upstream_id),
         ):
-            if known is not None:
-                order.address = order.address or known.address
-                order.service = order.service or known.service
+            if source is not None:
+                order.address = order.address or source.address
+                order.service = order.service or source.service
         parse_address(order.address)
         return order
 
     async def _record_audit(self, record: commands_pb2.MemberCommand) -> None:
-        await self._proposals.propose(
+        await self._proposer.propose(
             commands_pb2.Command(member=record), CHANGE_TIMEOUT
         )
 
@@ -222,14 +222,16 @@
         for member in self._log.status().members:
             if member.node_id == request.node_id:
                 return Peer(member.node_id, member.address)
-        raise UsageError(f'{request.node_id!r} is no member; give its address')
+        raise UsageError(
+            f'{request.node_id!r} is not a member; give its address'
+        )
 
     async def _allow_read(self, request: control_pb2.ReadTreeRequest) -> None:
         credential = self._credential(request)
         if request.may_be_stale:
-            self._proposals.check_operator(credential)
+            self._proposer.check_operator(credential)
             return
-        await self._proposals.require_operator(credential)
+        await self._proposer.require_operator(credential)
 
     def _credential(self, request: _OperatorRequest) -> commands_pb2.Credential:
         return credential_of(
