--- a/tests/test_replay_runs.py
+++ b/tests/test_replay_runs.py
@@ -10,12 +10,12 @@
 from verbenathread.replay.deployment import FBIS, NO_FAULTS, Faults
 from verbenathread.replay.generator import (
     MIX_BY_DEPLOYMENT,
-    Generator,
-    Shape,
+    LoadShape,
+    TraceGenerator,
 )
 from verbenathread.replay.policies import POLICY_BY_NAME
 from verbenathread.replay.replay import Replay, limits_for
-from verbenathread.replay.results import Ending
+from verbenathread.replay.results import RequestOutcome
 from verbenathread.replay.trace import read_trace, write_trace
 
 _SMALL = FBIS._replace(engines=5, entries=3)
@@ -23,7 +23,9 @@
 
 
 def make_trace(load=0.8, duration=30000, **shape):
-    return Generator(_SMALL, _MIX, Shape(load, duration, 3, **shape)).requests()
+    return TraceGenerator(
+        _SMALL, _MIX, LoadShape(load, duration, 3, **shape)
+    ).requests()
 
 
 def run_trace(trace, faults=NO_FAULTS, policy='current'):
@@ -56,8 +58,8 @@
     def test_an_engine_death_costs_no_request(self):
         trace = make_trace(0.5)
         result = run_trace(trace, Faults(engine_deaths=((1, 12000),)))
-        endings = {one.ending for one in result.results}
-        self.assertEqual(endings, {Ending.COMPLETED})
+        outcomes = {one.outcome for one in result.results}
+        self.assertEqual(outcomes, {RequestOutcome.COMPLETED})
         retried = [one for one in result.results if one.attempts > 1]
         self.assertTrue(retried)
 
--- a/tools/bounds.py
+++ b/tools/bounds.py
@@ -17,9 +17,9 @@
 from verbenathread.replay.generator import MIX_BY_DEPLOYMENT, capacity
 from verbenathread.replay.measures import (
     Measures,
-    high_first_token,
     is_short,
     measure,
+    p95_first_token,
     slowdown,
 )
 from verbenathread.replay.policies import POLICY_BY_NAME
@@ -78,11 +78,11 @@
     policy = POLICY_BY_NAME[policy_name]
     result = scenario.run(policy)
     deployment = scenario.deployment
-    measures = measure(result, deployment.to_clients)
+    measures = measure(result, deployment.client_latency_ms)
     ratio = None
     if scenario.name == _USUAL:
         alone = scenario.run_short_alone(policy)
-        ratio = slowdown(result, alone, deployment.to_clients)
+        ratio = slowdown(result, alone, deployment.client_latency_ms)
     mix = MIX_BY_DEPLOYMENT[deployment.name]
     return Line(
         deployment=deployment.name,
@@ -109,7 +109,9 @@
             return False
         return ended.request.account != flooding
 
-    return high_first_token(result, wanted, scenario.deployment.to_clients)
+    return p95_first_token(
+        result, wanted, scenario.deployment.client_latency_ms
+    )
 
 
 def _text(line: Line) -> str:
--- a/tools/make_trace.py
+++ b/tools/make_trace.py
@@ -7,8 +7,8 @@
 from verbenathread.replay.deployment import DEPLOYMENT_BY_NAME
 from verbenathread.replay.generator import (
     MIX_BY_DEPLOYMENT,
-    Generator,
-    Shape,
+    LoadShape,
+    TraceGenerator,
 )
 from verbenathread.replay.trace import write_trace
 
@@ -26,8 +26,8 @@
     options = parser.parse_args()
     deployment = DEPLOYMENT_BY_NAME[options.deployment]
     mix = MIX_BY_DEPLOYMENT[options.deployment]
-    shape = Shape(options.load, options.seconds * _MS, options.seed)
-    requests = Generator(deployment, mix, shape).requests()
+    shape = LoadShape(options.load, options.seconds * _MS, options.seed)
+    requests = TraceGenerator(deployment, mix, shape).requests()
     write_trace(options.path, requests)
     sys.stdout.write(f'{len(requests)} requests in {options.path}\n')
     return 0
--- a/verbenathread/replay/command.py
+++ b/verbenathread/replay/command.py
@@ -12,9 +12,9 @@
 from verbenathread.replay.results import Violations
 from verbenathread.replay.trace import read_trace
 
-_BROKEN = 1
+_EXIT_BROKEN = 1
 # Limits of each account, as a multiple of its mean rate in the trace.
-_LIMIT_TIMES = 3
+_LIMIT_MULTIPLE = 3
 _MS = 1000
 
 
@@ -25,17 +25,17 @@
     replay = Replay(
         deployment,
         POLICY_BY_NAME[options.policy],
-        limits_for(trace, _LIMIT_TIMES),
+        limits_for(trace, _LIMIT_MULTIPLE),
         options.seed,
     )
     result = replay.run(
         trace,
         Faults(
-            engine_deaths=tuple(_pairs(options.engine_dies)),
-            entry_deaths=tuple(_pairs(options.entry_dies)),
+            engine_deaths=tuple(_parse_deaths(options.engine_dies)),
+            entry_deaths=tuple(_parse_deaths(options.entry_dies)),
         ),
     )
-    measures = measure(result, deployment.to_clients)
+    measures = measure(result, deployment.client_latency_ms)
     is_broken = any(result.violations) or measures.missed
     data = {
         **measures._asdict(),
@@ -43,10 +43,10 @@
         'violations': result.violations._asdict(),
     }
     text = _text(measures, result.violations)
-    return Rendered(text, data, _BROKEN if is_broken else 0)
+    return Rendered(text, data, _EXIT_BROKEN if is_broken else 0)
 
 
-def _pairs(words: list[str]) -> list[tuple[int, int]]:
+def _parse_deaths(words: list[str]) -> list[tuple[int, int]]:
     """Return positions and moments in ms out of POSITION@SECONDS."""
     pairs = []
     for word in words:
--- a/verbenathread/replay/deployment.py
+++ b/verbenathread/replay/deployment.py
@@ -22,9 +22,9 @@
     engines: int
     entries: int
     data_centres: tuple[str, ...]
-    between_centres: float
-    within_centre: float
-    to_clients: float
+    inter_centre_ms: float
+    intra_centre_ms: float
+    client_latency_ms: float
     rates: EngineRates = EngineRates()
 
 
@@ -38,9 +38,9 @@
     engines=_TILLERY_ENGINES,
     entries=9,
     data_centres=('jackson-ms', 'mobile-al', 'shreveport-la'),
-    between_centres=0.5,
-    within_centre=_WITHIN_CENTRE_MS,
-    to_clients=3,
+    inter_centre_ms=0.5,
+    intra_centre_ms=_WITHIN_CENTRE_MS,
+    client_latency_ms=3,
 )
 FBIS = Deployment(
     name='fbis-day',
@@ -48,9 +48,9 @@
     engines=_FBIS_ENGINES,
     entries=9,
     data_centres=('be-central-a', 'be-central-b', 'be-central-c'),
-    between_centres=1,
-    within_centre=_WITHIN_CENTRE_MS,
-    to_clients=1,
+    inter_centre_ms=1,
+    intra_centre_ms=_WITHIN_CENTRE_MS,
+    client_latency_ms=1,
 )
 DEPLOYMENT_BY_NAME = MappingProxyType(
     {deployment.name: deployment for deployment in (TILLERY, FBIS)}
@@ -70,7 +70,7 @@
 NO_FAULTS = Faults()
 
 
-def entry_name(position: int) -> NodeId:
+def entry_id_at(position: int) -> NodeId:
     """Return the identifier of the entry at a position."""
     return f'n{position:03d}'
 
--- a/verbenathread/replay/entry.py
+++ b/verbenathread/replay/entry.py
@@ -4,18 +4,18 @@
 from typing import NamedTuple
 
 from verbenathread.replay.engine import Job
-from verbenathread.replay.group_keeper import GroupKeeper
+from verbenathread.replay.group_renewal import GroupRenewer
 from verbenathread.replay.owner import Answer
 from verbenathread.replay.pending import (
-    EntryPlace,
-    Grants,
-    Pending,
-    begin,
+    EntryEnvironment,
+    OwnerClient,
+    PendingRequest,
+    first_token_update,
     new_work,
-    progress,
+    start_update,
 )
 from verbenathread.replay.policies import EngineChooser
-from verbenathread.replay.results import Ending, RequestResult
+from verbenathread.replay.results import RequestOutcome, RequestResult
 from verbenathread.replay.trace import TraceRequest
 from verbenathread.scheduling.admission import Admission, memory_needed
 from verbenathread.scheduling.candidates import CandidateIterator, reroute_delay
@@ -37,10 +37,10 @@
 )
 
 # Sets of engines tried for one group.
-_GROUP_TRIES = 6
+_MAX_GROUP_ATTEMPTS = 6
 
 
-class EntryParts(NamedTuple):
+class EntryComponents(NamedTuple):
     """The decision parts of one entry."""
 
     chooser: EngineChooser
@@ -57,110 +57,115 @@
     """Takes requests, places attempts, and retries them."""
 
     def __init__(
-        self, entry_id: NodeId, parts: EntryParts, place: EntryPlace
+        self,
+        entry_id: NodeId,
+        components: EntryComponents,
+        environment: EntryEnvironment,
     ) -> None:
         """Start with nothing in progress."""
         self.entry_id = entry_id
         self.alive = True
-        self.parts = parts
-        self._place = place
-        self._grants = Grants(entry_id, place, parts.chooser)
-        self._groups = GroupKeeper(place, self._grants, self._send)
-        self._pending_by_request: dict[str, Pending] = {}
+        self.components = components
+        self._environment = environment
+        self._owners = OwnerClient(entry_id, environment, components.chooser)
+        self._group_renewer = GroupRenewer(
+            environment, self._owners, self._send_request
+        )
+        self._pending_by_request: dict[str, PendingRequest] = {}
 
     def arrive(self, number: int, request: TraceRequest) -> None:
         """Take one request from a caller."""
-        now = self._place.now()
-        work = new_work(number, request, self.parts.outputs, now)
-        pending = Pending(request, work)
-        refusal = self.parts.admission.admit(
+        now = self._environment.now()
+        work = new_work(number, request, self.components.outputs, now)
+        pending = PendingRequest(request, work)
+        refusal = self.components.admission.admit(
             work,
-            self.parts.limits_by_account[work.account],
-            self.parts.policy,
-            self._place.records(),
+            self.components.limits_by_account[work.account],
+            self.components.policy,
+            self._environment.records(),
             now,
         )
         if refusal is not None:
-            self._note(pending, Ending.REFUSED, refusal.reason)
+            self._record_result(pending, RequestOutcome.REFUSED, refusal.reason)
             return
         self._pending_by_request[work.request_id] = pending
-        self.parts.retries.record_first_attempt()
+        self.components.retries.record_first_attempt()
         limit = request.time_limit
-        self._place.later(limit, lambda: self._time_out(pending))
-        self._attempt(pending)
+        self._environment.call_later(limit, lambda: self._time_out(pending))
+        self._start_attempt(pending)
 
-    def answered(
+    def receive_answer(
         self, upstream_id: UpstreamId, attempt_id: str, answer: Answer
     ) -> None:
         """Take the answer of an engine's owner."""
-        pending = self._current(attempt_id)
-        if pending is None or upstream_id not in pending.waits_at:
+        pending = self._find_current(attempt_id)
+        if pending is None or upstream_id not in pending.waiting_at:
             if isinstance(answer, Reservation):
-                self._grants.give_back(upstream_id, attempt_id)
+                self._owners.cancel(upstream_id, attempt_id)
             return
         if isinstance(answer, Queued):
-            pending.note_accepted(upstream_id)
-            self._queued(pending, upstream_id, answer)
+            pending.record_accepted(upstream_id)
+            self._handle_queued(pending, upstream_id, answer)
             return
-        pending.waits_at.discard(upstream_id)
+        pending.waiting_at.discard(upstream_id)
         if isinstance(answer, Refusal):
-            self._turned_away(pending, upstream_id, answer)
+            self._handle_refusal(pending, upstream_id, answer)
             return
-        pending.note_accepted(upstream_id)
-        if pending.claim is None:
-            pending.held = (answer,)
-            self._start(pending)
+        pending.record_accepted(upstream_id)
+        if pending.group is None:
+            pending.reservations = (answer,)
+            self._start_job(pending)
             return
-        pending.claim.record_grant(answer)
-        pending.held = pending.claim.member_reservations()
-        if pending.claim.complete_reservation() is not None:
-            self._start(pending)
+        pending.group.record_grant(answer)
+        pending.reservations = pending.group.member_reservations()
+        if pending.group.complete_reservation() is not None:
+            self._start_job(pending)
 
     def owner_lost(self, upstream_ids: Sequence[UpstreamId]) -> None:
         """Ask elsewhere for what waits at an owner that is gone."""
         gone = Refusal(RefusalReason.NO_UPSTREAM, 'The owner is gone.', 1000)
         for pending in tuple(self._pending_by_request.values()):
-            concerned = pending.waits_at.union(pending.upstream_ids())
+            concerned = pending.waiting_at.union(pending.upstream_ids())
             if pending.run is None and not concerned.isdisjoint(upstream_ids):
-                for waits_at in tuple(pending.waits_at)[:1]:
-                    self.answered(waits_at, pending.attempt_id, gone)
+                for waits_at in tuple(pending.waiting_at)[:1]:
+                    self.receive_answer(waits_at, pending.attempt_id, gone)
 
     def prefilled(self, attempt_id: str) -> None:
         """Take the first token of an attempt."""
-        pending = self._current(attempt_id)
+        pending = self._find_current(attempt_id)
         if pending is None:
             return
         if pending.first_token_at is None:
-            pending.first_token_at = self._place.now()
-        for held in pending.held:
-            self._grants.tell(held, progress(held))
+            pending.first_token_at = self._environment.now()
+        for held in pending.reservations:
+            self._owners.update_ledger(held, first_token_update(held))
 
     def finished(self, attempt_id: str) -> None:
         """Take the last token of an attempt."""
-        pending = self._current(attempt_id)
+        pending = self._find_current(attempt_id)
         if pending is None:
             return
         for upstream_id in pending.upstream_ids():
-            self.parts.outliers.record_success(upstream_id)
+            self.components.outliers.record_success(upstream_id)
         output = pending.request.output_tokens
-        self._grants.release(pending, output)
-        self.parts.outputs.observe(
+        self._owners.release(pending, output)
+        self.components.outputs.observe(
             pending.work.account, pending.work.service, output
         )
-        self._end(pending, Ending.COMPLETED)
+        self._end(pending, RequestOutcome.COMPLETED)
 
     def broken(self, attempt_id: str) -> None:
         """Take the loss of an engine; begin again on another."""
-        pending = self._current(attempt_id)
+        pending = self._find_current(attempt_id)
         if pending is None:
             return
-        now = self._place.now()
+        now = self._environment.now()
         for upstream_id in pending.upstream_ids():
-            self.parts.outliers.record_failure(upstream_id, now)
-            pending.failed.add(upstream_id)
-        self._grants.release(pending, 0)
+            self.components.outliers.record_failure(upstream_id, now)
+            pending.failed_engines.add(upstream_id)
+        self._owners.release(pending, 0)
         pending.failures += 1
-        step = self.parts.retries.decide(
+        step = self.components.retries.decide(
             pending.work.deadline,
             pending.failures,
             Outcome.UNKNOWN,
@@ -168,51 +173,57 @@
             repeatable=True,
         )
         if isinstance(step, Retry):
-            self._place.later(step.delay, lambda: self._attempt(pending))
+            self._environment.call_later(
+                step.delay, lambda: self._start_attempt(pending)
+            )
             return
-        self._end(pending, Ending.FAILED, step.reason)
+        self._end(pending, RequestOutcome.FAILED, step.reason)
 
     def die(self) -> None:
         """Lose every request in progress."""
         for pending in tuple(self._pending_by_request.values()):
-            self._end(pending, Ending.LOST)
+            self._end(pending, RequestOutcome.LOST)
         self.alive = False
 
-    def _current(self, attempt_id: str) -> Pending | None:
+    def _find_current(self, attempt_id: str) -> PendingRequest | None:
         pending = self._pending_by_request.get(attempt_id.split('.')[0])
         if pending is None or pending.attempt_id != attempt_id:
             return None
         return pending
 
-    def _attempt(self, pending: Pending) -> None:
+    def _start_attempt(self, pending: PendingRequest) -> None:
         """Choose engines for the next attempt, and ask the first."""
         if pending.is_over:
             return
         pending.attempts += 1
-        pending.claim = None
-        pending.held = ()
+        pending.group = None
+        pending.reservations = ()
         work = pending.work
-        records = self._place.records()
+        records = self._environment.records()
         size = group_size(
             memory_needed(work),
             records[0].memory_tokens if records else 0,
-            self.parts.policy,
+            self.components.policy,
         )
-        aside = self.parts.outliers.ejected(self._place.now())
-        candidates = self.parts.chooser.choose(
-            work, records, self._place.now(), pending.failed | aside, size
+        aside = self.components.outliers.ejected(self._environment.now())
+        candidates = self.components.chooser.choose(
+            work,
+            records,
+            self._environment.now(),
+            pending.failed_engines | aside,
+            size,
         )
         if size == 1:
-            patience = self.parts.tuning.wait_threshold
-            pending.walk = CandidateIterator(candidates, patience)
-            self._ask_next(pending)
+            patience = self.components.tuning.wait_threshold
+            pending.candidates = CandidateIterator(candidates, patience)
+            self._try_next_candidate(pending)
             return
-        self._ask_group(pending, candidates, size)
+        self._request_group(pending, candidates, size)
 
-    def _ask_next(self, pending: Pending) -> None:
-        upstream_id = pending.walk.next()
+    def _try_next_candidate(self, pending: PendingRequest) -> None:
+        upstream_id = pending.candidates.next()
         if upstream_id is None:
-            self._nowhere(pending)
+            self._end_unplaced(pending)
             return
         work = pending.work
         ask = ReservationRequest(
@@ -220,47 +231,54 @@
             pending.attempt_id,
             self.entry_id,
             memory_needed(work),
-            self.parts.limits_by_account[work.account].weight,
+            self.components.limits_by_account[work.account].weight,
             admitted=pending.is_admitted,
         )
-        self._send(pending, upstream_id, ask)
+        self._send_request(pending, upstream_id, ask)
 
-    def _queued(
-        self, pending: Pending, upstream_id: UpstreamId, answer: Queued
+    def _handle_queued(
+        self, pending: PendingRequest, upstream_id: UpstreamId, answer: Queued
     ) -> None:
         """Wait there, or ask the next one."""
-        if pending.claim is not None:
+        if pending.group is not None:
             return
-        if pending.walk.accepts_wait(upstream_id, answer.expected_wait):
-            self._look_again_later(pending, answer.expected_wait)
+        if pending.candidates.accepts_wait(upstream_id, answer.expected_wait):
+            self._schedule_reroute(pending, answer.expected_wait)
             return
-        pending.waits_at.discard(upstream_id)
-        self._grants.give_back(upstream_id, pending.attempt_id)
-        self.parts.chooser.record_done(upstream_id, pending.work)
-        self._ask_next(pending)
+        pending.waiting_at.discard(upstream_id)
+        self._owners.cancel(upstream_id, pending.attempt_id)
+        self.components.chooser.record_done(upstream_id, pending.work)
+        self._try_next_candidate(pending)
 
-    def _look_again_later(self, pending: Pending, wait: Millis) -> None:
+    def _schedule_reroute(self, pending: PendingRequest, wait: Millis) -> None:
         """Look for another engine if this one does not grant in time."""
-        parts = self.parts
+        parts = self.components
         delay = reroute_delay(pending.work, wait, parts.policy, parts.tuning)
         if delay is None:
             return
-        walk = pending.walk
-        self._place.later(delay, lambda: self._look_again(pending, walk))
+        walk = pending.candidates
+        self._environment.call_later(
+            delay, lambda: self._reroute(pending, walk)
+        )
 
-    def _look_again(self, pending: Pending, walk: CandidateIterator) -> None:
-        if pending.is_over or pending.walk is not walk:
+    def _reroute(
+        self, pending: PendingRequest, walk: CandidateIterator
+    ) -> None:
+        if pending.is_over or pending.candidates is not walk:
             return
-        if not pending.waits_at:
+        if not pending.waiting_at:
             return
-        self._grants.give_all_back(pending)
-        self._attempt(pending)
+        self._owners.cancel_all(pending)
+        self._start_attempt(pending)
 
-    def _ask_group(
-        self, pending: Pending, candidates: Sequence[UpstreamId], size: int
+    def _request_group(
+        self,
+        pending: PendingRequest,
+        candidates: Sequence[UpstreamId],
+        size: int,
     ) -> None:
         if len(candidates) < size:
-            self._nowhere(pending)
+            self._end_unplaced(pending)
             return
         work = pending.work
         claim = GroupRequest(
@@ -272,52 +290,59 @@
             work.arrival,
             admitted=pending.is_admitted,
         )
-        pending.claim = claim
-        self._groups.keep(pending, claim)
+        pending.group = claim
+        self._group_renewer.start(pending, claim)
         for member in claim.members:
-            self._send(pending, member, claim.member_request)
+            self._send_request(pending, member, claim.member_request)
 
-    def _send(
-        self, pending: Pending, upstream_id: UpstreamId, ask: ReservationRequest
+    def _send_request(
+        self,
+        pending: PendingRequest,
+        upstream_id: UpstreamId,
+        ask: ReservationRequest,
     ) -> None:
-        pending.waits_at.add(upstream_id)
-        now = self._place.now()
-        self.parts.chooser.record_sent(upstream_id, ask.work, now)
-        self.parts.outliers.record_sent(upstream_id, now)
-        self._place.ask(self.entry_id, upstream_id, ask)
+        pending.waiting_at.add(upstream_id)
+        now = self._environment.now()
+        self.components.chooser.record_sent(upstream_id, ask.work, now)
+        self.components.outliers.record_sent(upstream_id, now)
+        self._environment.request_reservation(self.entry_id, upstream_id, ask)
 
-    def _turned_away(
-        self, pending: Pending, upstream_id: UpstreamId, refusal: Refusal
+    def _handle_refusal(
+        self, pending: PendingRequest, upstream_id: UpstreamId, refusal: Refusal
     ) -> None:
         pending.refusal = refusal
-        self.parts.chooser.record_done(upstream_id, pending.work)
-        if pending.claim is None:
-            self._ask_next(pending)
+        self.components.chooser.record_done(upstream_id, pending.work)
+        if pending.group is None:
+            self._try_next_candidate(pending)
             return
-        self._grants.give_all_back(pending)
-        pending.failed.add(upstream_id)
+        self._owners.cancel_all(pending)
+        pending.failed_engines.add(upstream_id)
         pending.failures += 1
-        if pending.failures < _GROUP_TRIES:
-            self._attempt(pending)
+        if pending.failures < _MAX_GROUP_ATTEMPTS:
+            self._start_attempt(pending)
             return
-        self._nowhere(pending)
+        self._end_unplaced(pending)
 
-    def _nowhere(self, pending: Pending) -> None:
+    def _end_unplaced(self, pending: PendingRequest) -> None:
         """End a request that no engine takes."""
         reason = RefusalReason.NO_UPSTREAM
         if pending.refusal is not None:
             reason = pending.refusal.reason
-        ending = Ending.FAILED if pending.is_admitted else Ending.REFUSED
+        ending = (
+            RequestOutcome.FAILED
+            if pending.is_admitted
+            else RequestOutcome.REFUSED
+        )
         self._end(pending, ending, reason)
 
-    def _start(self, pending: Pending) -> None:
-        now = self._place.now()
-        if any(held.start_by <= now for held in pending.held):
-            self._grants.give_all_back(pending)
-            self._attempt(pending)
+    def _start_job(self, pending: PendingRequest) -> None:
+        now = self._environment.now()
+        if any(held.start_by <= now for held in pending.reservations):
+            self._owners.cancel_all(pending)
+            self._start_attempt(pending)
             return
-        for held in pending.held:
-            self._grants.tell(held, begin(held))
+        for held in pending.reservations:
+            self._owners.update_ledger(held, start_update(held))
         work = pending.work
         job = Job(
             attempt_id=pending.attempt_id,
@@ -325,48 +350,54 @@
             entry_id=self.entry_id,
             prompt_tokens=work.prompt_tokens,
             output_tokens=pending.request.output_tokens,
-            memory_tokens=pending.held[0].memory_tokens,
-            priority=pending.held[0].priority,
+            memory_tokens=pending.reservations[0].memory_tokens,
+            priority=pending.reservations[0].priority,
             prefix_hashes=work.prefix_hashes,
-            parts=len(pending.held),
+            group_size=len(pending.reservations),
         )
-        pending.run = self._place.start(pending.upstream_ids(), job)
+        pending.run = self._environment.start_job(pending.upstream_ids(), job)
 
-    def _time_out(self, pending: Pending) -> None:
+    def _time_out(self, pending: PendingRequest) -> None:
         """Give up a request whose time limit has come."""
         if pending.is_over:
             return
         if pending.run is None:
-            self._grants.give_all_back(pending)
+            self._owners.cancel_all(pending)
         else:
-            self._place.end(
-                pending.run, lambda: self._grants.release(pending, 0)
+            self._environment.cancel_job(
+                pending.run, lambda: self._owners.release(pending, 0)
             )
-        self._end(pending, Ending.MISSED)
+        self._end(pending, RequestOutcome.MISSED)
 
     def _end(
         self,
-        pending: Pending,
-        ending: Ending,
+        pending: PendingRequest,
+        ending: RequestOutcome,
         reason: RefusalReason | None = None,
     ) -> None:
         self._pending_by_request.pop(pending.work.request_id, None)
         pending.is_over = True
         output = 0
-        if ending is Ending.COMPLETED:
+        if ending is RequestOutcome.COMPLETED:
             output = pending.request.output_tokens
-        self.parts.admission.finish(
-            pending.work, self.parts.policy, output, self._place.now()
+        self.components.admission.finish(
+            pending.work,
+            self.components.policy,
+            output,
+            self._environment.now(),
         )
-        self._note(pending, ending, reason)
+        self._record_result(pending, ending, reason)
 
-    def _note(
-        self, pending: Pending, ending: Ending, reason: RefusalReason | None
+    def _record_result(
+        self,
+        pending: PendingRequest,
+        ending: RequestOutcome,
+        reason: RefusalReason | None,
     ) -> None:
-        now = self._place.now()
+        now = self._environment.now()
         arrival = pending.work.arrival
         first = pending.first_token_at
-        self._place.note(
+        self._environment.record_result(
             RequestResult(
                 int(pending.work.request_id.removeprefix('r')),
                 pending.request,
--- a/verbenathread/replay/events.py
+++ b/verbenathread/replay/event_loop.py
@@ -6,11 +6,11 @@
 from typing import Any, NamedTuple
 
 
-class _Due(NamedTuple):
-    moment: float
+class _ScheduledCall(NamedTuple):
+    time: float
     number: int
     action: Callable[..., object]
-    values: tuple[Any, ...]
+    arguments: tuple[Any, ...]
 
 
 class EventLoop:
@@ -19,7 +19,7 @@
     def __init__(self) -> None:
         """Start at zero with nothing to do."""
         self.now: float = 0
-        self._queue: list[_Due] = []
+        self._queue: list[_ScheduledCall] = []
         self._numbers = itertools.count()
 
     def call_later(
@@ -33,19 +33,20 @@
     ) -> None:
         """Run ``action`` at ``moment``; equal ones in order of the calls."""
         heapq.heappush(
-            self._queue, _Due(moment, next(self._numbers), action, values)
+            self._queue,
+            _ScheduledCall(moment, next(self._numbers), action, values),
         )
 
     def run(self, until: float) -> None:
         """Run what is due up to ``until`` ms."""
-        while self._queue and self._queue[0].moment <= until:
+        while self._queue and self._queue[0].time <= until:
             due = heapq.heappop(self._queue)
-            self.now = due.moment
-            due.action(*due.values)
+            self.now = due.time
+            due.action(*due.arguments)
         self.now = until
 
 
-class LoopTime:
+class LoopClock:
     """The clock of an event loop, as the decision parts take it."""
 
     def __init__(self, loop: EventLoop) -> None:
--- a/verbenathread/replay/fleet.py
+++ b/verbenathread/replay/fleet.py
@@ -6,13 +6,13 @@
 from verbenathread.replay.deployment import (
     Deployment,
     engine_records,
-    entry_name,
+    entry_id_at,
 )
 from verbenathread.replay.engine import Engine, Job
 from verbenathread.replay.entry import Entry
-from verbenathread.replay.events import EventLoop, LoopTime
-from verbenathread.replay.grouping import GroupRun
-from verbenathread.replay.owner import Answer, LedgerAction, OwnerSide
+from verbenathread.replay.event_loop import EventLoop, LoopClock
+from verbenathread.replay.group_run import GroupRun
+from verbenathread.replay.owner import Answer, EngineOwner, LedgerAction
 from verbenathread.replay.results import RequestResult
 from verbenathread.scheduling.ledger import EngineLedger
 from verbenathread.scheduling.messages import ReservationRequest
@@ -28,11 +28,11 @@
 )
 
 # From the death of an engine to the end of its ledger and its record.
-_ENGINE_LOSS_SEEN: Millis = 1500
+_ENGINE_LOSS_DETECTION: Millis = 1500
 # From the death of an entry until others act on it.
-_ENTRY_LOSS_SEEN: Millis = 2000
+_ENTRY_LOSS_DETECTION: Millis = 2000
 # From the death of an owner until another owns its engines.
-_TAKEOVER: Millis = 6500
+_OWNER_TAKEOVER: Millis = 6500
 
 
 class Fleet:
@@ -57,16 +57,16 @@
         self._tuning = tuning
         self._records = engine_records(deployment)
         self._owner_by_engine: dict[UpstreamId, NodeId] = {}
-        self._running = Counter[str]()
+        self._running_attempts = Counter[str]()
         owner_ids = sorted(self.owner_by_id)
         for position, upstream_id in enumerate(sorted(self.engine_by_id)):
-            self.give(upstream_id, owner_ids[position % len(owner_ids)])
+            self.assign_owner(upstream_id, owner_ids[position % len(owner_ids)])
 
     def now(self) -> Millis:
         """Return virtual time in ms."""
         return int(self.loop.now)
 
-    def later(self, delay: float, action: Callable[..., object]) -> None:
+    def call_later(self, delay: float, action: Callable[..., object]) -> None:
         """Run an action after a delay in ms."""
         self.loop.call_later(delay, action)
 
@@ -74,17 +74,17 @@
         """Return the engines in service."""
         return self._records
 
-    def give(self, upstream_id: UpstreamId, owner_id: NodeId) -> None:
+    def assign_owner(self, upstream_id: UpstreamId, owner_id: NodeId) -> None:
         """Let an entry own an engine; it starts from what runs there."""
         engine = self.engine_by_id[upstream_id]
         ledger = EngineLedger(
             upstream_id,
             engine.rates.memory_tokens,
             self._policy,
-            LoopTime(self.loop),
+            LoopClock(self.loop),
             self._tuning,
         )
-        ledger.restore(engine.listing())
+        ledger.restore(engine.holds())
         self.owner_by_id[owner_id].ledger_by_id[upstream_id] = ledger
         self._owner_by_engine[upstream_id] = owner_id
 
@@ -95,12 +95,15 @@
             for upstream_id, owner_id in self._owner_by_engine.items()
         ]
 
-    def cached(self, upstream_id: UpstreamId) -> tuple[int, ...]:
+    def cached_prefixes(self, upstream_id: UpstreamId) -> tuple[int, ...]:
         """Return the prefixes that one engine has cached."""
         return self.engine_by_id[upstream_id].cache.hashes()
 
-    def ask(
-        self, entry_id: NodeId, upstream_id: UpstreamId, ask: ReservationRequest
+    def request_reservation(
+        self,
+        entry_id: NodeId,
+        upstream_id: UpstreamId,
+        request: ReservationRequest,
     ) -> None:
         """Send an ask; where no owner is, the entry hears that."""
         owner_id = self._owner_by_engine.get(upstream_id)
@@ -108,18 +111,18 @@
             refusal = Refusal(RefusalReason.NO_UPSTREAM, 'No owner.', 1000)
             entry = self.entry_by_id[entry_id]
             self.loop.call_later(
-                2 * self.deployment.between_centres,
-                entry.answered,
+                2 * self.deployment.inter_centre_ms,
+                entry.receive_answer,
                 upstream_id,
-                ask.attempt_id,
+                request.attempt_id,
                 refusal,
             )
             return
         owner = self.owner_by_id[owner_id]
-        delay = self._between(entry_id, owner_id)
-        self.loop.call_later(delay, owner.ask, upstream_id, ask)
+        delay = self._latency_ms(entry_id, owner_id)
+        self.loop.call_later(delay, owner.reserve, upstream_id, request)
 
-    def tell(
+    def update_ledger(
         self, entry_id: NodeId, upstream_id: UpstreamId, action: LedgerAction
     ) -> None:
         """Send news; where no owner is, it is lost."""
@@ -127,10 +130,10 @@
         if owner_id is None:
             return
         owner = self.owner_by_id[owner_id]
-        delay = self._between(entry_id, owner_id)
-        self.loop.call_later(delay, owner.tell, upstream_id, action)
+        delay = self._latency_ms(entry_id, owner_id)
+        self.loop.call_later(delay, owner.update_ledger, upstream_id, action)
 
-    def answer(
+    def send_answer(
         self,
         owner_id: NodeId,
         entry_id: NodeId,
@@ -141,35 +144,41 @@
         """Carry an owner's answer to an entry."""
         entry = self.entry_by_id[entry_id]
         self.loop.call_later(
-            self._between(owner_id, entry_id),
-            entry.answered,
+            self._latency_ms(owner_id, entry_id),
+            entry.receive_answer,
             upstream_id,
             attempt_id,
             answer,
         )
 
-    def start(self, upstream_ids: Sequence[UpstreamId], job: Job) -> GroupRun:
+    def start_job(
+        self, upstream_ids: Sequence[UpstreamId], job: Job
+    ) -> GroupRun:
         """Begin a job on its engines after the latency."""
         engines = [self.engine_by_id[upstream] for upstream in upstream_ids]
-        remote = _Remote(self, self.entry_by_id[job.entry_id], job.request_id)
+        remote = _DelayedListener(
+            self, self.entry_by_id[job.entry_id], job.request_id
+        )
         run = GroupRun(engines, job, remote)
-        self._running[job.request_id] += 1
-        if self._running[job.request_id] > 1:
+        self._running_attempts[job.request_id] += 1
+        if self._running_attempts[job.request_id] > 1:
             self.run_twice += 1
-        self.loop.call_later(self.deployment.between_centres, run.begin)
+        self.loop.call_later(self.deployment.inter_centre_ms, run.begin)
         return run
 
-    def end(self, run: GroupRun, confirmed: Callable[[], object]) -> None:
+    def cancel_job(
+        self, run: GroupRun, confirmed: Callable[[], object]
+    ) -> None:
         """Cancel a job and confirm, each after the latency."""
-        delay = self.deployment.between_centres
+        delay = self.deployment.inter_centre_ms
         self.loop.call_later(delay, run.end)
         self.loop.call_later(2 * delay, confirmed)
 
-    def ended(self, request_id: str) -> None:
+    def record_attempt_end(self, request_id: str) -> None:
         """Note that an attempt runs nowhere any more."""
-        self._running[request_id] -= 1
+        self._running_attempts[request_id] -= 1
 
-    def note(self, result: RequestResult) -> None:
+    def record_result(self, result: RequestResult) -> None:
         """Take the end of one request."""
         self.results.append(result)
 
@@ -177,7 +186,9 @@
         """Lose one engine; its owner sees it a little later."""
         upstream_id = sorted(self.engine_by_id)[position]
         self.engine_by_id[upstream_id].die()
-        self.later(_ENGINE_LOSS_SEEN, lambda: self._lose_engine(upstream_id))
+        self.call_later(
+            _ENGINE_LOSS_DETECTION, lambda: self._drop_engine(upstream_id)
+        )
 
     def kill_entry(self, position: int) -> None:
         """Lose one entry and what it owns; others see it a little later."""
@@ -191,10 +202,14 @@
         for upstream_id in owned:
             self._owner_by_engine.pop(upstream_id)
         self.owner_by_id[entry_id].ledger_by_id.clear()
-        self.later(_ENTRY_LOSS_SEEN, lambda: self._lose_entry(entry_id, owned))
-        self.later(_TAKEOVER, lambda: self._take_over(entry_id, owned))
+        self.call_later(
+            _ENTRY_LOSS_DETECTION, lambda: self._drop_entry(entry_id, owned)
+        )
+        self.call_later(
+            _OWNER_TAKEOVER, lambda: self._take_over(entry_id, owned)
+        )
 
-    def _lose_engine(self, upstream_id: UpstreamId) -> None:
+    def _drop_engine(self, upstream_id: UpstreamId) -> None:
         self._records = tuple(
             record
             for record in self._records
@@ -204,16 +219,16 @@
         if owner_id is None:
             return
         gone = Refusal(RefusalReason.NO_UPSTREAM, 'The engine is gone.', 1000)
-        self.owner_by_id[owner_id].lose(upstream_id, gone)
+        self.owner_by_id[owner_id].drop_engine(upstream_id, gone)
 
-    def _lose_entry(
+    def _drop_entry(
         self, entry_id: NodeId, owned: Sequence[UpstreamId]
     ) -> None:
         for entry in self.entry_by_id.values():
             if entry.alive:
                 entry.owner_lost(owned)
         for upstream_id in tuple(self._owner_by_engine):
-            self._clean_up(entry_id, upstream_id)
+            self._cancel_orphans(entry_id, upstream_id)
 
     def _take_over(self, entry_id: NodeId, owned: Sequence[UpstreamId]) -> None:
         alive = [
@@ -224,30 +239,32 @@
         for position, upstream_id in enumerate(owned):
             if not self.engine_by_id[upstream_id].alive:
                 continue
-            self.give(upstream_id, alive[position % len(alive)])
-            self._clean_up(entry_id, upstream_id)
+            self.assign_owner(upstream_id, alive[position % len(alive)])
+            self._cancel_orphans(entry_id, upstream_id)
 
-    def _clean_up(self, entry_id: NodeId, upstream_id: UpstreamId) -> None:
+    def _cancel_orphans(
+        self, entry_id: NodeId, upstream_id: UpstreamId
+    ) -> None:
         """Cancel at one engine what a dead entry had started there."""
         owner = self.owner_by_id[self._owner_by_engine[upstream_id]]
         ledger = owner.ledger_by_id[upstream_id]
         for reservation in ledger.drop_entry(entry_id):
             self.engine_by_id[upstream_id].end(reservation.attempt_id)
             ledger.release(reservation.reservation_id, 0)
-        owner.pump(upstream_id)
+        owner.send_grants(upstream_id)
 
-    def _between(self, one: NodeId, other: NodeId) -> float:
+    def _latency_ms(self, one: NodeId, other: NodeId) -> float:
         if one == other:
             return 0
         deployment = self.deployment
         centres = len(deployment.data_centres)
         positions = [int(node_id[1:]) % centres for node_id in (one, other)]
         if positions[0] == positions[1]:
-            return deployment.within_centre
-        return deployment.between_centres
+            return deployment.intra_centre_ms
+        return deployment.inter_centre_ms
 
 
-class _Remote:
+class _DelayedListener:
     """Carries an engine's news to the entry that runs the attempt."""
 
     def __init__(self, fleet: Fleet, entry: Entry, request_id: str) -> None:
@@ -257,20 +274,20 @@
 
     def prefilled(self, attempt_id: str) -> None:
         """Carry the first token."""
-        self._carry(self._entry.prefilled, attempt_id)
+        self._deliver(self._entry.prefilled, attempt_id)
 
     def finished(self, attempt_id: str) -> None:
         """Carry the last token."""
-        self._fleet.ended(self._request_id)
-        self._carry(self._entry.finished, attempt_id)
+        self._fleet.record_attempt_end(self._request_id)
+        self._deliver(self._entry.finished, attempt_id)
 
     def broken(self, attempt_id: str) -> None:
         """Carry the loss."""
-        self._fleet.ended(self._request_id)
-        self._carry(self._entry.broken, attempt_id)
+        self._fleet.record_attempt_end(self._request_id)
+        self._deliver(self._entry.broken, attempt_id)
 
-    def _carry(self, action: Callable[[str], None], attempt_id: str) -> None:
-        delay = self._fleet.deployment.between_centres
+    def _deliver(self, action: Callable[[str], None], attempt_id: str) -> None:
+        delay = self._fleet.deployment.inter_centre_ms
         self._fleet.loop.call_later(delay, action, attempt_id)
 
 
@@ -286,9 +303,9 @@
 
 def _owners(
     deployment: Deployment, loop: EventLoop, fleet: Fleet
-) -> dict[NodeId, OwnerSide]:
+) -> dict[NodeId, EngineOwner]:
     by_id = {}
     for position in range(deployment.entries):
-        owner_id = entry_name(position)
-        by_id[owner_id] = OwnerSide(owner_id, loop, fleet)
+        owner_id = entry_id_at(position)
+        by_id[owner_id] = EngineOwner(owner_id, loop, fleet)
     return by_id
--- a/verbenathread/replay/grouping.py
+++ b/verbenathread/replay/group_run.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Sequence
 
-from verbenathread.replay.engine import Engine, Job, Listener
+from verbenathread.replay.engine import Engine, Job, JobListener
 
 
 class GroupRun:
@@ -12,7 +12,7 @@
     """
 
     def __init__(
-        self, engines: Sequence[Engine], job: Job, listener: Listener
+        self, engines: Sequence[Engine], job: Job, listener: JobListener
     ) -> None:
         """Take the engines of the group, the one that decodes first."""
         self._engines = tuple(engines)
--- a/verbenathread/replay/measures.py
+++ b/verbenathread/replay/measures.py
@@ -3,36 +3,40 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import NamedTuple
 
-from verbenathread.replay.results import Ending, ReplayResult, RequestResult
+from verbenathread.replay.results import (
+    ReplayResult,
+    RequestOutcome,
+    RequestResult,
+)
 
-SHORT_EDGE = 4096
-_MIDDLE_EDGE = 32768
-_LONGER_EDGE = 131072
-_LONGEST_EDGE = 1048576
+SHORT_PROMPT_TOKENS = 4096
+_MIDDLE_PROMPT_TOKENS = 32768
+_LONGER_PROMPT_TOKENS = 131072
+_LONGEST_PROMPT_TOKENS = 1048576
 _MS = 1000
-_MEDIAN = 0.5
-_HIGH = 0.95
-_HIGHEST = 0.99
-_LONG_EDGE = 100000
+_P50 = 0.5
+_P95 = 0.95
+_P99 = 0.99
+_LONG_PROMPT_TOKENS = 100000
 
 
 class Bucket(NamedTuple):
     """A range of prompt lengths, above ``over`` and up to ``most``."""
 
     name: str
-    over: int
-    most: int
+    above: int
+    up_to: int
 
-    def holds(self, ended: RequestResult) -> bool:
+    def contains(self, ended: RequestResult) -> bool:
         """Tell whether a request's prompt is in the range."""
-        return self.over < ended.request.prompt_tokens <= self.most
+        return self.above < ended.request.prompt_tokens <= self.up_to
 
 
 BUCKETS = (
-    Bucket('4k', 0, SHORT_EDGE),
-    Bucket('32k', SHORT_EDGE, _MIDDLE_EDGE),
-    Bucket('128k', _MIDDLE_EDGE, _LONGER_EDGE),
-    Bucket('1M', _LONGER_EDGE, _LONGEST_EDGE),
+    Bucket('4k', 0, SHORT_PROMPT_TOKENS),
+    Bucket('32k', SHORT_PROMPT_TOKENS, _MIDDLE_PROMPT_TOKENS),
+    Bucket('128k', _MIDDLE_PROMPT_TOKENS, _LONGER_PROMPT_TOKENS),
+    Bucket('1M', _LONGER_PROMPT_TOKENS, _LONGEST_PROMPT_TOKENS),
 )
 
 
@@ -66,26 +70,28 @@
     attempts: int
 
 
-def measure(result: ReplayResult, to_clients: float) -> Measures:
+def measure(result: ReplayResult, client_latency_ms: float) -> Measures:
     """Return the figures of a replay; ``to_clients`` is one way, in ms."""
     ended = result.results
-    long = [one for one in ended if one.request.prompt_tokens > _LONG_EDGE]
-    completed = _count(ended, Ending.COMPLETED)
+    long = [
+        one for one in ended if one.request.prompt_tokens > _LONG_PROMPT_TOKENS
+    ]
+    completed = _count(ended, RequestOutcome.COMPLETED)
     return Measures(
         first_tokens=tuple(
-            _first_token(bucket, ended, to_clients) for bucket in BUCKETS
+            _first_token(bucket, ended, client_latency_ms) for bucket in BUCKETS
         ),
         requests=len(ended),
         completed=completed,
-        refused=_count(ended, Ending.REFUSED),
-        failed=_count(ended, Ending.FAILED),
-        missed=_count(ended, Ending.MISSED),
-        lost=_count(ended, Ending.LOST),
+        refused=_count(ended, RequestOutcome.REFUSED),
+        failed=_count(ended, RequestOutcome.FAILED),
+        missed=_count(ended, RequestOutcome.MISSED),
+        lost=_count(ended, RequestOutcome.LOST),
         long_requests=len(long),
-        long_refused=_count(long, Ending.REFUSED),
+        long_refused=_count(long, RequestOutcome.REFUSED),
         long_unfinished=len(long)
-        - _count(long, Ending.REFUSED)
-        - _count(long, Ending.COMPLETED),
+        - _count(long, RequestOutcome.REFUSED)
+        - _count(long, RequestOutcome.COMPLETED),
         good_rate=_completed_during(result) * _MS / max(1, result.duration),
         attempts=result.attempts,
     )
@@ -95,7 +101,7 @@
     """Return how many requests completed before the trace ended."""
     count = 0
     for one in result.results:
-        if one.ending is not Ending.COMPLETED:
+        if one.outcome is not RequestOutcome.COMPLETED:
             continue
         count += one.request.arrival + one.ended_after <= result.duration
     return count
@@ -110,45 +116,54 @@
     return ordered[min(len(ordered) - 1, position)]
 
 
-def high_first_token(
+def p95_first_token(
     result: ReplayResult,
-    wanted: Callable[[RequestResult], bool],
-    to_clients: float,
+    is_wanted: Callable[[RequestResult], bool],
+    client_latency_ms: float,
 ) -> float:
     """Return the p95 first token in ms of the requests that are wanted."""
-    return percentile(_times(filter(wanted, result.results), to_clients), _HIGH)
+    return percentile(
+        _first_token_times(
+            filter(is_wanted, result.results), client_latency_ms
+        ),
+        _P95,
+    )
 
 
 def is_short(ended: RequestResult) -> bool:
     """Tell whether a request is in the shortest bucket."""
-    return ended.request.prompt_tokens <= SHORT_EDGE
+    return ended.request.prompt_tokens <= SHORT_PROMPT_TOKENS
 
 
 def slowdown(
-    beside: ReplayResult, alone: ReplayResult, to_clients: float
+    mixed: ReplayResult, alone: ReplayResult, client_latency_ms: float
 ) -> float:
     """Return the p95 first token of short requests over that alone."""
-    high = high_first_token(beside, is_short, to_clients)
-    return high / max(1, high_first_token(alone, is_short, to_clients))
+    high = p95_first_token(mixed, is_short, client_latency_ms)
+    return high / max(1, p95_first_token(alone, is_short, client_latency_ms))
 
 
-def _times(ended: Iterable[RequestResult], to_clients: float) -> list[float]:
+def _first_token_times(
+    ended: Iterable[RequestResult], client_latency_ms: float
+) -> list[float]:
     times = []
     for one in ended:
         if one.first_token_after is not None:
-            times.append(one.first_token_after + 2 * to_clients)
+            times.append(one.first_token_after + 2 * client_latency_ms)
     return times
 
 
 def _first_token(
-    bucket: Bucket, ended: Sequence[RequestResult], to_clients: float
+    bucket: Bucket, ended: Sequence[RequestResult], client_latency_ms: float
 ) -> FirstToken:
-    times = _times(filter(bucket.holds, ended), to_clients)
-    median = percentile(times, _MEDIAN)
-    high = percentile(times, _HIGH)
-    highest = percentile(times, _HIGHEST)
+    times = _first_token_times(
+        filter(bucket.contains, ended), client_latency_ms
+    )
+    median = percentile(times, _P50)
+    high = percentile(times, _P95)
+    highest = percentile(times, _P99)
     return FirstToken(bucket.name, len(times), median, high, highest)
 
 
-def _count(ended: Iterable[RequestResult], ending: Ending) -> int:
-    return len([one for one in ended if one.ending is ending])
+def _count(ended: Iterable[RequestResult], ending: RequestOutcome) -> int:
+    return len([one for one in ended if one.outcome is ending])
--- a/verbenathread/replay/owner.py
+++ b/verbenathread/replay/owner.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from verbenathread.replay.events import EventLoop
+from verbenathread.replay.event_loop import EventLoop
 from verbenathread.scheduling.ledger import EngineLedger
 from verbenathread.scheduling.messages import Queued, ReservationRequest
 from verbenathread.types import NodeId, Refusal, Reservation, UpstreamId
@@ -12,10 +12,10 @@
 LedgerAction = Callable[[EngineLedger], object]
 
 
-class AnswerPost(Protocol):
+class AnswerSender(Protocol):
     """Carries an owner's answers to the entries that asked."""
 
-    def answer(
+    def send_answer(
         self,
         owner_id: NodeId,
         entry_id: NodeId,
@@ -26,73 +26,83 @@
         """Deliver an answer after the latency between both."""
 
 
-class OwnerSide:
+class EngineOwner:
     """Ledgers that one entry keeps, and the grants that it sends out."""
 
     def __init__(
-        self, owner_id: NodeId, loop: EventLoop, post: AnswerPost
+        self, owner_id: NodeId, loop: EventLoop, sender: AnswerSender
     ) -> None:
         """Own nothing yet."""
         self.owner_id = owner_id
         self.ledger_by_id: dict[UpstreamId, EngineLedger] = {}
         self._loop = loop
-        self._post = post
-        self._entry_by_waiting: dict[tuple[UpstreamId, str], NodeId] = {}
+        self._sender = sender
+        self._entry_by_queued: dict[tuple[UpstreamId, str], NodeId] = {}
         self._tick_by_id: dict[UpstreamId, float] = {}
 
-    def ask(self, upstream_id: UpstreamId, ask: ReservationRequest) -> None:
+    def reserve(
+        self, upstream_id: UpstreamId, request: ReservationRequest
+    ) -> None:
         """Answer an ask; a queued one is answered again when granted."""
         ledger = self.ledger_by_id.get(upstream_id)
         if ledger is None:
             return
-        answer = ledger.reserve(ask)
+        answer = ledger.reserve(request)
         if isinstance(answer, Queued):
-            key = (upstream_id, ask.attempt_id)
-            self._entry_by_waiting[key] = ask.entry_id
-        self._post.answer(
-            self.owner_id, ask.entry_id, upstream_id, ask.attempt_id, answer
+            key = (upstream_id, request.attempt_id)
+            self._entry_by_queued[key] = request.entry_id
+        self._sender.send_answer(
+            self.owner_id,
+            request.entry_id,
+            upstream_id,
+            request.attempt_id,
+            answer,
         )
-        self.pump(upstream_id)
+        self.send_grants(upstream_id)
 
-    def tell(self, upstream_id: UpstreamId, action: LedgerAction) -> None:
+    def update_ledger(
+        self, upstream_id: UpstreamId, action: LedgerAction
+    ) -> None:
         """Apply an entry's news to the ledger, and grant what it frees."""
         ledger = self.ledger_by_id.get(upstream_id)
         if ledger is None:
             return
         action(ledger)
-        self.pump(upstream_id)
+        self.send_grants(upstream_id)
 
-    def pump(self, upstream_id: UpstreamId) -> None:
+    def send_grants(self, upstream_id: UpstreamId) -> None:
         """Send out what is granted, and look again in time."""
         ledger = self.ledger_by_id.get(upstream_id)
         if ledger is None:
             return
         for reservation in ledger.take_grants():
             key = (upstream_id, reservation.attempt_id)
-            entry_id = self._entry_by_waiting.pop(key, None)
+            entry_id = self._entry_by_queued.pop(key, None)
             if entry_id is None:
                 continue
-            self._post.answer(
+            self._sender.send_answer(
                 self.owner_id,
                 entry_id,
                 upstream_id,
                 reservation.attempt_id,
                 reservation,
             )
-        self._tick(upstream_id, ledger)
+        self._schedule_tick(upstream_id, ledger)
 
-    def lose(self, upstream_id: UpstreamId, refusal: Refusal) -> None:
+    def drop_engine(self, upstream_id: UpstreamId, refusal: Refusal) -> None:
         """Give up an engine that is gone, and turn away who waits for it."""
         self.ledger_by_id.pop(upstream_id, None)
-        for key in tuple(self._entry_by_waiting):
+        for key in tuple(self._entry_by_queued):
             if key[0] != upstream_id:
                 continue
-            entry_id = self._entry_by_waiting.pop(key)
-            self._post.answer(
+            entry_id = self._entry_by_queued.pop(key)
+            self._sender.send_answer(
                 self.owner_id, entry_id, upstream_id, key[1], refusal
             )
 
-    def _tick(self, upstream_id: UpstreamId, ledger: EngineLedger) -> None:
+    def _schedule_tick(
+        self, upstream_id: UpstreamId, ledger: EngineLedger
+    ) -> None:
         moment = ledger.next_tick()
         if moment is None:
             return
@@ -101,11 +111,11 @@
             return
         # A reservation is late only after its start_by.
         self._tick_by_id[upstream_id] = moment + 1
-        self._loop.call_at(moment + 1, self._ticked, upstream_id, moment + 1)
+        self._loop.call_at(moment + 1, self._on_tick, upstream_id, moment + 1)
 
-    def _ticked(self, upstream_id: UpstreamId, moment: float) -> None:
+    def _on_tick(self, upstream_id: UpstreamId, moment: float) -> None:
         if self._tick_by_id.get(upstream_id) != moment:
             # An earlier tick took its place.
             return
         self._tick_by_id.pop(upstream_id)
-        self.pump(upstream_id)
+        self.send_grants(upstream_id)
--- a/verbenathread/replay/pending.py
+++ b/verbenathread/replay/pending.py
@@ -4,7 +4,7 @@
 from typing import Protocol
 
 from verbenathread.replay.engine import Job
-from verbenathread.replay.grouping import GroupRun
+from verbenathread.replay.group_run import GroupRun
 from verbenathread.replay.owner import LedgerAction
 from verbenathread.replay.policies import EngineChooser
 from verbenathread.replay.results import RequestResult
@@ -25,42 +25,49 @@
 )
 
 # Way of an owner's answer to a renewal.
-_ANSWER_MS = 1
+_RENEWAL_REPLY_MS = 1
 
 
-class EntryPlace(Protocol):
+class EntryEnvironment(Protocol):
     """What an entry reaches through the network."""
 
     def now(self) -> Millis:
         """Return virtual time in ms."""
 
-    def later(self, delay: float, action: Callable[..., object]) -> None:
+    def call_later(self, delay: float, action: Callable[..., object]) -> None:
         """Run an action after a delay in ms."""
 
     def records(self) -> Sequence[UpstreamRecord]:
         """Return the engines in service."""
 
-    def ask(
-        self, entry_id: NodeId, upstream_id: UpstreamId, ask: ReservationRequest
+    def request_reservation(
+        self,
+        entry_id: NodeId,
+        upstream_id: UpstreamId,
+        request: ReservationRequest,
     ) -> None:
         """Send an ask to the owner of an engine."""
 
-    def tell(
+    def update_ledger(
         self, entry_id: NodeId, upstream_id: UpstreamId, action: LedgerAction
     ) -> None:
         """Send news to the owner of an engine."""
 
-    def start(self, upstream_ids: Sequence[UpstreamId], job: Job) -> GroupRun:
+    def start_job(
+        self, upstream_ids: Sequence[UpstreamId], job: Job
+    ) -> GroupRun:
         """Begin a job on its engines, after the latency."""
 
-    def end(self, run: GroupRun, confirmed: Callable[[], object]) -> None:
+    def cancel_job(
+        self, run: GroupRun, confirmed: Callable[[], object]
+    ) -> None:
         """Cancel a job on its engines, and confirm."""
 
-    def note(self, result: RequestResult) -> None:
+    def record_result(self, result: RequestResult) -> None:
         """Take the end of one request."""
 
 
-class Pending:
+class PendingRequest:
     """One request while the entry serves it."""
 
     def __init__(self, request: TraceRequest, work: Work) -> None:
@@ -70,20 +77,20 @@
         self.attempts = 0
         # Attempts that broke, and groups that were refused.
         self.failures = 0
-        self.failed: set[UpstreamId] = set()
-        self.walk = CandidateIterator((), 0)
-        self.waits_at: set[UpstreamId] = set()
-        self.claim: GroupRequest | None = None
-        self.held: tuple[Reservation, ...] = ()
+        self.failed_engines: set[UpstreamId] = set()
+        self.candidates = CandidateIterator((), 0)
+        self.waiting_at: set[UpstreamId] = set()
+        self.group: GroupRequest | None = None
+        self.reservations: tuple[Reservation, ...] = ()
         self.run: GroupRun | None = None
         self.is_admitted = False
         self.is_over = False
         self.first_token_at: float | None = None
         self.refusal: Refusal | None = None
 
-    def note_accepted(self, upstream_id: UpstreamId) -> None:
+    def record_accepted(self, upstream_id: UpstreamId) -> None:
         """Note that an owner did not refuse; a group needs every member."""
-        if self.claim is None or self.claim.record_accepted(upstream_id):
+        if self.group is None or self.group.record_accepted(upstream_id):
             self.is_admitted = True
 
     @property
@@ -93,55 +100,62 @@
 
     def upstream_ids(self) -> tuple[UpstreamId, ...]:
         """Return the engines that the attempt holds memory of."""
-        return tuple(held.upstream_ids[0] for held in self.held)
+        return tuple(held.upstream_ids[0] for held in self.reservations)
 
 
-class Grants:
+class OwnerClient:
     """Messages of one entry to the owners of engines."""
 
     def __init__(
-        self, entry_id: NodeId, place: EntryPlace, chooser: EngineChooser
+        self,
+        entry_id: NodeId,
+        environment: EntryEnvironment,
+        chooser: EngineChooser,
     ) -> None:
         """Speak for ``entry_id``."""
         self._entry_id = entry_id
-        self._place = place
+        self._environment = environment
         self._chooser = chooser
 
-    def tell(self, held: Reservation, action: LedgerAction) -> None:
+    def update_ledger(self, held: Reservation, action: LedgerAction) -> None:
         """Send news of a hold to the engine's owner."""
-        self._place.tell(self._entry_id, held.upstream_ids[0], action)
+        self._environment.update_ledger(
+            self._entry_id, held.upstream_ids[0], action
+        )
 
-    def give_back(self, upstream_id: UpstreamId, attempt_id: str) -> None:
+    def cancel(self, upstream_id: UpstreamId, attempt_id: str) -> None:
         """Cancel an ask, or a grant that did not start."""
-        self._place.tell(
+        self._environment.update_ledger(
             self._entry_id,
             upstream_id,
             lambda ledger: ledger.cancel(attempt_id),
         )
 
-    def give_all_back(self, pending: Pending) -> None:
+    def cancel_all(self, pending: PendingRequest) -> None:
         """Cancel every ask and unstarted grant of an attempt."""
-        for upstream_id in pending.waits_at.union(pending.upstream_ids()):
-            self.give_back(upstream_id, pending.attempt_id)
-        pending.waits_at.clear()
-        pending.held = ()
+        for upstream_id in pending.waiting_at.union(pending.upstream_ids()):
+            self.cancel(upstream_id, pending.attempt_id)
+        pending.waiting_at.clear()
+        pending.reservations = ()
 
     def renew(self, held: Reservation, lost: Callable[[], object]) -> None:
         """Renew a group's hold; ``lost`` runs if the owner has let it go."""
 
         def apply(ledger: EngineLedger) -> None:  # noqa: WPS430 - binds.
             if ledger.renew(held.reservation_id) is None:
-                self._place.later(_ANSWER_MS, lost)
+                self._environment.call_later(_RENEWAL_REPLY_MS, lost)
 
-        self.tell(held, apply)
+        self.update_ledger(held, apply)
 
-    def release(self, pending: Pending, output: int) -> None:
+    def release(self, pending: PendingRequest, output: int) -> None:
         """Give back what an attempt held, once no engine holds it."""
-        held = pending.held
-        pending.held = ()
+        held = pending.reservations
+        pending.reservations = ()
         pending.run = None
         for reservation in held:
-            self.tell(reservation, _release(reservation, output))
+            self.update_ledger(
+                reservation, _release_update(reservation, output)
+            )
             self._chooser.record_done(reservation.upstream_ids[0], pending.work)
 
 
@@ -168,15 +182,15 @@
     )
 
 
-def begin(held: Reservation) -> LedgerAction:
+def start_update(held: Reservation) -> LedgerAction:
     """Return the news that the engine has taken the attempt."""
     return lambda ledger: ledger.mark_started(held.reservation_id)
 
 
-def progress(held: Reservation) -> LedgerAction:
+def first_token_update(held: Reservation) -> LedgerAction:
     """Return the news of the first token."""
     return lambda ledger: ledger.record_progress(held.reservation_id, 1)
 
 
-def _release(held: Reservation, output: int) -> LedgerAction:
+def _release_update(held: Reservation, output: int) -> LedgerAction:
     return lambda ledger: ledger.release(held.reservation_id, output)
--- a/verbenathread/replay/policies.py
+++ b/verbenathread/replay/policies.py
@@ -119,7 +119,7 @@
         """Leave it to the next report."""
 
 
-class ChooserParts(NamedTuple):
+class ChooserInputs(NamedTuple):
     """What an entry gives to its chooser."""
 
     position: int
@@ -132,22 +132,22 @@
     """A way to choose and to queue, under one name."""
 
     name: str
-    make_chooser: Callable[[ChooserParts], EngineChooser]
+    make_chooser: Callable[[ChooserInputs], EngineChooser]
     tuning: Tuning
 
 
-def _round_robin(parts: ChooserParts) -> EngineChooser:
+def _round_robin(parts: ChooserInputs) -> EngineChooser:
     return RoundRobin(parts.position)
 
 
-def _least_loaded(parts: ChooserParts) -> EngineChooser:
+def _least_loaded(parts: ChooserInputs) -> EngineChooser:
     return LeastLoaded(parts.rng)
 
 
-def tuned(name: str, tuning: Tuning) -> Policy:
+def tuned_policy(name: str, tuning: Tuning) -> Policy:
     """Return the product's policy with some mechanisms on or off."""
 
-    def make(parts: ChooserParts) -> EngineChooser:  # noqa: WPS430 - binds.
+    def make(parts: ChooserInputs) -> EngineChooser:  # noqa: WPS430 - binds.
         return Router(parts.policy, parts.rng, tuning, parts.prefixes)
 
     return Policy(name, make, tuning)
@@ -155,8 +155,8 @@
 
 _FIFO = Tuning(class_priority=False, engine_priority=False, refuse_late=False)
 _POLICIES = (
-    tuned('current', CURRENT),
-    tuned('previous', PREVIOUS),
+    tuned_policy('current', CURRENT),
+    tuned_policy('previous', PREVIOUS),
     Policy('fifo', _round_robin, _FIFO),
     Policy('least', _least_loaded, _FIFO),
 )
--- a/verbenathread/replay/replay.py
+++ b/verbenathread/replay/replay.py
@@ -8,13 +8,13 @@
     NO_FAULTS,
     Deployment,
     Faults,
-    entry_name,
+    entry_id_at,
 )
-from verbenathread.replay.entry import Entry, EntryParts
-from verbenathread.replay.events import EventLoop
+from verbenathread.replay.entry import Entry, EntryComponents
+from verbenathread.replay.event_loop import EventLoop
 from verbenathread.replay.fleet import Fleet
 from verbenathread.replay.gossip import Gossip
-from verbenathread.replay.policies import ChooserParts, Policy
+from verbenathread.replay.policies import ChooserInputs, Policy
 from verbenathread.replay.results import (
     ReplayResult,
     RequestResult,
@@ -31,11 +31,11 @@
 from verbenathread.types import Millis
 
 # After the last time limit: cancels are confirmed and leases run out.
-_SETTLE: Millis = 10000
+_SETTLE_TIME: Millis = 10000
 _MS = 1000
 # Least rates a second that an account may have.
-_LEAST_REQUESTS = 5
-_LEAST_TOKENS = 100000
+_MIN_REQUESTS_PER_SECOND = 5
+_MIN_TOKENS_PER_SECOND = 100000
 _LONG_PROMPTS = 32
 
 
@@ -70,12 +70,12 @@
         )
         self._gossip = Gossip(self._fleet, random.Random(f'{seed}/gossip'))
         for position in range(deployment.entries):
-            entry_id = entry_name(position)
+            entry_id = entry_id_at(position)
             rng = random.Random(f'{seed}/{entry_id}')
             prefixes = PrefixIndex()
-            parts = EntryParts(
+            parts = EntryComponents(
                 chooser=policy.make_chooser(
-                    ChooserParts(position, self._settings, rng, prefixes)
+                    ChooserInputs(position, self._settings, rng, prefixes)
                 ),
                 admission=Admission(AccountLimiter(deployment.entries, 0)),
                 retries=RetryPolicy(self._settings, rng),
@@ -99,7 +99,7 @@
         last_limit = max(
             (asked.arrival + asked.time_limit for asked in trace), default=0
         )
-        end = last_limit + _SETTLE
+        end = last_limit + _SETTLE_TIME
         self._gossip.start(end, faults.reports_missing)
         for position, moment in faults.engine_deaths:
             self._loop.call_at(moment, self._fleet.kill_engine, position)
@@ -146,7 +146,7 @@
 
 
 def limits_for(
-    trace: Sequence[TraceRequest], times: float = 1e6
+    trace: Sequence[TraceRequest], multiple: float = 1e6
 ) -> dict[str, settings_pb2.AccountSettings]:
     """Return limits of ``times`` each account's mean rate in the trace."""
     duration = max((request.arrival for request in trace), default=1)
@@ -160,10 +160,11 @@
     return {
         name: settings_pb2.AccountSettings(
             requests_per_second=max(
-                _LEAST_REQUESTS, count * _MS / duration * times
+                _MIN_REQUESTS_PER_SECOND, count * _MS / duration * multiple
             ),
             tokens_per_second=max(
-                _LEAST_TOKENS, tokens_by_account[name] * _MS / duration * times
+                _MIN_TOKENS_PER_SECOND,
+                tokens_by_account[name] * _MS / duration * multiple,
             ),
             long_prompts=_LONG_PROMPTS,
             weight=1,
--- a/verbenathread/replay/results.py
+++ b/verbenathread/replay/results.py
@@ -7,7 +7,7 @@
 from verbenathread.types import RefusalReason
 
 
-class Ending(enum.Enum):
+class RequestOutcome(enum.Enum):
     """The end of one request."""
 
     COMPLETED = 'completed'
@@ -26,7 +26,7 @@
 
     number: int
     request: TraceRequest
-    ending: Ending
+    outcome: RequestOutcome
     ended_after: float
     first_token_after: float | None
     attempts: int
--- a/verbenathread/replay/scenarios.py
+++ b/verbenathread/replay/scenarios.py
@@ -12,10 +12,10 @@
 )
 from verbenathread.replay.generator import (
     MIX_BY_DEPLOYMENT,
-    Generator,
-    Shape,
+    LoadShape,
+    TraceGenerator,
 )
-from verbenathread.replay.measures import SHORT_EDGE
+from verbenathread.replay.measures import SHORT_PROMPT_TOKENS
 from verbenathread.replay.policies import Policy
 from verbenathread.replay.replay import Replay, limits_for
 from verbenathread.replay.results import ReplayResult
@@ -29,13 +29,13 @@
 # Overload shows only once the backlog outlasts the time limits.
 _OVERLOAD_DURATION: Millis = 600000
 _SEED = 7
-_USUAL = 0.8
-_HIGH = 0.95
+_USUAL_LOAD = 0.8
+_HIGH_LOAD = 0.95
 # Each account may send this many times its mean rate in the steady trace.
-_LIMIT_TIMES = 3
-_HALF: Millis = _DURATION // 2
-_REPORT_GAP: Millis = 10000
-_SECOND_DEATH: Millis = 5000
+_LIMIT_MULTIPLE = 3
+_MIDPOINT: Millis = _DURATION // 2
+_REPORT_OUTAGE: Millis = 10000
+_SECOND_DEATH_DELAY: Millis = 5000
 _BURST_TIME: Millis = 15000
 _FLOOD_TIME: Millis = 45000
 
@@ -45,7 +45,7 @@
 
     deployment: Deployment
     name: str
-    shape: Shape
+    shape: LoadShape
     faults: Faults = NO_FAULTS
 
     def trace(self) -> list[TraceRequest]:
@@ -54,8 +54,10 @@
 
     def limits(self) -> Mapping[str, settings_pb2.AccountSettings]:
         """Return the accounts' limits, set from the steady traffic."""
-        steady = Shape(self.shape.load, self.shape.duration, self.shape.seed)
-        return limits_for(self._requests(steady), _LIMIT_TIMES)
+        steady = LoadShape(
+            self.shape.load, self.shape.duration, self.shape.seed
+        )
+        return limits_for(self._requests(steady), _LIMIT_MULTIPLE)
 
     def run(self, policy: Policy) -> ReplayResult:
         """Replay the scenario under a policy."""
@@ -67,21 +69,21 @@
         alone = [
             request
             for request in self.trace()
-            if request.prompt_tokens <= SHORT_EDGE
+            if request.prompt_tokens <= SHORT_PROMPT_TOKENS
         ]
         return Replay(self.deployment, policy, self.limits()).run(alone)
 
-    def _requests(self, shape: Shape) -> list[TraceRequest]:
+    def _requests(self, shape: LoadShape) -> list[TraceRequest]:
         mix = MIX_BY_DEPLOYMENT[self.deployment.name]
-        return Generator(self.deployment, mix, shape).requests()
+        return TraceGenerator(self.deployment, mix, shape).requests()
 
 
 def steady(deployment: Deployment, name: str, load: float) -> Scenario:
     """Return steady traffic at a share of the capacity."""
-    duration = _DURATION if load < _HIGH else _LONG_DURATION
+    duration = _DURATION if load < _HIGH_LOAD else _LONG_DURATION
     if load > 1:
         duration = _OVERLOAD_DURATION
-    return Scenario(deployment, name, Shape(load, duration, _SEED))
+    return Scenario(deployment, name, LoadShape(load, duration, _SEED))
 
 
 _LOAD_BY_NAME = (
@@ -90,17 +92,19 @@
     ('load-95', 0.95),
     ('load-120', 1.2),
 )
-_USUAL_SHAPE = Shape(_USUAL, _DURATION, _SEED)
-_ENGINE_DEATH = Faults(engine_deaths=((3, _HALF),))
-_ENTRY_DEATH = Faults(entry_deaths=((2, _HALF),))
-_REPORTS_MISSING = Faults(reports_missing=(_HALF, _HALF + _REPORT_GAP))
-_TOGETHER = Faults(
-    engine_deaths=((3, _HALF), (7, _HALF + _SECOND_DEATH)),
-    entry_deaths=((2, _HALF + 1000),),
-    reports_missing=(_HALF, _HALF + _REPORT_GAP),
+_USUAL_SHAPE = LoadShape(_USUAL_LOAD, _DURATION, _SEED)
+_ENGINE_DEATH = Faults(engine_deaths=((3, _MIDPOINT),))
+_ENTRY_DEATH = Faults(entry_deaths=((2, _MIDPOINT),))
+_REPORTS_MISSING = Faults(
+    reports_missing=(_MIDPOINT, _MIDPOINT + _REPORT_OUTAGE)
 )
-_BURST = (_HALF, _HALF + _BURST_TIME, 6)
-_FLOOD = (_HALF, _HALF + _FLOOD_TIME, 12)
+_COMBINED_FAULTS = Faults(
+    engine_deaths=((3, _MIDPOINT), (7, _MIDPOINT + _SECOND_DEATH_DELAY)),
+    entry_deaths=((2, _MIDPOINT + 1000),),
+    reports_missing=(_MIDPOINT, _MIDPOINT + _REPORT_OUTAGE),
+)
+_BURST = (_MIDPOINT, _MIDPOINT + _BURST_TIME, 6)
+_FLOOD = (_MIDPOINT, _MIDPOINT + _FLOOD_TIME, 12)
 
 
 def scenarios() -> list[Scenario]:
@@ -109,13 +113,13 @@
     for deployment in (TILLERY, FBIS):
         for name, load in _LOAD_BY_NAME:
             every.append(steady(deployment, name, load))
-        every.extend(_failures(deployment))
-        slow = deployment._replace(rates=deployment.rates.slower())
-        every.append(steady(slow, 'slow-80', _USUAL))
+        every.extend(_failure_scenarios(deployment))
+        slow = deployment._replace(rates=deployment.rates.halved())
+        every.append(steady(slow, 'slow-80', _USUAL_LOAD))
     return every
 
 
-def _failures(deployment: Deployment) -> list[Scenario]:
+def _failure_scenarios(deployment: Deployment) -> list[Scenario]:
     shape = _USUAL_SHAPE
     return [
         Scenario(deployment, 'engine-dies', shape, _ENGINE_DEATH),
@@ -123,11 +127,13 @@
         Scenario(deployment, 'reports-missing', shape, _REPORTS_MISSING),
         Scenario(deployment, 'long-burst', shape._replace(long_burst=_BURST)),
         Scenario(deployment, 'flood', shape._replace(flood=_FLOOD)),
-        Scenario(deployment, 'lengths-shift', shape._replace(shift_at=_HALF)),
+        Scenario(
+            deployment, 'lengths-shift', shape._replace(shift_at=_MIDPOINT)
+        ),
         Scenario(
             deployment,
             'together-95',
-            Shape(_HIGH, _DURATION, _SEED),
-            _TOGETHER,
+            LoadShape(_HIGH_LOAD, _DURATION, _SEED),
+            _COMBINED_FAULTS,
         ),
     ]
--- a/verbenathread/replay/trace.py
+++ b/verbenathread/replay/trace.py
@@ -9,7 +9,7 @@
 from verbenathread.exceptions import UsageError
 from verbenathread.types import Millis
 
-_PACKED = '.gz'
+_GZIP_SUFFIX = '.gz'
 
 
 class TraceRequest(NamedTuple):
@@ -29,7 +29,7 @@
 
 def write_trace(path: Path, requests: Iterable[TraceRequest]) -> None:
     """Write one JSON object a line; packed if the name ends in .gz."""
-    with _opened(path, 'wt') as page:
+    with _open(path, 'wt') as page:
         for request in requests:
             page.write(json.dumps(request._asdict()))
             page.write('\n')
@@ -42,23 +42,23 @@
     """
     if not path.exists():
         raise UsageError(f'No trace at {path}; give the path of a trace.')
-    with _opened(path, 'rt') as page:
-        requests = list(_parsed(path, page))
+    with _open(path, 'rt') as page:
+        requests = list(_parse_lines(path, page))
     return sorted(requests, key=lambda request: request.arrival)
 
 
-def _opened(path: Path, mode: str) -> IO[str]:
-    if path.suffix == _PACKED:
+def _open(path: Path, mode: str) -> IO[str]:
+    if path.suffix == _GZIP_SUFFIX:
         return gzip.open(path, mode, encoding='utf-8')  # type: ignore[return-value]
     return path.open(mode, encoding='utf-8')
 
 
-def _parsed(path: Path, lines: Iterable[str]) -> Iterator[TraceRequest]:
+def _parse_lines(path: Path, lines: Iterable[str]) -> Iterator[TraceRequest]:
     for number, line in enumerate(lines, start=1):
         if not line.strip():
             continue
         try:
-            yield _request(json.loads(line))
+            yield _parse_request(json.loads(line))
         except (TypeError, ValueError, KeyError) as error:
             raise UsageError(
                 f'{path} line {number} is not a request ({error}); '
@@ -66,7 +66,7 @@
             ) from error
 
 
-def _request(fields: dict[str, object]) -> TraceRequest:
+def _parse_request(fields: dict[str, object]) -> TraceRequest:
     hashes = fields.pop('prefix_hashes', ())
     request = TraceRequest(**fields)  # type: ignore[arg-type]
     if request.arrival < 0 or request.prompt_tokens < 1:
