--- a/tests/test_replay_recorded.py
+++ b/tests/test_replay_recorded.py
@@ -1,14 +1,18 @@
-"""The trace that running entries recorded replays with every outcome held."""
+"""Replays a trace that running entries recorded."""
 
 import unittest
 from pathlib import Path
 
 from verbenathread.cmdline import main
 
-TRACE = Path(__file__).resolve().parent.parent / 'traces'
+_TRACES = Path(__file__).resolve().parent.parent / 'traces'
 
 
 class RecordedTraceTest(unittest.TestCase):
-    def test_recorded_trace_holds(self):
-        words = ['replay', str(TRACE / 'recorded-local.jsonl.gz'), '--json']
-        self.assertEqual(main(words), 0)
+    def test_recorded_trace_keeps_the_invariants(self):
+        arguments = [
+            'replay',
+            str(_TRACES / 'recorded-local.jsonl.gz'),
+            '--json',
+        ]
+        self.assertEqual(main(arguments), 0)
--- a/tests/test_replay_runs.py
+++ b/tests/test_replay_runs.py
@@ -1,4 +1,4 @@
-"""Tests of the replay: the same each run, and its stated outcomes."""
+"""Tests of the replay: reproducible runs, invariants and trace files."""
 
 import argparse
 import tempfile
@@ -34,12 +34,12 @@
 
 
 class ReplayTest(unittest.TestCase):
-    def test_same_seed_same_figures(self):
+    def test_same_seed_gives_same_results(self):
         trace = make_trace()
         self.assertEqual(trace, make_trace())
         self.assertEqual(run_trace(trace), run_trace(trace))
 
-    def test_outcomes_hold_with_every_failure(self):
+    def test_invariants_hold_under_every_fault(self):
         cases = {
             'none': NO_FAULTS,
             'an engine dies': Faults(engine_deaths=((1, 12000),)),
@@ -55,12 +55,12 @@
                     self.assertEqual(set(result.violations), {0})
                     self.assertEqual(len(result.results), len(trace))
 
-    def test_an_engine_death_costs_no_request(self):
+    def test_engine_death_fails_no_request(self):
         trace = make_trace(0.5)
         result = run_trace(trace, Faults(engine_deaths=((1, 12000),)))
-        outcomes = {one.outcome for one in result.results}
+        outcomes = {ended.outcome for ended in result.results}
         self.assertEqual(outcomes, {RequestOutcome.COMPLETED})
-        retried = [one for one in result.results if one.attempts > 1]
+        retried = [ended for ended in result.results if ended.attempts > 1]
         self.assertTrue(retried)
 
     def test_every_policy_keeps_the_invariants(self):
@@ -85,13 +85,13 @@
                 write_trace(path, trace)
                 self.assertEqual(read_trace(path), trace)
 
-    def test_a_wrong_line_is_named(self):
+    def test_invalid_line_is_reported_by_number(self):
         path = self.folder / 't.jsonl'
-        good = make_trace(duration=3000)
-        for wrong in ('{', '{"arrival": 1}', '[]', '{"prompt": "text"}'):
-            with self.subTest(wrong):
-                write_trace(path, good[:1])
-                path.write_text(path.read_text() + wrong)
+        valid = make_trace(duration=3000)
+        for invalid in ('{', '{"arrival": 1}', '[]', '{"prompt": "text"}'):
+            with self.subTest(invalid):
+                write_trace(path, valid[:1])
+                path.write_text(path.read_text() + invalid)
                 with self.assertRaisesRegex(UsageError, 'line 2'):
                     read_trace(path)
 
--- a/verbenathread/replay/__init__.py
+++ b/verbenathread/replay/__init__.py
@@ -1,1 +1,1 @@
-"""Replay of recorded traces over the real decision parts."""
+"""Simulation that replays request traces through the scheduling code."""
--- a/verbenathread/replay/command.py
+++ b/verbenathread/replay/command.py
@@ -1,4 +1,4 @@
-"""The command that replays a trace and checks the stated outcomes."""
+"""The command that replays a trace and checks the invariants."""
 
 import argparse
 from pathlib import Path
@@ -13,13 +13,13 @@
 from verbenathread.replay.trace import read_trace
 
 _EXIT_BROKEN = 1
-# Limits of each account, as a multiple of its mean rate in the trace.
+# Account limits as a multiple of the mean rate in the trace.
 _LIMIT_MULTIPLE = 3
 _MS = 1000
 
 
 def run_replay(options: argparse.Namespace) -> Rendered:
-    """Replay the trace that the options name."""
+    """Replay a trace and report its results and violations."""
     trace = read_trace(Path(options.trace))
     deployment = DEPLOYMENT_BY_NAME[options.deployment]
     replay = Replay(
@@ -47,12 +47,14 @@
 
 
 def _parse_deaths(words: list[str]) -> list[tuple[int, int]]:
-    """Return positions and moments in ms out of POSITION@SECONDS."""
+    """Parse POSITION@SECONDS into positions and times in ms."""
     pairs = []
     for word in words:
         position, _, seconds = word.partition('@')
         if not (position.isdecimal() and seconds.isdecimal()):
-            raise UsageError(f'{word} names no death; write 3@30, say.')
+            raise UsageError(
+                f'{word} is not POSITION@SECONDS, for example 3@30.'
+            )
         pairs.append((int(position), int(seconds) * _MS))
     return pairs
 
@@ -76,35 +78,35 @@
 
 COMMAND = Command(
     name='replay',
-    summary='replay a trace over the decision parts and check its outcomes',
+    summary='replay a trace in virtual time and check its invariants',
     arguments=(
-        argument('trace', help='trace file, JSON lines, packed if .gz'),
+        argument('trace', help='trace file in JSON lines, compressed if .gz'),
         argument(
             '--deployment',
             default='tillery-night',
             choices=sorted(DEPLOYMENT_BY_NAME),
-            help='engines, entries and latencies',
+            help='deployment to simulate',
         ),
         argument(
             '--policy',
             default='current',
             choices=sorted(POLICY_BY_NAME),
-            help='policy to replay',
+            help='scheduling policy',
         ),
-        argument('--seed', type=int, default=1, help='seed of every draw'),
+        argument('--seed', type=int, default=1, help='random seed'),
         argument(
             '--engine-dies',
             action='append',
             default=[],
             metavar='POSITION@SECONDS',
-            help='lose an engine; may be given again',
+            help='kill an engine; may be repeated',
         ),
         argument(
             '--entry-dies',
             action='append',
             default=[],
             metavar='POSITION@SECONDS',
-            help='lose an entry; may be given again',
+            help='kill an entry; may be repeated',
         ),
     ),
     example='verbenathread replay traces/fbis-day.jsonl.gz '
--- a/verbenathread/replay/deployment.py
+++ b/verbenathread/replay/deployment.py
@@ -1,4 +1,4 @@
-"""The sizes of a deployment, and the faults that come over it."""
+"""Sizes of the simulated deployments, and the faults to inject."""
 
 from types import MappingProxyType
 from typing import NamedTuple
@@ -15,7 +15,7 @@
 
 
 class Deployment(NamedTuple):
-    """Engines, entries and one-way latencies in ms."""
+    """Number of engines and entries, and one-way latencies in ms."""
 
     name: str
     service: str
@@ -58,12 +58,12 @@
 
 
 class Faults(NamedTuple):
-    """What fails in a replay; moments in ms since its start."""
+    """Faults to inject into a replay; times in ms since its start."""
 
-    # Position of the engine or entry, and when it dies.
+    # Position of the engine or entry, and the time of its death.
     engine_deaths: tuple[tuple[int, Millis], ...] = ()
     entry_deaths: tuple[tuple[int, Millis], ...] = ()
-    # From and to: no load report arrives.
+    # Start and end of a period in which no gossip arrives.
     reports_missing: tuple[Millis, Millis] = (0, 0)
 
 
@@ -76,7 +76,7 @@
 
 
 def engine_records(deployment: Deployment) -> tuple[UpstreamRecord, ...]:
-    """Return the engines as entries know them, in order."""
+    """Return the upstream records of the engines, in order."""
     centres = deployment.data_centres
     return tuple(
         UpstreamRecord(
--- a/verbenathread/replay/engine.py
+++ b/verbenathread/replay/engine.py
@@ -1,8 +1,9 @@
-"""A small stand-in for a model engine, in virtual time.
+"""Simulated model engine that runs in virtual time.
 
-It batches continuously: each step carries one chunk of the most urgent
-prefill and one token of every stream that decodes. It honours priorities at
-the end of a chunk, caches prefixes in the memory that is free, and cancels.
+The engine uses continuous batching: each step processes one chunk of the
+prefill with the highest priority and decodes one token of every active
+stream. A prefill is preempted only at the end of a chunk. Free memory caches
+prefixes, and jobs can be cancelled.
 """
 
 import itertools
@@ -15,46 +16,49 @@
 from verbenathread.types import NodeId, UpstreamId
 
 _TOLERANCE = 1e-6
-# Order of a prefill in its last chunk, before every priority.
+# Sorts a prefill in its last chunk before every other priority.
 _LAST_CHUNK_PRIORITY = -1000
 
 
 class EngineRates(NamedTuple):
-    """Speed and memory of an engine."""
+    """Speed and memory size of an engine."""
 
     memory_tokens: int = 400000
-    # Prefill of a short prompt, in tokens per ms.
+    # Prefill rate of a short prompt, in tokens per ms.
     prefill_rate: float = 20
-    # Prompt at which attention doubles the prefill of the last token.
+    # Prompt length at which attention doubles the cost of the last token.
     attention_double_tokens: int = 500000
     chunk_tokens: int = 512
-    # Least time of a step, and what each decoding stream adds, in ms.
+    # Minimum time of a step, and the time that each decoding stream adds.
     min_step_ms: float = 15
     step_ms_per_stream: float = 0.2
-    # Prefill over a group costs this much more than on one engine.
+    # Cost of a prefill on a group, relative to a single engine.
     group_overhead: float = 1.25
 
     def halved(self) -> 'EngineRates':
-        """Return an engine with half the prefill rate and memory."""
+        """Return a copy with half the prefill rate and memory."""
         return self._replace(
             memory_tokens=self.memory_tokens // 2,
             prefill_rate=self.prefill_rate / 2,
         )
 
     def prefill_work(self, tokens: int) -> float:
-        """Return the prefill of a prompt in short-prompt tokens."""
+        """Return the cost of a prefill, in tokens of a short prompt.
+
+        The quadratic term is the cost of attention.
+        """
         return tokens + tokens * tokens / (2 * self.attention_double_tokens)
 
     def step_ms(self, streams: int, *, prefilling: bool) -> float:
-        """Return ms of one step."""
-        least = self.min_step_ms
+        """Return the time of one step in ms."""
+        shortest = self.min_step_ms
         if prefilling:
-            least = max(least, self.chunk_tokens / self.prefill_rate)
-        return least + self.step_ms_per_stream * streams
+            shortest = max(shortest, self.chunk_tokens / self.prefill_rate)
+        return shortest + self.step_ms_per_stream * streams
 
 
 class Job(NamedTuple):
-    """One attempt, or one engine's part of it."""
+    """One attempt, or the share of it that one engine runs."""
 
     attempt_id: str
     request_id: str
@@ -64,25 +68,25 @@
     memory_tokens: int
     priority: int
     prefix_hashes: tuple[int, ...] = ()
-    # Number of engines that share the prompt.
+    # Number of engines that the prompt is split over.
     group_size: int = 1
 
 
 class JobListener(Protocol):
-    """Who is told of a job's progress."""
+    """Receives the progress of a job."""
 
     def prefilled(self, attempt_id: str) -> None:
-        """Take the end of the prefill: the first token."""
+        """Handle the end of the prefill, which yields the first token."""
 
     def finished(self, attempt_id: str) -> None:
-        """Take the last token."""
+        """Handle the last token."""
 
     def broken(self, attempt_id: str) -> None:
-        """Take the loss of the engine."""
+        """Handle the loss of the engine."""
 
 
 class _RunningJob:
-    """A job inside the engine."""
+    """A job in progress on an engine."""
 
     def __init__(self, job: Job, listener: JobListener, work: float) -> None:
         self.job = job
@@ -93,12 +97,12 @@
 
 
 class Engine:
-    """One engine of the fleet."""
+    """Simulated engine with a prefill queue, streams and a prefix cache."""
 
     def __init__(
         self, upstream_id: UpstreamId, rates: EngineRates, loop: EventLoop
     ) -> None:
-        """Start idle."""
+        """Create an idle engine."""
         self.upstream_id = upstream_id
         self.rates = rates
         self.alive = True
@@ -108,20 +112,20 @@
         self._job_by_attempt: dict[str, _RunningJob] = {}
         self._prefilling: list[tuple[int, int, _RunningJob]] = []
         self._decoding: dict[str, _RunningJob] = {}
-        # Tokens that every stream has decoded since the start.
+        # Steps so far; every decoding stream gains one token per step.
         self._decode_steps: float = 0
         self._advanced_to: float = 0
         self._wake_number = 0
         self._queue_numbers = itertools.count()
 
     def used_tokens(self) -> int:
-        """Return the memory that attempts may come to use."""
+        """Return the memory reserved by the attempts in progress."""
         return sum(
             run.job.memory_tokens for run in self._job_by_attempt.values()
         )
 
     def submit(self, job: Job, listener: JobListener) -> None:
-        """Take a job; a dead engine breaks the connection."""
+        """Start a job; an engine that has died reports it as broken."""
         if not self.alive:
             listener.broken(job.attempt_id)
             return
@@ -143,7 +147,7 @@
         self._schedule_wake()
 
     def decode(self, attempt_id: str) -> None:
-        """Generate the output of a job that is prefilled."""
+        """Start to decode a job whose prefill has ended."""
         run = self._job_by_attempt.get(attempt_id)
         if run is None:
             return
@@ -153,7 +157,7 @@
         self._schedule_wake()
 
     def end(self, attempt_id: str) -> None:
-        """Cancel a job, or free the part of a group that has ended."""
+        """Remove a job that was cancelled or has ended, and free its memory."""
         run = self._job_by_attempt.pop(attempt_id, None)
         if run is None:
             return
@@ -163,12 +167,12 @@
             entry for entry in self._prefilling if entry[2] is not run
         ]
         if run.is_prefilled:
-            room = self.rates.memory_tokens - self.used_tokens()
-            self.cache.add(run.job.prefix_hashes, room)
+            free_tokens = self.rates.memory_tokens - self.used_tokens()
+            self.cache.add(run.job.prefix_hashes, free_tokens)
         self._schedule_wake()
 
     def die(self) -> None:
-        """Lose everything; each connection breaks."""
+        """Stop the engine; every job in progress is reported as broken."""
         self.alive = False
         runs = tuple(self._job_by_attempt.values())
         self._job_by_attempt.clear()
@@ -179,7 +183,7 @@
             run.listener.broken(run.job.attempt_id)
 
     def holds(self) -> list[EngineHold]:
-        """Return what the engine holds."""
+        """Return the memory that each attempt holds."""
         self._advance()
         return [
             EngineHold(
@@ -193,16 +197,16 @@
         ]
 
     def output_so_far(self, attempt_id: str) -> int:
-        """Return the tokens generated for one job."""
+        """Return the number of tokens generated for an attempt."""
         run = self._decoding.get(attempt_id)
         if run is None:
             return 0
         self._advance()
-        left = max(0, run.finish_step - self._decode_steps)
-        return max(1, int(run.job.output_tokens - left))
+        remaining = max(0, run.finish_step - self._decode_steps)
+        return max(1, int(run.job.output_tokens - remaining))
 
     def _queue_prefill(self, run: _RunningJob) -> None:
-        """Queue the prefill; what runs now ends its chunk first."""
+        """Queue a prefill; the current one finishes its chunk first."""
         if not self._prefilling:
             self._prefilling.append(
                 (run.job.priority, next(self._queue_numbers), run)
@@ -211,16 +215,16 @@
         head = self._prefilling[0][2]
         chunk = self.rates.chunk_tokens
         if head.remaining_work <= chunk:
-            # The last chunk runs to its end.
+            # A prefill in its last chunk is not preempted.
             self._prefilling[0] = (_LAST_CHUNK_PRIORITY, 0, head)
         self._prefilling.append(
             (run.job.priority, next(self._queue_numbers), run)
         )
         self._prefilling.sort(key=lambda queued: queued[:2])
         if self._prefilling[0][2] is run:
-            rest = head.remaining_work % chunk
-            head.remaining_work -= rest
-            run.remaining_work += rest
+            chunk_rest = head.remaining_work % chunk
+            head.remaining_work -= chunk_rest
+            run.remaining_work += chunk_rest
 
     def _step_ms(self) -> float:
         return self.rates.step_ms(
@@ -228,7 +232,7 @@
         )
 
     def _advance(self) -> None:
-        """Bring every job to the present."""
+        """Advance every job to the current time."""
         elapsed = self._loop.now - self._advanced_to
         self._advanced_to = self._loop.now
         if elapsed <= 0:
@@ -240,7 +244,7 @@
             head.remaining_work -= steps * self.rates.chunk_tokens
 
     def _schedule_wake(self) -> None:
-        """Wake up at the next end of a prefill or of a stream."""
+        """Schedule a wake-up for the next end of a prefill or a stream."""
         self._wake_number += 1
         steps = [
             run.finish_step - self._decode_steps
@@ -277,37 +281,37 @@
 
 
 class PrefixCache:
-    """Prefixes in free memory; the least recently used go first."""
+    """LRU cache of prompt prefixes, kept in free memory."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty cache."""
         self._tokens_by_hash: OrderedDict[int, int] = OrderedDict()
         self._total_tokens = 0
 
     def cached_tokens(self, prefix_hashes: tuple[int, ...]) -> int:
-        """Return the leading tokens that are cached."""
+        """Return the number of leading tokens that are cached."""
         return covered_tokens(prefix_hashes, self._tokens_by_hash)
 
     def hashes(self) -> tuple[int, ...]:
-        """Return what is cached."""
+        """Return the hashes of the cached prefixes."""
         return tuple(self._tokens_by_hash)
 
-    def add(self, prefix_hashes: tuple[int, ...], room: int) -> None:
-        """Cache the prefixes of a prompt, as far as ``room`` goes."""
-        # The shortest is touched last, since longer ones are of no use
-        # without it.
+    def add(self, prefix_hashes: tuple[int, ...], free_tokens: int) -> None:
+        """Cache the prefixes of a prompt, within ``free_tokens``."""
+        # The shortest prefix is marked as used last, so that it is evicted
+        # last: longer ones can't be used without it.
         for position in reversed(range(len(prefix_hashes))):
             prefix = prefix_hashes[position]
             if prefix not in self._tokens_by_hash:
-                # Each hash covers as much again as the ones before it.
+                # Each hash covers as many tokens as all those before it.
                 size = BLOCK_TOKENS << max(0, position - 1)
                 self._tokens_by_hash[prefix] = size
                 self._total_tokens += size
             self._tokens_by_hash.move_to_end(prefix)
-        self.shrink(room)
+        self.shrink(free_tokens)
 
-    def shrink(self, room: int) -> None:
-        """Drop prefixes until the rest fits."""
-        while self._tokens_by_hash and self._total_tokens > room:
+    def shrink(self, free_tokens: int) -> None:
+        """Evict prefixes until the rest fit ``free_tokens``."""
+        while self._tokens_by_hash and self._total_tokens > free_tokens:
             _, size = self._tokens_by_hash.popitem(last=False)
             self._total_tokens -= size
--- a/verbenathread/replay/entry.py
+++ b/verbenathread/replay/entry.py
@@ -1,4 +1,4 @@
-"""One entry of a replay: the real decision parts, driven in virtual time."""
+"""Simulated entry that runs the real scheduling code in virtual time."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -36,12 +36,12 @@
     UpstreamId,
 )
 
-# Sets of engines tried for one group.
+# Number of engine sets to try for one prompt.
 _MAX_GROUP_ATTEMPTS = 6
 
 
 class EntryComponents(NamedTuple):
-    """The decision parts of one entry."""
+    """The scheduling components of one entry."""
 
     chooser: EngineChooser
     admission: Admission
@@ -54,7 +54,7 @@
 
 
 class Entry:
-    """Takes requests, places attempts, and retries them."""
+    """Admits requests, places their attempts and retries them."""
 
     def __init__(
         self,
@@ -62,7 +62,7 @@
         components: EntryComponents,
         environment: EntryEnvironment,
     ) -> None:
-        """Start with nothing in progress."""
+        """Create an entry without requests."""
         self.entry_id = entry_id
         self.alive = True
         self.components = components
@@ -74,7 +74,7 @@
         self._pending_by_request: dict[str, PendingRequest] = {}
 
     def arrive(self, number: int, request: TraceRequest) -> None:
-        """Take one request from a caller."""
+        """Admit or refuse a request from a client."""
         now = self._environment.now()
         work = new_work(number, request, self.components.outputs, now)
         pending = PendingRequest(request, work)
@@ -97,7 +97,7 @@
     def receive_answer(
         self, upstream_id: UpstreamId, attempt_id: str, answer: Answer
     ) -> None:
-        """Take the answer of an engine's owner."""
+        """Handle an owner's answer to a reservation request."""
         pending = self._find_current(attempt_id)
         if pending is None or upstream_id not in pending.waiting_at:
             if isinstance(answer, Reservation):
@@ -122,26 +122,28 @@
             self._start_job(pending)
 
     def owner_lost(self, upstream_ids: Sequence[UpstreamId]) -> None:
-        """Ask elsewhere for what waits at an owner that is gone."""
+        """Reroute the waiting requests that involve an owner that is gone."""
         gone = Refusal(RefusalReason.NO_UPSTREAM, 'The owner is gone.', 1000)
         for pending in tuple(self._pending_by_request.values()):
-            concerned = pending.waiting_at.union(pending.upstream_ids())
-            if pending.run is None and not concerned.isdisjoint(upstream_ids):
-                for waits_at in tuple(pending.waiting_at)[:1]:
-                    self.receive_answer(waits_at, pending.attempt_id, gone)
+            involved = pending.waiting_at.union(pending.upstream_ids())
+            if pending.run is None and not involved.isdisjoint(upstream_ids):
+                for waiting_at in tuple(pending.waiting_at)[:1]:
+                    self.receive_answer(waiting_at, pending.attempt_id, gone)
 
     def prefilled(self, attempt_id: str) -> None:
-        """Take the first token of an attempt."""
+        """Handle the first token of an attempt."""
         pending = self._find_current(attempt_id)
         if pending is None:
             return
         if pending.first_token_at is None:
             pending.first_token_at = self._environment.now()
-        for held in pending.reservations:
-            self._owners.update_ledger(held, first_token_update(held))
+        for reservation in pending.reservations:
+            self._owners.update_ledger(
+                reservation, first_token_update(reservation)
+            )
 
     def finished(self, attempt_id: str) -> None:
-        """Take the last token of an attempt."""
+        """Handle the last token of an attempt."""
         pending = self._find_current(attempt_id)
         if pending is None:
             return
@@ -155,7 +157,7 @@
         self._end(pending, RequestOutcome.COMPLETED)
 
     def broken(self, attempt_id: str) -> None:
-        """Take the loss of an engine; begin again on another."""
+        """Handle the loss of an engine; retry on another if allowed."""
         pending = self._find_current(attempt_id)
         if pending is None:
             return
@@ -165,22 +167,22 @@
             pending.failed_engines.add(upstream_id)
         self._owners.release(pending, 0)
         pending.failures += 1
-        step = self.components.retries.decide(
+        decision = self.components.retries.decide(
             pending.work.deadline,
             pending.failures,
             Outcome.UNKNOWN,
             now,
             repeatable=True,
         )
-        if isinstance(step, Retry):
+        if isinstance(decision, Retry):
             self._environment.call_later(
-                step.delay, lambda: self._start_attempt(pending)
+                decision.delay, lambda: self._start_attempt(pending)
             )
             return
-        self._end(pending, RequestOutcome.FAILED, step.reason)
+        self._end(pending, RequestOutcome.FAILED, decision.reason)
 
     def die(self) -> None:
-        """Lose every request in progress."""
+        """Stop the entry; every request in progress is lost."""
         for pending in tuple(self._pending_by_request.values()):
             self._end(pending, RequestOutcome.LOST)
         self.alive = False
@@ -192,7 +194,7 @@
         return pending
 
     def _start_attempt(self, pending: PendingRequest) -> None:
-        """Choose engines for the next attempt, and ask the first."""
+        """Choose engines and send the first reservation requests."""
         if pending.is_over:
             return
         pending.attempts += 1
@@ -205,17 +207,17 @@
             records[0].memory_tokens if records else 0,
             self.components.policy,
         )
-        aside = self.components.outliers.ejected(self._environment.now())
+        ejected = self.components.outliers.ejected(self._environment.now())
         candidates = self.components.chooser.choose(
             work,
             records,
             self._environment.now(),
-            pending.failed_engines | aside,
+            pending.failed_engines | ejected,
             size,
         )
         if size == 1:
-            patience = self.components.tuning.wait_threshold
-            pending.candidates = CandidateIterator(candidates, patience)
+            wait_threshold = self.components.tuning.wait_threshold
+            pending.candidates = CandidateIterator(candidates, wait_threshold)
             self._try_next_candidate(pending)
             return
         self._request_group(pending, candidates, size)
@@ -226,7 +228,7 @@
             self._end_unplaced(pending)
             return
         work = pending.work
-        ask = ReservationRequest(
+        request = ReservationRequest(
             work,
             pending.attempt_id,
             self.entry_id,
@@ -234,12 +236,12 @@
             self.components.limits_by_account[work.account].weight,
             admitted=pending.is_admitted,
         )
-        self._send_request(pending, upstream_id, ask)
+        self._send_request(pending, upstream_id, request)
 
     def _handle_queued(
         self, pending: PendingRequest, upstream_id: UpstreamId, answer: Queued
     ) -> None:
-        """Wait there, or ask the next one."""
+        """Wait in the queue, or try the next candidate."""
         if pending.group is not None:
             return
         if pending.candidates.accepts_wait(upstream_id, answer.expected_wait):
@@ -251,20 +253,22 @@
         self._try_next_candidate(pending)
 
     def _schedule_reroute(self, pending: PendingRequest, wait: Millis) -> None:
-        """Look for another engine if this one does not grant in time."""
-        parts = self.components
-        delay = reroute_delay(pending.work, wait, parts.policy, parts.tuning)
+        """Reroute the request if it is not granted within a delay."""
+        components = self.components
+        delay = reroute_delay(
+            pending.work, wait, components.policy, components.tuning
+        )
         if delay is None:
             return
-        walk = pending.candidates
+        candidates = pending.candidates
         self._environment.call_later(
-            delay, lambda: self._reroute(pending, walk)
+            delay, lambda: self._reroute(pending, candidates)
         )
 
     def _reroute(
-        self, pending: PendingRequest, walk: CandidateIterator
+        self, pending: PendingRequest, candidates: CandidateIterator
     ) -> None:
-        if pending.is_over or pending.candidates is not walk:
+        if pending.is_over or pending.candidates is not candidates:
             return
         if not pending.waiting_at:
             return
@@ -281,7 +285,7 @@
             self._end_unplaced(pending)
             return
         work = pending.work
-        claim = GroupRequest(
+        group = GroupRequest(
             work,
             pending.attempt_id,
             self.entry_id,
@@ -290,22 +294,24 @@
             work.arrival,
             admitted=pending.is_admitted,
         )
-        pending.group = claim
-        self._group_renewer.start(pending, claim)
-        for member in claim.members:
-            self._send_request(pending, member, claim.member_request)
+        pending.group = group
+        self._group_renewer.start(pending, group)
+        for member in group.members:
+            self._send_request(pending, member, group.member_request)
 
     def _send_request(
         self,
         pending: PendingRequest,
         upstream_id: UpstreamId,
-        ask: ReservationRequest,
+        request: ReservationRequest,
     ) -> None:
         pending.waiting_at.add(upstream_id)
         now = self._environment.now()
-        self.components.chooser.record_sent(upstream_id, ask.work, now)
+        self.components.chooser.record_sent(upstream_id, request.work, now)
         self.components.outliers.record_sent(upstream_id, now)
-        self._environment.request_reservation(self.entry_id, upstream_id, ask)
+        self._environment.request_reservation(
+            self.entry_id, upstream_id, request
+        )
 
     def _handle_refusal(
         self, pending: PendingRequest, upstream_id: UpstreamId, refusal: Refusal
@@ -324,25 +330,27 @@
         self._end_unplaced(pending)
 
     def _end_unplaced(self, pending: PendingRequest) -> None:
-        """End a request that no engine takes."""
+        """End a request that no engine accepts."""
         reason = RefusalReason.NO_UPSTREAM
         if pending.refusal is not None:
             reason = pending.refusal.reason
-        ending = (
+        outcome = (
             RequestOutcome.FAILED
             if pending.is_admitted
             else RequestOutcome.REFUSED
         )
-        self._end(pending, ending, reason)
+        self._end(pending, outcome, reason)
 
     def _start_job(self, pending: PendingRequest) -> None:
         now = self._environment.now()
-        if any(held.start_by <= now for held in pending.reservations):
+        if any(
+            reservation.start_by <= now for reservation in pending.reservations
+        ):
             self._owners.cancel_all(pending)
             self._start_attempt(pending)
             return
-        for held in pending.reservations:
-            self._owners.update_ledger(held, start_update(held))
+        for reservation in pending.reservations:
+            self._owners.update_ledger(reservation, start_update(reservation))
         work = pending.work
         job = Job(
             attempt_id=pending.attempt_id,
@@ -358,7 +366,7 @@
         pending.run = self._environment.start_job(pending.upstream_ids(), job)
 
     def _time_out(self, pending: PendingRequest) -> None:
-        """Give up a request whose time limit has come."""
+        """Cancel a request that misses its time limit."""
         if pending.is_over:
             return
         if pending.run is None:
@@ -372,13 +380,13 @@
     def _end(
         self,
         pending: PendingRequest,
-        ending: RequestOutcome,
+        outcome: RequestOutcome,
         reason: RefusalReason | None = None,
     ) -> None:
         self._pending_by_request.pop(pending.work.request_id, None)
         pending.is_over = True
         output = 0
-        if ending is RequestOutcome.COMPLETED:
+        if outcome is RequestOutcome.COMPLETED:
             output = pending.request.output_tokens
         self.components.admission.finish(
             pending.work,
@@ -386,12 +394,12 @@
             output,
             self._environment.now(),
         )
-        self._record_result(pending, ending, reason)
+        self._record_result(pending, outcome, reason)
 
     def _record_result(
         self,
         pending: PendingRequest,
-        ending: RequestOutcome,
+        outcome: RequestOutcome,
         reason: RefusalReason | None,
     ) -> None:
         now = self._environment.now()
@@ -401,7 +409,7 @@
             RequestResult(
                 int(pending.work.request_id.removeprefix('r')),
                 pending.request,
-                ending,
+                outcome,
                 now - arrival,
                 None if first is None else first - arrival,
                 pending.attempts,
--- a/verbenathread/replay/event_loop.py
+++ b/verbenathread/replay/event_loop.py
@@ -1,4 +1,4 @@
-"""Virtual time: an event queue, and a clock that shows its time."""
+"""Discrete-event loop with virtual time, and a clock that reads it."""
 
 import heapq
 import itertools
@@ -14,10 +14,10 @@
 
 
 class EventLoop:
-    """Runs actions in the order of their virtual time, in ms."""
+    """Runs actions in order of their virtual time, in ms."""
 
     def __init__(self) -> None:
-        """Start at zero with nothing to do."""
+        """Start at time zero with an empty queue."""
         self.now: float = 0
         self._queue: list[_ScheduledCall] = []
         self._numbers = itertools.count()
@@ -29,16 +29,16 @@
         self.call_at(self.now + max(0, delay), action, *values)
 
     def call_at(
-        self, moment: float, action: Callable[..., object], *values: Any
+        self, time: float, action: Callable[..., object], *values: Any
     ) -> None:
-        """Run ``action`` at ``moment``; equal ones in order of the calls."""
+        """Run ``action`` at ``time``; ties run in the order of the calls."""
         heapq.heappush(
             self._queue,
-            _ScheduledCall(moment, next(self._numbers), action, values),
+            _ScheduledCall(time, next(self._numbers), action, values),
         )
 
     def run(self, until: float) -> None:
-        """Run what is due up to ``until`` ms."""
+        """Run every action that is due up to ``until`` ms."""
         while self._queue and self._queue[0].time <= until:
             due = heapq.heappop(self._queue)
             self.now = due.time
@@ -47,16 +47,16 @@
 
 
 class LoopClock:
-    """The clock of an event loop, as the decision parts take it."""
+    """Clock of an event loop, in the form that the scheduling code takes."""
 
     def __init__(self, loop: EventLoop) -> None:
-        """Show the time of ``loop``."""
+        """Read the time of ``loop``."""
         self._loop = loop
 
     def now(self) -> int:
-        """Return virtual time in ms."""
+        """Return the virtual time in ms."""
         return int(self._loop.now)
 
     def wall(self) -> int:
-        """Return the same as :meth:`now`."""
+        """Return the virtual time in ms, in place of wall-clock time."""
         return int(self._loop.now)
--- a/verbenathread/replay/fleet.py
+++ b/verbenathread/replay/fleet.py
@@ -1,4 +1,4 @@
-"""Entries, owners and engines of one replay, and the network between."""
+"""Entries, owners and engines of one replay, and their network."""
 
 from collections import Counter
 from collections.abc import Callable, Sequence
@@ -27,16 +27,17 @@
     UpstreamRecord,
 )
 
-# From the death of an engine to the end of its ledger and its record.
+# Time in ms from the death of an engine until its ledger and its record are
+# dropped.
 _ENGINE_LOSS_DETECTION: Millis = 1500
-# From the death of an entry until others act on it.
+# Time in ms from the death of an entry until the others react to it.
 _ENTRY_LOSS_DETECTION: Millis = 2000
-# From the death of an owner until another owns its engines.
+# Time in ms from the death of an owner until its engines have a new one.
 _OWNER_TAKEOVER: Millis = 6500
 
 
 class Fleet:
-    """The parts by name, and the way between them."""
+    """Holds every node and carries the messages between them."""
 
     def __init__(
         self,
@@ -45,7 +46,7 @@
         tuning: Tuning,
         loop: EventLoop,
     ) -> None:
-        """Build the engines and give each an owner."""
+        """Create the engines and assign each an owner."""
         self.deployment = deployment
         self.loop = loop
         self.entry_by_id: dict[NodeId, Entry] = {}
@@ -63,7 +64,7 @@
             self.assign_owner(upstream_id, owner_ids[position % len(owner_ids)])
 
     def now(self) -> Millis:
-        """Return virtual time in ms."""
+        """Return the virtual time in ms."""
         return int(self.loop.now)
 
     def call_later(self, delay: float, action: Callable[..., object]) -> None:
@@ -75,7 +76,10 @@
         return self._records
 
     def assign_owner(self, upstream_id: UpstreamId, owner_id: NodeId) -> None:
-        """Let an entry own an engine; it starts from what runs there."""
+        """Make an entry the owner of an engine.
+
+        Its new ledger is restored from the jobs that run there.
+        """
         engine = self.engine_by_id[upstream_id]
         ledger = EngineLedger(
             upstream_id,
@@ -89,14 +93,14 @@
         self._owner_by_engine[upstream_id] = owner_id
 
     def ledgers(self) -> list[EngineLedger]:
-        """Return every ledger that has an owner."""
+        """Return the ledger of every engine that has an owner."""
         return [
             self.owner_by_id[owner_id].ledger_by_id[upstream_id]
             for upstream_id, owner_id in self._owner_by_engine.items()
         ]
 
     def cached_prefixes(self, upstream_id: UpstreamId) -> tuple[int, ...]:
-        """Return the prefixes that one engine has cached."""
+        """Return the hashes of the prefixes that an engine has cached."""
         return self.engine_by_id[upstream_id].cache.hashes()
 
     def request_reservation(
@@ -105,7 +109,10 @@
         upstream_id: UpstreamId,
         request: ReservationRequest,
     ) -> None:
-        """Send an ask; where no owner is, the entry hears that."""
+        """Send a reservation request to the owner of an engine.
+
+        An engine without an owner yields a refusal.
+        """
         owner_id = self._owner_by_engine.get(upstream_id)
         if owner_id is None:
             refusal = Refusal(RefusalReason.NO_UPSTREAM, 'No owner.', 1000)
@@ -125,7 +132,7 @@
     def update_ledger(
         self, entry_id: NodeId, upstream_id: UpstreamId, action: LedgerAction
     ) -> None:
-        """Send news; where no owner is, it is lost."""
+        """Send a ledger update, which is lost if there is no owner."""
         owner_id = self._owner_by_engine.get(upstream_id)
         if owner_id is None:
             return
@@ -141,7 +148,7 @@
         attempt_id: str,
         answer: Answer,
     ) -> None:
-        """Carry an owner's answer to an entry."""
+        """Deliver an owner's answer to an entry."""
         entry = self.entry_by_id[entry_id]
         self.loop.call_later(
             self._latency_ms(owner_id, entry_id),
@@ -154,12 +161,12 @@
     def start_job(
         self, upstream_ids: Sequence[UpstreamId], job: Job
     ) -> GroupRun:
-        """Begin a job on its engines after the latency."""
+        """Start a job on its engines after the network latency."""
         engines = [self.engine_by_id[upstream] for upstream in upstream_ids]
-        remote = _DelayedListener(
+        listener = _DelayedListener(
             self, self.entry_by_id[job.entry_id], job.request_id
         )
-        run = GroupRun(engines, job, remote)
+        run = GroupRun(engines, job, listener)
         self._running_attempts[job.request_id] += 1
         if self._running_attempts[job.request_id] > 1:
             self.run_twice += 1
@@ -169,21 +176,21 @@
     def cancel_job(
         self, run: GroupRun, confirmed: Callable[[], object]
     ) -> None:
-        """Cancel a job and confirm, each after the latency."""
+        """Cancel a job and confirm it, each after the network latency."""
         delay = self.deployment.inter_centre_ms
         self.loop.call_later(delay, run.end)
         self.loop.call_later(2 * delay, confirmed)
 
     def record_attempt_end(self, request_id: str) -> None:
-        """Note that an attempt runs nowhere any more."""
+        """Record that an attempt no longer runs on any engine."""
         self._running_attempts[request_id] -= 1
 
     def record_result(self, result: RequestResult) -> None:
-        """Take the end of one request."""
+        """Record how a request ended."""
         self.results.append(result)
 
     def kill_engine(self, position: int) -> None:
-        """Lose one engine; its owner sees it a little later."""
+        """Kill an engine; its owner detects that after a delay."""
         upstream_id = sorted(self.engine_by_id)[position]
         self.engine_by_id[upstream_id].die()
         self.call_later(
@@ -191,7 +198,7 @@
         )
 
     def kill_entry(self, position: int) -> None:
-        """Lose one entry and what it owns; others see it a little later."""
+        """Kill an entry and its ledgers; others detect that after a delay."""
         entry_id = sorted(self.entry_by_id)[position]
         self.entry_by_id[entry_id].die()
         owned = [
@@ -245,7 +252,7 @@
     def _cancel_orphans(
         self, entry_id: NodeId, upstream_id: UpstreamId
     ) -> None:
-        """Cancel at one engine what a dead entry had started there."""
+        """Cancel the jobs that a dead entry started on an engine."""
         owner = self.owner_by_id[self._owner_by_engine[upstream_id]]
         ledger = owner.ledger_by_id[upstream_id]
         for reservation in ledger.drop_entry(entry_id):
@@ -265,7 +272,7 @@
 
 
 class _DelayedListener:
-    """Carries an engine's news to the entry that runs the attempt."""
+    """Forwards job progress to the entry after the network latency."""
 
     def __init__(self, fleet: Fleet, entry: Entry, request_id: str) -> None:
         self._fleet = fleet
@@ -273,16 +280,16 @@
         self._request_id = request_id
 
     def prefilled(self, attempt_id: str) -> None:
-        """Carry the first token."""
+        """Forward the first token."""
         self._deliver(self._entry.prefilled, attempt_id)
 
     def finished(self, attempt_id: str) -> None:
-        """Carry the last token."""
+        """Forward the last token."""
         self._fleet.record_attempt_end(self._request_id)
         self._deliver(self._entry.finished, attempt_id)
 
     def broken(self, attempt_id: str) -> None:
-        """Carry the loss."""
+        """Forward the loss of an engine."""
         self._fleet.record_attempt_end(self._request_id)
         self._deliver(self._entry.broken, attempt_id)
 
--- a/verbenathread/replay/generator.py
+++ b/verbenathread/replay/generator.py
@@ -1,4 +1,4 @@
-"""Traces generated from stated distributions and a seed."""
+"""Generates traces from statistical distributions and a seed."""
 
 import math
 import random
@@ -18,15 +18,15 @@
 _SAMPLES = 4000
 _HASH_BITS = 63
 _HASH_BYTES = 8
-# Deviation of the log of the output length.
+# Standard deviation of the logarithm of the output length.
 _OUTPUT_LOG_SIGMA = 0.6
 _BLOCK_TOKENS = 1024
 
 
 class LengthBand(NamedTuple):
-    """Prompts of a range of lengths, their share and their time limit.
+    """A range of prompt lengths, its share of traffic and its time limit.
 
-    Lengths are log-uniform; from 100,000 tokens on they follow a bounded
+    Lengths are log-uniform; from 100,000 tokens up they follow a bounded
     Pareto distribution with exponent 1.
     """
 
@@ -37,14 +37,16 @@
 
 
 class TrafficMix(NamedTuple):
-    """The lengths and accounts of a deployment's traffic."""
+    """Distribution of a deployment's traffic over lengths and accounts."""
 
     bands: tuple[LengthBand, ...]
-    # Share of the requests by account.
+    # Share of the requests of each account.
     share_by_account: dict[str, float]
-    # Median output by account is spread between these, in tokens.
+    # The accounts' median output lengths, in tokens, spread evenly over this
+    # range.
     median_output_range: tuple[int, int] = (120, 400)
-    # Share of requests that begin with the account's instructions.
+    # Share of the prompts under 100,000 tokens that begin with the account's
+    # instructions.
     common_share: float = 0.5
     common_tokens: int = 1024
     # Share of long prompts that repeat an earlier one of the account.
@@ -64,8 +66,13 @@
         _MAX_PROMPT_TOKENS,
     )
     bands = tuple(
-        LengthBand(edges[at], edges[at + 1], shares[at], _TIME_LIMITS_MS[at])
-        for at in range(len(shares))
+        LengthBand(
+            edges[index],
+            edges[index + 1],
+            shares[index],
+            _TIME_LIMITS_MS[index],
+        )
+        for index in range(len(shares))
     )
     accounts = {
         f'{prefix}-{number}': share
@@ -85,27 +92,31 @@
 
 
 class LoadShape(NamedTuple):
-    """How a trace departs from a steady mix."""
+    """Load, duration and seed of a trace, and its deviations from the mix.
+
+    The load is a share of the capacity.
+    """
 
     load: float
     duration: Millis
     seed: int
-    # From, to: this many times as many long prompts.
+    # Start, end, and the factor by which the rate of long prompts grows.
     long_burst: tuple[Millis, Millis, float] = (0, 0, 1)
-    # From, to: the account at this position sends this many times more.
+    # Start, end, and the factor by which the flooding account's rate grows.
     flood: tuple[Millis, Millis, float] = (0, 0, 1)
+    # Position of the flooding account in the mix.
     flooding_account: int = 6
-    # From then on the shares of the two middle bands are swapped with short.
+    # Time from which the two middle bands gain share from the shortest one.
     shift_at: Millis | None = None
 
 
 class TraceGenerator:
-    """Draws the requests of one trace."""
+    """Generates the requests of one trace."""
 
     def __init__(
         self, deployment: Deployment, mix: TrafficMix, shape: LoadShape
     ) -> None:
-        """Prepare the draws of ``shape.seed``."""
+        """Seed the generator with ``shape.seed``."""
         self._deployment = deployment
         self._mix = mix
         self._shape = shape
@@ -113,19 +124,19 @@
         self._long_hashes_by_account: dict[str, tuple[int, ...]] = {}
 
     def requests(self) -> list[TraceRequest]:
-        """Return the trace in the order of arrival."""
+        """Return the requests in order of arrival."""
         rate = capacity(self._deployment, self._mix) * self._shape.load
         drawn = self._draw_poisson(rate, 0, self._shape.duration, None, None)
-        begin, end, times = self._shape.long_burst
-        if times > 1:
+        begin, end, factor = self._shape.long_burst
+        if factor > 1:
             band = self._mix.bands[-1]
-            extra = rate * band.share * (times - 1)
+            extra = rate * band.share * (factor - 1)
             drawn += self._draw_poisson(extra, begin, end, band, None)
-        begin, end, times = self._shape.flood
-        if times > 1:
+        begin, end, factor = self._shape.flood
+        if factor > 1:
             accounts = list(self._mix.share_by_account)
             account = accounts[self._shape.flooding_account]
-            extra = rate * self._mix.share_by_account[account] * (times - 1)
+            extra = rate * self._mix.share_by_account[account] * (factor - 1)
             drawn += self._draw_poisson(extra, begin, end, None, account)
         return sorted(drawn, key=lambda request: request.arrival)
 
@@ -138,12 +149,12 @@
         account: str | None,
     ) -> list[TraceRequest]:
         drawn: list[TraceRequest] = []
-        moment = float(begin)
+        time = float(begin)
         while True:
-            moment += self._rng.expovariate(rate) * _MS
-            if moment >= end:
+            time += self._rng.expovariate(rate) * _MS
+            if time >= end:
                 return drawn
-            drawn.append(self._draw_request(int(moment), band, account))
+            drawn.append(self._draw_request(int(time), band, account))
 
     def _draw_request(
         self, arrival: Millis, band: LengthBand | None, account: str | None
@@ -174,18 +185,18 @@
         shares = [band.share for band in self._mix.bands]
         shift_at = self._shape.shift_at
         if shift_at is not None and arrival >= shift_at:
-            # The middle bands grow by a third at the cost of the short one.
-            grown = (shares[1] + shares[2]) / 3
-            shares[0] -= grown
-            shares[1] += grown / 2
-            shares[2] += grown / 2
+            # The middle bands grow by a third, at the expense of the shortest.
+            growth = (shares[1] + shares[2]) / 3
+            shares[0] -= growth
+            shares[1] += growth / 2
+            shares[2] += growth / 2
         return shares
 
     def _draw_output(self, account: str) -> int:
         accounts = list(self._mix.share_by_account)
         low, high = self._mix.median_output_range
-        place = accounts.index(account) / max(1, len(accounts) - 1)
-        median = low + (high - low) * place
+        fraction = accounts.index(account) / max(1, len(accounts) - 1)
+        median = low + (high - low) * fraction
         tokens = int(
             self._rng.lognormvariate(math.log(median), _OUTPUT_LOG_SIGMA)
         )
@@ -205,32 +216,32 @@
             self._long_hashes_by_account[account] = tuple(fresh)
             return tuple(fresh)
         if fresh and rng.random() < self._mix.common_share:
-            # The same instructions before every prompt of the account.
+            # The account's instructions are the same for every prompt.
             fresh[0] = instructions_hash(account)
         return tuple(fresh)
 
 
 def instructions_hash(account: str) -> int:
-    """Return the hash of an account's instructions."""
+    """Return the prefix hash of an account's instructions."""
     return int.from_bytes(account.encode()[-_HASH_BYTES:], 'big')
 
 
 def draw_length(band: LengthBand, rng: random.Random) -> int:
-    """Draw one prompt length of a band."""
+    """Draw a prompt length from a band."""
     low, high = band.min_tokens, band.max_tokens
     if low >= _LONG_PROMPT_TOKENS:
-        # Bounded Pareto with exponent 1, by its inverse.
+        # Inverse transform sampling of a bounded Pareto, exponent 1.
         span = 1 / low - 1 / high
         return int(1 / (1 / low - rng.random() * span))
     return int(low * (high / low) ** rng.random())
 
 
 def capacity(deployment: Deployment, mix: TrafficMix) -> float:
-    """Return the requests a second that the engines can prefill and decode.
+    """Return the requests per second that the engines can serve.
 
-    Every step carries one chunk of prefill and the streams that decode;
-    nothing is cached, and what is over one engine costs the group's
-    overhead. Memory is not counted.
+    The estimate assumes that every step processes one chunk of prefill and
+    all decoding streams, that nothing is cached and that memory is no limit.
+    Prompts that exceed the memory of one engine incur the group overhead.
     """
     rates = deployment.rates
     rng = random.Random(0)
@@ -244,7 +255,7 @@
 def _band_work(
     band: LengthBand, rates: EngineRates, rng: random.Random
 ) -> float:
-    """Return a band's part of the mean work of a request."""
+    """Return a band's contribution to the mean prefill work per request."""
     total: float = 0
     for _ in range(_SAMPLES):
         tokens = draw_length(band, rng)
--- a/verbenathread/replay/gossip.py
+++ b/verbenathread/replay/gossip.py
@@ -1,4 +1,4 @@
-"""What entries hear of one another and of the engines, late."""
+"""Simulated gossip: delayed state of the engines and the other entries."""
 
 import random
 from collections.abc import Sequence
@@ -12,30 +12,33 @@
 
 _INTERVAL: Millis = 1000
 _DELAY: Millis = 1000
-# Cache events of this share are lost.
+# Share of the cache events that are lost.
 _EVENT_LOSS_SHARE = 0.02
 
 
 class Gossip:
-    """Load reports, account usage and cache events, each second, 1 s late."""
+    """Spreads load reports, account usage and cache events.
+
+    Each owner sends every ``_INTERVAL`` ms, with a delay of ``_DELAY`` ms.
+    """
 
     def __init__(self, fleet: Fleet, rng: random.Random) -> None:
-        """Speak of ``fleet``; ``rng`` decides which events are lost."""
+        """Create the gossip of ``fleet``; ``rng`` draws the lost events."""
         self.prefixes_by_entry: dict[NodeId, PrefixIndex] = {}
         self._fleet = fleet
         self._rng = rng
         self._outage: tuple[Millis, Millis] = (0, 0)
         self._sequence: int = 0
 
-    def start(self, end: Millis, missing: tuple[Millis, Millis]) -> None:
-        """Plan every round up to ``end``, but no reports in ``missing``."""
-        self._outage = missing
+    def start(self, end: Millis, outage: tuple[Millis, Millis]) -> None:
+        """Schedule rounds up to ``end``; none is delivered in ``outage``."""
+        self._outage = outage
         owners = sorted(self._fleet.owner_by_id)
-        for place, owner_id in enumerate(owners):
-            # Entries are not in step with one another.
-            offset = _INTERVAL * place // len(owners)
-            for moment in range(offset, end, _INTERVAL):
-                self._fleet.loop.call_at(moment, self._send_round, owner_id)
+        for position, owner_id in enumerate(owners):
+            # Rounds of different entries are staggered.
+            offset = _INTERVAL * position // len(owners)
+            for time in range(offset, end, _INTERVAL):
+                self._fleet.loop.call_at(time, self._send_round, owner_id)
 
     def _send_round(self, owner_id: NodeId) -> None:
         owner = self._fleet.owner_by_id[owner_id]
@@ -58,7 +61,7 @@
         )
 
     def _cache_event(self, upstream_id: UpstreamId) -> CacheEvent:
-        """Return what changed; every so often all that is cached."""
+        """Return a snapshot of the prefixes that an engine has cached."""
         self._sequence += 1
         cached = self._fleet.cached_prefixes(upstream_id)
         return CacheEvent(self._sequence, cached, (), is_snapshot=True)
--- a/verbenathread/replay/group_renewal.py
+++ b/verbenathread/replay/group_renewal.py
@@ -1,4 +1,4 @@
-"""Keeps the holds of a group until all of it is granted."""
+"""Renews the reservations of a group until every member is granted."""
 
 from collections.abc import Callable
 
@@ -16,7 +16,7 @@
 
 
 class GroupRenewer:
-    """Renews holds, and asks again for those that yielded."""
+    """Renews the reservations of groups, and requests lost ones again."""
 
     def __init__(
         self,
@@ -24,49 +24,55 @@
         owners: OwnerClient,
         send: Callable[[PendingRequest, UpstreamId, ReservationRequest], None],
     ) -> None:
-        """Send asks by ``send``."""
+        """Send repeated reservation requests through ``send``."""
         self._environment = environment
         self._owners = owners
         self._send = send
 
-    def start(self, pending: PendingRequest, claim: GroupRequest) -> None:
-        """Renew from now on, until the group starts or is given up."""
+    def start(self, pending: PendingRequest, group: GroupRequest) -> None:
+        """Renew periodically until the group starts or is abandoned."""
         self._environment.call_later(
-            _RENEWAL_INTERVAL, lambda: self._renew(pending, claim)
+            _RENEWAL_INTERVAL, lambda: self._renew(pending, group)
         )
 
-    def _renew(self, pending: PendingRequest, claim: GroupRequest) -> None:
-        """Keep the holds of a group until it starts."""
-        if not _is_current(pending, claim):
+    def _renew(self, pending: PendingRequest, group: GroupRequest) -> None:
+        """Renew every reservation of a group that has not started."""
+        if not _is_current(pending, group):
             return
         start_by = self._environment.now() + GROUP_LEASE
-        for held in claim.member_reservations():
-            # The owner counts from when it hears this, so no earlier.
-            claim.record_renewal(held.upstream_ids[0], start_by)
-            self._owners.renew(held, self._loss_handler(pending, claim, held))
-        pending.reservations = claim.member_reservations()
+        for reservation in group.member_reservations():
+            # The owner counts the lease from when the renewal arrives, so
+            # its expiry is never earlier than this.
+            group.record_renewal(reservation.upstream_ids[0], start_by)
+            self._owners.renew(
+                reservation, self._loss_handler(pending, group, reservation)
+            )
+        pending.reservations = group.member_reservations()
         self._environment.call_later(
-            _RENEWAL_INTERVAL, lambda: self._renew(pending, claim)
+            _RENEWAL_INTERVAL, lambda: self._renew(pending, group)
         )
 
     def _loss_handler(
-        self, pending: PendingRequest, claim: GroupRequest, held: Reservation
+        self,
+        pending: PendingRequest,
+        group: GroupRequest,
+        reservation: Reservation,
     ) -> Callable[[], None]:
-        """Return what to do when an owner has let a hold of a group go."""
+        """Return a callback for when the owner has dropped a reservation."""
 
-        def ask_again() -> None:  # noqa: WPS430 - binds the hold.
-            if not _is_current(pending, claim):
+        def request_again() -> None:  # noqa: WPS430 - binds the reservation.
+            if not _is_current(pending, group):
                 return
-            upstream_id = held.upstream_ids[0]
-            ask = claim.record_loss(upstream_id)
-            pending.reservations = claim.member_reservations()
-            self._send(pending, upstream_id, ask)
+            upstream_id = reservation.upstream_ids[0]
+            request = group.record_loss(upstream_id)
+            pending.reservations = group.member_reservations()
+            self._send(pending, upstream_id, request)
 
-        return ask_again
+        return request_again
 
 
-def _is_current(pending: PendingRequest, claim: GroupRequest) -> bool:
-    """Tell whether a claim still waits for its group."""
+def _is_current(pending: PendingRequest, group: GroupRequest) -> bool:
+    """Return whether the group is still waiting for its grants."""
     if pending.is_over or pending.run is not None:
         return False
-    return pending.group is claim
+    return pending.group is group
--- a/verbenathread/replay/group_run.py
+++ b/verbenathread/replay/group_run.py
@@ -1,4 +1,4 @@
-"""A prompt that runs on a group of engines, for the replay."""
+"""An attempt that runs on a group of engines."""
 
 from collections.abc import Sequence
 
@@ -6,52 +6,53 @@
 
 
 class GroupRun:
-    """Joins the parts of one attempt: the first engine decodes for all.
+    """Coordinates the engines of one attempt.
 
-    The loss of one engine is the loss of the attempt.
+    Every engine prefills its share; the first engine then decodes. The loss
+    of any engine breaks the attempt.
     """
 
     def __init__(
         self, engines: Sequence[Engine], job: Job, listener: JobListener
     ) -> None:
-        """Take the engines of the group, the one that decodes first."""
+        """Create a run; the first of ``engines`` decodes."""
         self._engines = tuple(engines)
         self._job = job
         self._listener = listener
-        self._left = len(self._engines)
+        self._prefills_left = len(self._engines)
         self._is_over = False
 
     def begin(self) -> None:
-        """Give every engine its part."""
+        """Submit the job to every engine."""
         for engine in self._engines:
             if not self._is_over:
                 engine.submit(self._job, self)
 
     def end(self) -> None:
-        """Free every part."""
+        """Remove the job from every engine."""
         self._is_over = True
         for engine in self._engines:
             engine.end(self._job.attempt_id)
 
     def output_so_far(self) -> int:
-        """Return the tokens generated."""
+        """Return the number of tokens generated."""
         return self._engines[0].output_so_far(self._job.attempt_id)
 
     def prefilled(self, attempt_id: str) -> None:
-        """Begin to decode when the last part is prefilled."""
-        self._left -= 1
-        if self._is_over or self._left:
+        """Start to decode once every engine has finished its prefill."""
+        self._prefills_left -= 1
+        if self._is_over or self._prefills_left:
             return
         self._listener.prefilled(attempt_id)
         self._engines[0].decode(attempt_id)
 
     def finished(self, attempt_id: str) -> None:
-        """Free the other parts and pass the end on."""
+        """Free the other engines and notify the listener."""
         self.end()
         self._listener.finished(attempt_id)
 
     def broken(self, attempt_id: str) -> None:
-        """Free the parts that are left and pass the loss on, once."""
+        """Free the remaining engines and notify the listener, once."""
         if self._is_over:
             return
         self.end()
--- a/verbenathread/replay/measures.py
+++ b/verbenathread/replay/measures.py
@@ -1,4 +1,4 @@
-"""Figures of a replay: first token by length, slowdown, goodput."""
+"""Results of a replay: first-token latency by length, and goodput."""
 
 from collections.abc import Callable, Iterable, Sequence
 from typing import NamedTuple
@@ -21,14 +21,14 @@
 
 
 class Bucket(NamedTuple):
-    """A range of prompt lengths, above ``over`` and up to ``most``."""
+    """A range of prompt lengths: over ``above``, at most ``up_to``."""
 
     name: str
     above: int
     up_to: int
 
     def contains(self, ended: RequestResult) -> bool:
-        """Tell whether a request's prompt is in the range."""
+        """Return whether a request's prompt length is in the range."""
         return self.above < ended.request.prompt_tokens <= self.up_to
 
 
@@ -41,7 +41,7 @@
 
 
 class FirstToken(NamedTuple):
-    """First token of one bucket, in ms as the caller sees it."""
+    """First-token latency of one bucket, in ms as seen by the client."""
 
     bucket: str
     requests: int
@@ -51,7 +51,7 @@
 
 
 class Measures(NamedTuple):
-    """Figures of one replay."""
+    """Aggregated results of one replay."""
 
     first_tokens: tuple[FirstToken, ...]
     requests: int
@@ -64,29 +64,32 @@
     long_requests: int
     long_refused: int
     long_unfinished: int
-    # Requests that completed in time while the trace lasted, by its second;
-    # what completes after the last arrival had the engines to itself.
+    # Requests per second that met their deadline before the last arrival.
+    # Later ones are left out, since the load drops once the trace ends.
     good_rate: float
     attempts: int
 
 
 def measure(result: ReplayResult, client_latency_ms: float) -> Measures:
-    """Return the figures of a replay; ``to_clients`` is one way, in ms."""
-    ended = result.results
+    """Aggregate a replay; ``client_latency_ms`` is the one-way latency."""
+    results = result.results
     long = [
-        one for one in ended if one.request.prompt_tokens > _LONG_PROMPT_TOKENS
+        ended
+        for ended in results
+        if ended.request.prompt_tokens > _LONG_PROMPT_TOKENS
     ]
-    completed = _count(ended, RequestOutcome.COMPLETED)
+    completed = _count(results, RequestOutcome.COMPLETED)
     return Measures(
         first_tokens=tuple(
-            _first_token(bucket, ended, client_latency_ms) for bucket in BUCKETS
+            _first_token(bucket, results, client_latency_ms)
+            for bucket in BUCKETS
         ),
-        requests=len(ended),
+        requests=len(results),
         completed=completed,
-        refused=_count(ended, RequestOutcome.REFUSED),
-        failed=_count(ended, RequestOutcome.FAILED),
-        missed=_count(ended, RequestOutcome.MISSED),
-        lost=_count(ended, RequestOutcome.LOST),
+        refused=_count(results, RequestOutcome.REFUSED),
+        failed=_count(results, RequestOutcome.FAILED),
+        missed=_count(results, RequestOutcome.MISSED),
+        lost=_count(results, RequestOutcome.LOST),
         long_requests=len(long),
         long_refused=_count(long, RequestOutcome.REFUSED),
         long_unfinished=len(long)
@@ -98,17 +101,17 @@
 
 
 def _completed_during(result: ReplayResult) -> int:
-    """Return how many requests completed before the trace ended."""
+    """Return the number of requests that completed before the last arrival."""
     count = 0
-    for one in result.results:
-        if one.outcome is not RequestOutcome.COMPLETED:
+    for ended in result.results:
+        if ended.outcome is not RequestOutcome.COMPLETED:
             continue
-        count += one.request.arrival + one.ended_after <= result.duration
+        count += ended.request.arrival + ended.ended_after <= result.duration
     return count
 
 
 def percentile(times: Iterable[float], share: float) -> float:
-    """Return the time that ``share`` of the times do not exceed."""
+    """Return the time that a share of the times does not exceed."""
     ordered = sorted(times)
     if not ordered:
         return 0
@@ -121,7 +124,7 @@
     is_wanted: Callable[[RequestResult], bool],
     client_latency_ms: float,
 ) -> float:
-    """Return the p95 first token in ms of the requests that are wanted."""
+    """Return the p95 first-token latency in ms of the selected requests."""
     return percentile(
         _first_token_times(
             filter(is_wanted, result.results), client_latency_ms
@@ -131,39 +134,43 @@
 
 
 def is_short(ended: RequestResult) -> bool:
-    """Tell whether a request is in the shortest bucket."""
+    """Return whether a request is in the shortest bucket."""
     return ended.request.prompt_tokens <= SHORT_PROMPT_TOKENS
 
 
 def slowdown(
     mixed: ReplayResult, alone: ReplayResult, client_latency_ms: float
 ) -> float:
-    """Return the p95 first token of short requests over that alone."""
-    high = p95_first_token(mixed, is_short, client_latency_ms)
-    return high / max(1, p95_first_token(alone, is_short, client_latency_ms))
+    """Return the slowdown of short requests among others.
+
+    It is the ratio of their p95 first-token latency in mixed traffic to that
+    without any longer requests.
+    """
+    p95 = p95_first_token(mixed, is_short, client_latency_ms)
+    return p95 / max(1, p95_first_token(alone, is_short, client_latency_ms))
 
 
 def _first_token_times(
-    ended: Iterable[RequestResult], client_latency_ms: float
+    results: Iterable[RequestResult], client_latency_ms: float
 ) -> list[float]:
     times = []
-    for one in ended:
-        if one.first_token_after is not None:
-            times.append(one.first_token_after + 2 * client_latency_ms)
+    for ended in results:
+        if ended.first_token_after is not None:
+            times.append(ended.first_token_after + 2 * client_latency_ms)
     return times
 
 
 def _first_token(
-    bucket: Bucket, ended: Sequence[RequestResult], client_latency_ms: float
+    bucket: Bucket, results: Sequence[RequestResult], client_latency_ms: float
 ) -> FirstToken:
     times = _first_token_times(
-        filter(bucket.contains, ended), client_latency_ms
+        filter(bucket.contains, results), client_latency_ms
     )
-    median = percentile(times, _P50)
-    high = percentile(times, _P95)
-    highest = percentile(times, _P99)
-    return FirstToken(bucket.name, len(times), median, high, highest)
+    p50 = percentile(times, _P50)
+    p95 = percentile(times, _P95)
+    p99 = percentile(times, _P99)
+    return FirstToken(bucket.name, len(times), p50, p95, p99)
 
 
-def _count(ended: Iterable[RequestResult], ending: RequestOutcome) -> int:
-    return len([one for one in ended if one.outcome is ending])
+def _count(results: Iterable[RequestResult], outcome: RequestOutcome) -> int:
+    return len([ended for ended in results if ended.outcome is outcome])
--- a/verbenathread/replay/owner.py
+++ b/verbenathread/replay/owner.py
@@ -1,4 +1,4 @@
-"""The side of an entry that owns the memory of some engines."""
+"""The part of an entry that owns the memory ledgers of some engines."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -13,7 +13,7 @@
 
 
 class AnswerSender(Protocol):
-    """Carries an owner's answers to the entries that asked."""
+    """Sends an owner's answers to the entries that made the requests."""
 
     def send_answer(
         self,
@@ -23,16 +23,16 @@
         attempt_id: str,
         answer: Answer,
     ) -> None:
-        """Deliver an answer after the latency between both."""
+        """Deliver an answer after the network latency."""
 
 
 class EngineOwner:
-    """Ledgers that one entry keeps, and the grants that it sends out."""
+    """Keeps the ledgers of the engines that one entry owns."""
 
     def __init__(
         self, owner_id: NodeId, loop: EventLoop, sender: AnswerSender
     ) -> None:
-        """Own nothing yet."""
+        """Create an owner without engines."""
         self.owner_id = owner_id
         self.ledger_by_id: dict[UpstreamId, EngineLedger] = {}
         self._loop = loop
@@ -43,7 +43,10 @@
     def reserve(
         self, upstream_id: UpstreamId, request: ReservationRequest
     ) -> None:
-        """Answer an ask; a queued one is answered again when granted."""
+        """Answer a reservation request.
+
+        A queued request is answered again when it is granted.
+        """
         ledger = self.ledger_by_id.get(upstream_id)
         if ledger is None:
             return
@@ -63,7 +66,7 @@
     def update_ledger(
         self, upstream_id: UpstreamId, action: LedgerAction
     ) -> None:
-        """Apply an entry's news to the ledger, and grant what it frees."""
+        """Apply an entry's update to the ledger and send new grants."""
         ledger = self.ledger_by_id.get(upstream_id)
         if ledger is None:
             return
@@ -71,7 +74,7 @@
         self.send_grants(upstream_id)
 
     def send_grants(self, upstream_id: UpstreamId) -> None:
-        """Send out what is granted, and look again in time."""
+        """Send the grants of queued requests and schedule the next tick."""
         ledger = self.ledger_by_id.get(upstream_id)
         if ledger is None:
             return
@@ -90,7 +93,7 @@
         self._schedule_tick(upstream_id, ledger)
 
     def drop_engine(self, upstream_id: UpstreamId, refusal: Refusal) -> None:
-        """Give up an engine that is gone, and turn away who waits for it."""
+        """Drop an engine that is gone and refuse its queued requests."""
         self.ledger_by_id.pop(upstream_id, None)
         for key in tuple(self._entry_by_queued):
             if key[0] != upstream_id:
@@ -103,19 +106,19 @@
     def _schedule_tick(
         self, upstream_id: UpstreamId, ledger: EngineLedger
     ) -> None:
-        moment = ledger.next_tick()
-        if moment is None:
+        time = ledger.next_tick()
+        if time is None:
             return
-        planned = self._tick_by_id.get(upstream_id, 0)
-        if self._loop.now < planned <= moment:
+        scheduled = self._tick_by_id.get(upstream_id, 0)
+        if self._loop.now < scheduled <= time:
             return
-        # A reservation is late only after its start_by.
-        self._tick_by_id[upstream_id] = moment + 1
-        self._loop.call_at(moment + 1, self._on_tick, upstream_id, moment + 1)
+        # A reservation expires only after its start_by, hence the 1 ms.
+        self._tick_by_id[upstream_id] = time + 1
+        self._loop.call_at(time + 1, self._on_tick, upstream_id, time + 1)
 
-    def _on_tick(self, upstream_id: UpstreamId, moment: float) -> None:
-        if self._tick_by_id.get(upstream_id) != moment:
-            # An earlier tick took its place.
+    def _on_tick(self, upstream_id: UpstreamId, time: float) -> None:
+        if self._tick_by_id.get(upstream_id) != time:
+            # Superseded by an earlier tick.
             return
         self._tick_by_id.pop(upstream_id)
         self.send_grants(upstream_id)
--- a/verbenathread/replay/pending.py
+++ b/verbenathread/replay/pending.py
@@ -1,4 +1,4 @@
-"""A request in progress at an entry of a replay, and its messages."""
+"""A request in progress at an entry, and its messages to the owners."""
 
 from collections.abc import Callable, Sequence
 from typing import Protocol
@@ -24,15 +24,15 @@
     Work,
 )
 
-# Way of an owner's answer to a renewal.
+# Latency of an owner's reply to a renewal.
 _RENEWAL_REPLY_MS = 1
 
 
 class EntryEnvironment(Protocol):
-    """What an entry reaches through the network."""
+    """The network, the clock and the engines as an entry uses them."""
 
     def now(self) -> Millis:
-        """Return virtual time in ms."""
+        """Return the virtual time in ms."""
 
     def call_later(self, delay: float, action: Callable[..., object]) -> None:
         """Run an action after a delay in ms."""
@@ -46,36 +46,36 @@
         upstream_id: UpstreamId,
         request: ReservationRequest,
     ) -> None:
-        """Send an ask to the owner of an engine."""
+        """Send a reservation request to the owner of an engine."""
 
     def update_ledger(
         self, entry_id: NodeId, upstream_id: UpstreamId, action: LedgerAction
     ) -> None:
-        """Send news to the owner of an engine."""
+        """Send a ledger update to the owner of an engine."""
 
     def start_job(
         self, upstream_ids: Sequence[UpstreamId], job: Job
     ) -> GroupRun:
-        """Begin a job on its engines, after the latency."""
+        """Start a job on its engines after the network latency."""
 
     def cancel_job(
         self, run: GroupRun, confirmed: Callable[[], object]
     ) -> None:
-        """Cancel a job on its engines, and confirm."""
+        """Cancel a job on its engines; ``confirmed`` runs when it is done."""
 
     def record_result(self, result: RequestResult) -> None:
-        """Take the end of one request."""
+        """Record how a request ended."""
 
 
 class PendingRequest:
     """One request while the entry serves it."""
 
     def __init__(self, request: TraceRequest, work: Work) -> None:
-        """Begin before the first attempt."""
+        """Create the state before the first attempt."""
         self.request = request
         self.work = work
         self.attempts = 0
-        # Attempts that broke, and groups that were refused.
+        # Number of broken attempts and refused groups.
         self.failures = 0
         self.failed_engines: set[UpstreamId] = set()
         self.candidates = CandidateIterator((), 0)
@@ -89,7 +89,7 @@
         self.refusal: Refusal | None = None
 
     def record_accepted(self, upstream_id: UpstreamId) -> None:
-        """Note that an owner did not refuse; a group needs every member."""
+        """Record that an owner accepted; a group needs every member."""
         if self.group is None or self.group.record_accepted(upstream_id):
             self.is_admitted = True
 
@@ -99,12 +99,14 @@
         return f'{self.work.request_id}.{self.attempts}'
 
     def upstream_ids(self) -> tuple[UpstreamId, ...]:
-        """Return the engines that the attempt holds memory of."""
-        return tuple(held.upstream_ids[0] for held in self.reservations)
+        """Return the engines that have memory reserved for the attempt."""
+        return tuple(
+            reservation.upstream_ids[0] for reservation in self.reservations
+        )
 
 
 class OwnerClient:
-    """Messages of one entry to the owners of engines."""
+    """Sends one entry's messages to the owners of engines."""
 
     def __init__(
         self,
@@ -112,19 +114,21 @@
         environment: EntryEnvironment,
         chooser: EngineChooser,
     ) -> None:
-        """Speak for ``entry_id``."""
+        """Send messages on behalf of ``entry_id``."""
         self._entry_id = entry_id
         self._environment = environment
         self._chooser = chooser
 
-    def update_ledger(self, held: Reservation, action: LedgerAction) -> None:
-        """Send news of a hold to the engine's owner."""
+    def update_ledger(
+        self, reservation: Reservation, action: LedgerAction
+    ) -> None:
+        """Send a ledger update about a reservation to its owner."""
         self._environment.update_ledger(
-            self._entry_id, held.upstream_ids[0], action
+            self._entry_id, reservation.upstream_ids[0], action
         )
 
     def cancel(self, upstream_id: UpstreamId, attempt_id: str) -> None:
-        """Cancel an ask, or a grant that did not start."""
+        """Cancel a request, or a reservation that has not started."""
         self._environment.update_ledger(
             self._entry_id,
             upstream_id,
@@ -132,27 +136,29 @@
         )
 
     def cancel_all(self, pending: PendingRequest) -> None:
-        """Cancel every ask and unstarted grant of an attempt."""
+        """Cancel every request and unstarted reservation of an attempt."""
         for upstream_id in pending.waiting_at.union(pending.upstream_ids()):
             self.cancel(upstream_id, pending.attempt_id)
         pending.waiting_at.clear()
         pending.reservations = ()
 
-    def renew(self, held: Reservation, lost: Callable[[], object]) -> None:
-        """Renew a group's hold; ``lost`` runs if the owner has let it go."""
+    def renew(
+        self, reservation: Reservation, lost: Callable[[], object]
+    ) -> None:
+        """Renew a reservation; ``lost`` runs if the owner has dropped it."""
 
         def apply(ledger: EngineLedger) -> None:  # noqa: WPS430 - binds.
-            if ledger.renew(held.reservation_id) is None:
+            if ledger.renew(reservation.reservation_id) is None:
                 self._environment.call_later(_RENEWAL_REPLY_MS, lost)
 
-        self.update_ledger(held, apply)
+        self.update_ledger(reservation, apply)
 
     def release(self, pending: PendingRequest, output: int) -> None:
-        """Give back what an attempt held, once no engine holds it."""
-        held = pending.reservations
+        """Release the reservations of an attempt that runs on no engine."""
+        reservations = pending.reservations
         pending.reservations = ()
         pending.run = None
-        for reservation in held:
+        for reservation in reservations:
             self.update_ledger(
                 reservation, _release_update(reservation, output)
             )
@@ -165,7 +171,7 @@
     outputs: OutputEstimator,
     now: Millis,
 ) -> Work:
-    """Return what the scheduler knows of a request that arrives now."""
+    """Return the scheduler's view of a request that arrives now."""
     expected = outputs.expected(
         request.account, request.service, request.most_output_tokens
     )
@@ -182,15 +188,15 @@
     )
 
 
-def start_update(held: Reservation) -> LedgerAction:
-    """Return the news that the engine has taken the attempt."""
-    return lambda ledger: ledger.mark_started(held.reservation_id)
+def start_update(reservation: Reservation) -> LedgerAction:
+    """Return the ledger update for an attempt that has started."""
+    return lambda ledger: ledger.mark_started(reservation.reservation_id)
 
 
-def first_token_update(held: Reservation) -> LedgerAction:
-    """Return the news of the first token."""
-    return lambda ledger: ledger.record_progress(held.reservation_id, 1)
+def first_token_update(reservation: Reservation) -> LedgerAction:
+    """Return the ledger update for the first token."""
+    return lambda ledger: ledger.record_progress(reservation.reservation_id, 1)
 
 
-def _release_update(held: Reservation, output: int) -> LedgerAction:
-    return lambda ledger: ledger.release(held.reservation_id, output)
+def _release_update(reservation: Reservation, output: int) -> LedgerAction:
+    return lambda ledger: ledger.release(reservation.reservation_id, output)
--- a/verbenathread/replay/policies.py
+++ b/verbenathread/replay/policies.py
@@ -1,4 +1,4 @@
-"""The policies that a replay can run: ours, the previous one, baselines."""
+"""Policies for a replay: current and previous, and simple baselines."""
 
 import itertools
 import random
@@ -15,7 +15,7 @@
 
 
 class EngineChooser(Protocol):
-    """Orders engines for a prompt; :class:`Router` is the product's."""
+    """Ranks engines for a prompt, as :class:`Router` does in production."""
 
     def choose(
         self,
@@ -25,25 +25,25 @@
         failed: Collection[UpstreamId] = (),
         min_engines: int = 1,
     ) -> list[UpstreamId]:
-        """Return engines, the best first."""
+        """Return engines, best first."""
 
     def record_report(self, report: EngineReport, now: Millis) -> None:
-        """Take a load report."""
+        """Record a load report."""
 
     def record_sent(
         self, upstream_id: UpstreamId, work: Work, now: Millis
     ) -> None:
-        """Count a send."""
+        """Record a reservation request sent to an engine."""
 
     def record_done(self, upstream_id: UpstreamId, work: Work) -> None:
-        """Count the end of a send."""
+        """Record that a request no longer occupies an engine."""
 
 
 class RoundRobin:
-    """Engines in turn, whatever their load."""
+    """Round-robin choice that ignores load."""
 
     def __init__(self, start: int) -> None:
-        """Begin at ``start``, so that entries are not in step."""
+        """Begin at ``start``, which staggers the entries."""
         self._turns = itertools.count(start)
 
     def choose(
@@ -54,32 +54,32 @@
         failed: Collection[UpstreamId] = (),
         min_engines: int = 1,
     ) -> list[UpstreamId]:
-        """Return all engines from the next one on."""
+        """Return all engines, starting with the next in turn."""
         start = next(self._turns) % len(records)
-        turned = (*records[start:], *records[:start])
+        rotated = (*records[start:], *records[:start])
         return [
             record.upstream_id
-            for record in turned
+            for record in rotated
             if record.upstream_id not in failed
         ]
 
     def record_report(self, report: EngineReport, now: Millis) -> None:
-        """Take no notice."""
+        """Do nothing."""
 
     def record_sent(
         self, upstream_id: UpstreamId, work: Work, now: Millis
     ) -> None:
-        """Take no notice."""
+        """Do nothing."""
 
     def record_done(self, upstream_id: UpstreamId, work: Work) -> None:
-        """Take no notice."""
+        """Do nothing."""
 
 
 class LeastLoaded:
-    """The engine with the fewest requests, whatever their lengths."""
+    """Choice of the engine with the fewest requests of any length."""
 
     def __init__(self, rng: random.Random) -> None:
-        """Break ties by ``rng``."""
+        """Break ties with ``rng``."""
         self._rng = rng
         self._count_by_id: dict[UpstreamId, int] = {}
 
@@ -104,23 +104,23 @@
         return [upstream_id for _, _, upstream_id in sorted(ranked)]
 
     def record_report(self, report: EngineReport, now: Millis) -> None:
-        """Take the count of requests."""
+        """Record the number of requests on an engine."""
         count = report.running + report.queued
         self._count_by_id[report.upstream_id] = count
 
     def record_sent(
         self, upstream_id: UpstreamId, work: Work, now: Millis
     ) -> None:
-        """Count one more until the next report."""
+        """Count the request until the next report."""
         count = self._count_by_id.get(upstream_id, 0)
         self._count_by_id[upstream_id] = count + 1
 
     def record_done(self, upstream_id: UpstreamId, work: Work) -> None:
-        """Leave it to the next report."""
+        """Do nothing; the next report corrects the count."""
 
 
 class ChooserInputs(NamedTuple):
-    """What an entry gives to its chooser."""
+    """Inputs for the chooser of one entry."""
 
     position: int
     policy: settings_pb2.PolicySettings
@@ -129,26 +129,26 @@
 
 
 class Policy(NamedTuple):
-    """A way to choose and to queue, under one name."""
+    """A named combination of an engine chooser and scheduler tuning."""
 
     name: str
     make_chooser: Callable[[ChooserInputs], EngineChooser]
     tuning: Tuning
 
 
-def _round_robin(parts: ChooserInputs) -> EngineChooser:
-    return RoundRobin(parts.position)
+def _round_robin(inputs: ChooserInputs) -> EngineChooser:
+    return RoundRobin(inputs.position)
 
 
-def _least_loaded(parts: ChooserInputs) -> EngineChooser:
-    return LeastLoaded(parts.rng)
+def _least_loaded(inputs: ChooserInputs) -> EngineChooser:
+    return LeastLoaded(inputs.rng)
 
 
 def tuned_policy(name: str, tuning: Tuning) -> Policy:
-    """Return the product's policy with some mechanisms on or off."""
+    """Return the production policy with the given tuning."""
 
-    def make(parts: ChooserInputs) -> EngineChooser:  # noqa: WPS430 - binds.
-        return Router(parts.policy, parts.rng, tuning, parts.prefixes)
+    def make(inputs: ChooserInputs) -> EngineChooser:  # noqa: WPS430 - binds.
+        return Router(inputs.policy, inputs.rng, tuning, inputs.prefixes)
 
     return Policy(name, make, tuning)
 
--- a/verbenathread/replay/replay.py
+++ b/verbenathread/replay/replay.py
@@ -1,4 +1,4 @@
-"""Runs a trace over the real decision parts in virtual time."""
+"""Runs a trace through the real scheduling code in virtual time."""
 
 import random
 from collections.abc import Mapping, Sequence
@@ -30,22 +30,23 @@
 from verbenathread.schema import settings_pb2
 from verbenathread.types import Millis
 
-# After the last time limit: cancels are confirmed and leases run out.
+# Time in ms after the last deadline for cancels to be confirmed and leases to
+# expire.
 _SETTLE_TIME: Millis = 10000
 _MS = 1000
-# Least rates a second that an account may have.
+# Lower bounds of an account's rate limits.
 _MIN_REQUESTS_PER_SECOND = 5
 _MIN_TOKENS_PER_SECOND = 100000
 _LONG_PROMPTS = 32
 
 
 def default_policy() -> settings_pb2.PolicySettings:
-    """Return the policy with the defaults of the settings page."""
+    """Return the policy settings with the defaults of the schema."""
     policy = settings_pb2.PolicySettings()
     for field in settings_pb2.PolicySettings.DESCRIPTOR.fields:
         options: Any = field.GetOptions()
         rule = options.Extensions[settings_pb2.rule]
-        # Every field of the policy is a number.
+        # Every policy field is numeric.
         number = float(rule.default_text)
         is_whole = field.cpp_type == field.CPPTYPE_UINT32
         setattr(policy, field.name, int(number) if is_whole else number)
@@ -53,7 +54,7 @@
 
 
 class Replay:
-    """One run of a trace under one policy."""
+    """Simulation of one trace under one policy."""
 
     def __init__(
         self,
@@ -62,7 +63,7 @@
         limits_by_account: Mapping[str, settings_pb2.AccountSettings],
         seed: int = 1,
     ) -> None:
-        """Build the fleet; ``seed`` decides every draw of the run."""
+        """Create the fleet; ``seed`` seeds every random generator."""
         self._loop = EventLoop()
         self._settings = default_policy()
         self._fleet = Fleet(
@@ -73,7 +74,7 @@
             entry_id = entry_id_at(position)
             rng = random.Random(f'{seed}/{entry_id}')
             prefixes = PrefixIndex()
-            parts = EntryComponents(
+            components = EntryComponents(
                 chooser=policy.make_chooser(
                     ChooserInputs(position, self._settings, rng, prefixes)
                 ),
@@ -85,7 +86,7 @@
                 tuning=policy.tuning,
                 limits_by_account=dict(limits_by_account),
             )
-            entry = Entry(entry_id, parts, self._fleet)
+            entry = Entry(entry_id, components, self._fleet)
             self._fleet.entry_by_id[entry_id] = entry
             if policy.tuning.cache_affinity:
                 self._gossip.prefixes_by_entry[entry_id] = prefixes
@@ -93,32 +94,33 @@
     def run(
         self, trace: Sequence[TraceRequest], faults: Faults = NO_FAULTS
     ) -> ReplayResult:
-        """Run the whole trace and what it leaves behind."""
+        """Run the trace until every request has ended and leases expired."""
         for number, request in enumerate(trace):
             self._loop.call_at(request.arrival, self._arrive, number, request)
         last_limit = max(
-            (asked.arrival + asked.time_limit for asked in trace), default=0
+            (traced.arrival + traced.time_limit for traced in trace),
+            default=0,
         )
         end = last_limit + _SETTLE_TIME
         self._gossip.start(end, faults.reports_missing)
-        for position, moment in faults.engine_deaths:
-            self._loop.call_at(moment, self._fleet.kill_engine, position)
-        for position, moment in faults.entry_deaths:
-            self._loop.call_at(moment, self._fleet.kill_entry, position)
+        for position, time in faults.engine_deaths:
+            self._loop.call_at(time, self._fleet.kill_engine, position)
+        for position, time in faults.entry_deaths:
+            self._loop.call_at(time, self._fleet.kill_entry, position)
         self._loop.run(end)
         results = sorted(self._fleet.results)
         return ReplayResult(
             tuple(results),
             self._violations(len(trace), results),
-            sum(ended.attempts for ended in results),
-            max((asked.arrival for asked in trace), default=0),
+            sum(result.attempts for result in results),
+            max((traced.arrival for traced in trace), default=0),
         )
 
     def _arrive(self, number: int, request: TraceRequest) -> None:
-        """Bring a request to its entry, or to the next one that lives."""
+        """Deliver a request to its entry, or to the next one alive."""
         entries = sorted(self._fleet.entry_by_id)
-        turned = entries[request.entry :] + entries[: request.entry]
-        for entry_id in turned:
+        rotated = entries[request.entry :] + entries[: request.entry]
+        for entry_id in rotated:
             entry = self._fleet.entry_by_id[entry_id]
             if entry.alive:
                 entry.arrive(number, request)
@@ -128,18 +130,18 @@
         self, requests: int, results: Sequence[RequestResult]
     ) -> Violations:
         past_limit = sum(
-            ended.ended_after > ended.request.time_limit for ended in results
+            result.ended_after > result.request.time_limit for result in results
         )
         engines = self._fleet.engine_by_id.values()
-        held = sum(engine.used_tokens() > 0 for engine in engines)
-        held += sum(
+        leftover = sum(engine.used_tokens() > 0 for engine in engines)
+        leftover += sum(
             ledger.free_tokens != ledger.memory_tokens
             for ledger in self._fleet.ledgers()
         )
         return Violations(
             past_limit=past_limit,
             memory_over=sum(engine.overcommits for engine in engines),
-            holds_left=held,
+            holds_left=leftover,
             run_twice=self._fleet.run_twice,
             unanswered=abs(requests - len(results)),
         )
@@ -148,7 +150,7 @@
 def limits_for(
     trace: Sequence[TraceRequest], multiple: float = 1e6
 ) -> dict[str, settings_pb2.AccountSettings]:
-    """Return limits of ``times`` each account's mean rate in the trace."""
+    """Return limits that are a multiple of each account's mean rate."""
     duration = max((request.arrival for request in trace), default=1)
     count_by_account: dict[str, int] = {}
     tokens_by_account: dict[str, int] = {}
--- a/verbenathread/replay/results.py
+++ b/verbenathread/replay/results.py
@@ -1,4 +1,4 @@
-"""How each request of a replay ended."""
+"""Outcomes of the requests of a replay."""
 
 import enum
 from typing import NamedTuple
@@ -8,21 +8,21 @@
 
 
 class RequestOutcome(enum.Enum):
-    """The end of one request."""
+    """How a request ended."""
 
     COMPLETED = 'completed'
-    # Not admitted; the caller was told at once.
+    # Rejected before admission, with an immediate response.
     REFUSED = 'refused'
-    # Admitted, and given up with an error before its time limit.
+    # Admitted, but failed with an error before its deadline.
     FAILED = 'failed'
-    # Admitted, and not complete at its time limit.
+    # Admitted, but not complete by its deadline.
     MISSED = 'missed'
-    # The entry that served it died, and the caller's connection with it.
+    # The entry that served it died, which broke the client connection.
     LOST = 'lost'
 
 
 class RequestResult(NamedTuple):
-    """One request and how it ended; times in ms since its arrival."""
+    """Outcome of one request; times in ms since its arrival."""
 
     number: int
     request: TraceRequest
@@ -34,7 +34,7 @@
 
 
 class Violations(NamedTuple):
-    """Broken invariants of one replay; every count must be zero."""
+    """Counts of violated invariants in a replay; each must be zero."""
 
     past_limit: int
     memory_over: int
@@ -44,7 +44,7 @@
 
 
 class ReplayResult(NamedTuple):
-    """Everything that a replay of one trace came to."""
+    """Complete result of replaying one trace."""
 
     results: tuple[RequestResult, ...]
     violations: Violations
--- a/verbenathread/replay/scenarios.py
+++ b/verbenathread/replay/scenarios.py
@@ -1,4 +1,4 @@
-"""The scenarios that the bounds are checked on."""
+"""Scenarios for checking the performance bounds."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -24,14 +24,14 @@
 from verbenathread.types import Millis
 
 _DURATION: Millis = 150000
-# Near capacity the queues take longer to build up.
+# Queues take longer to build up near capacity.
 _LONG_DURATION: Millis = 300000
-# Overload shows only once the backlog outlasts the time limits.
+# Overload has an effect only once the backlog exceeds the time limits.
 _OVERLOAD_DURATION: Millis = 600000
 _SEED = 7
 _USUAL_LOAD = 0.8
 _HIGH_LOAD = 0.95
-# Each account may send this many times its mean rate in the steady trace.
+# Account limits as a multiple of the mean rate in the steady trace.
 _LIMIT_MULTIPLE = 3
 _MIDPOINT: Millis = _DURATION // 2
 _REPORT_OUTAGE: Millis = 10000
@@ -41,7 +41,7 @@
 
 
 class Scenario(NamedTuple):
-    """A deployment, its traffic, and what fails."""
+    """A deployment, its traffic and the injected faults."""
 
     deployment: Deployment
     name: str
@@ -49,11 +49,11 @@
     faults: Faults = NO_FAULTS
 
     def trace(self) -> list[TraceRequest]:
-        """Return the requests."""
+        """Return the generated requests."""
         return self._requests(self.shape)
 
     def limits(self) -> Mapping[str, settings_pb2.AccountSettings]:
-        """Return the accounts' limits, set from the steady traffic."""
+        """Return the account limits, derived from the steady traffic."""
         steady = LoadShape(
             self.shape.load, self.shape.duration, self.shape.seed
         )
@@ -65,7 +65,7 @@
         return replay.run(self.trace(), self.faults)
 
     def run_short_alone(self, policy: Policy) -> ReplayResult:
-        """Replay the short requests of the scenario, without the others."""
+        """Replay only the short requests of the scenario."""
         alone = [
             request
             for request in self.trace()
@@ -79,7 +79,7 @@
 
 
 def steady(deployment: Deployment, name: str, load: float) -> Scenario:
-    """Return steady traffic at a share of the capacity."""
+    """Return a scenario of steady traffic at a share of the capacity."""
     duration = _DURATION if load < _HIGH_LOAD else _LONG_DURATION
     if load > 1:
         duration = _OVERLOAD_DURATION
@@ -108,15 +108,15 @@
 
 
 def scenarios() -> list[Scenario]:
-    """Return every scenario, in the order of the report."""
-    every = []
+    """Return every scenario in report order."""
+    found = []
     for deployment in (TILLERY, FBIS):
         for name, load in _LOAD_BY_NAME:
-            every.append(steady(deployment, name, load))
-        every.extend(_failure_scenarios(deployment))
+            found.append(steady(deployment, name, load))
+        found.extend(_failure_scenarios(deployment))
         slow = deployment._replace(rates=deployment.rates.halved())
-        every.append(steady(slow, 'slow-80', _USUAL_LOAD))
-    return every
+        found.append(steady(slow, 'slow-80', _USUAL_LOAD))
+    return found
 
 
 def _failure_scenarios(deployment: Deployment) -> list[Scenario]:
--- a/verbenathread/replay/trace.py
+++ b/verbenathread/replay/trace.py
@@ -1,4 +1,4 @@
-"""Traces of requests: JSON lines without any prompt text."""
+"""Request traces as JSON lines, without any prompt text."""
 
 import gzip
 import json
@@ -13,7 +13,7 @@
 
 
 class TraceRequest(NamedTuple):
-    """One request as it reached an entry."""
+    """One request as it arrived at an entry."""
 
     arrival: Millis
     account: str
@@ -22,28 +22,28 @@
     output_tokens: int
     most_output_tokens: int
     time_limit: Millis
-    # Position of the entry among the entries of the deployment.
+    # Position of the entry in the deployment.
     entry: int
     prefix_hashes: tuple[int, ...] = ()
 
 
 def write_trace(path: Path, requests: Iterable[TraceRequest]) -> None:
-    """Write one JSON object a line; packed if the name ends in .gz."""
-    with _open(path, 'wt') as page:
+    """Write one JSON object per line; compressed if the suffix is .gz."""
+    with _open(path, 'wt') as file:
         for request in requests:
-            page.write(json.dumps(request._asdict()))
-            page.write('\n')
+            file.write(json.dumps(request._asdict()))
+            file.write('\n')
 
 
 def read_trace(path: Path) -> list[TraceRequest]:
-    """Read a trace in the order of arrival.
+    """Return the requests of a trace file in order of arrival.
 
-    Raises :class:`UsageError` that names the line that is wrong.
+    Raises :class:`UsageError` with the line number of an invalid request.
     """
     if not path.exists():
-        raise UsageError(f'No trace at {path}; give the path of a trace.')
-    with _open(path, 'rt') as page:
-        requests = list(_parse_lines(path, page))
+        raise UsageError(f'Trace file {path} does not exist.')
+    with _open(path, 'rt') as file:
+        requests = list(_parse_lines(path, file))
     return sorted(requests, key=lambda request: request.arrival)
 
 
@@ -61,8 +61,9 @@
             yield _parse_request(json.loads(line))
         except (TypeError, ValueError, KeyError) as error:
             raise UsageError(
-                f'{path} line {number} is not a request ({error}); '
-                'write one JSON object a line as docs/design/replay.md says.'
+                f'{path} line {number} is not a valid request ({error}); '
+                'the format is one JSON object per line, see '
+                'docs/design/replay.md.'
             ) from error
 
 
@@ -70,7 +71,7 @@
     hashes = fields.pop('prefix_hashes', ())
     request = TraceRequest(**fields)  # type: ignore[arg-type]
     if request.arrival < 0 or request.prompt_tokens < 1:
-        raise ValueError('a time or a length is below its least')
+        raise ValueError('arrival must be >= 0 and prompt_tokens >= 1')
     return request._replace(
         prefix_hashes=tuple(hashes)  # type: ignore[arg-type]
     )
