--- a/tests/test_admin_commands.py
+++ b/tests/test_admin_commands.py
@@ -127,7 +127,9 @@
 class UnreachableTest(unittest.TestCase):
     def test_nobody_there(self):
         key = self.enterContext(tempfile.NamedTemporaryFile())
-        self.enterContext(patch('verbenathread.admin.options.CALL_LIMIT', 300))
+        self.enterContext(
+            patch('verbenathread.admin.options.CALL_TIMEOUT', 300)
+        )
         for control, code, said in (
             ('127.0.0.1:1', 5, 'no control process leads'),
             ('host', 2, 'is no address'),
--- a/tests/test_duties.py
+++ b/tests/test_background_tasks.py
@@ -3,7 +3,7 @@
 import unittest
 
 from tests.virtual_loop import run_virtual
-from verbenathread.duties import keep_running
+from verbenathread.background_tasks import restart_on_error
 
 
 class DutiesTest(unittest.TestCase):
@@ -15,5 +15,5 @@
             if len(runs) < 4:
                 raise RuntimeError('a connection in an odd state')
 
-        run_virtual(keep_running(duty))
+        run_virtual(restart_on_error(duty))
         self.assertEqual(len(runs), 4)
--- a/tests/test_replay_runs.py
+++ b/tests/test_replay_runs.py
@@ -107,7 +107,7 @@
         rendered = run_replay(options)
         self.assertEqual(rendered.exit_code, 0)
         self.assertIn('missed their time limit', rendered.text)
-        self.assertEqual(rendered.jsonable['missed'], 0)
+        self.assertEqual(rendered.data['missed'], 0)
         options.engine_dies = ['soon']
         with self.assertRaises(UsageError):
             run_replay(options)
--- a/tools/settings_page.py
+++ b/tools/settings_page.py
@@ -79,7 +79,13 @@
         span = f'{rule.least:.10g} to {rule.most:.10g} {rule.unit}'.strip()
     elif rule.pattern:
         span = f'`{rule.pattern}`'.replace('|', r'\|')
-    cells = (f'`{option.name}`', option.kind(), default, span, rule.help)
+    cells = (
+        f'`{option.name}`',
+        option.value_description(),
+        default,
+        span,
+        rule.help,
+    )
     return f'| {" | ".join(cells)} |'
 
 
--- a/verbenathread/__main__.py
+++ b/verbenathread/__main__.py
@@ -4,12 +4,12 @@
 import sys
 
 # Daemons that read their settings again on SIGHUP.
-_RELOADING = frozenset(('gateway', 'directory'))
+_RELOADABLE_ROLES = frozenset(('gateway', 'directory'))
 
 
 def main() -> int:
     """Run one command and return its exit code."""
-    if _RELOADING.intersection(sys.argv[1:2]):
+    if _RELOADABLE_ROLES.intersection(sys.argv[1:2]):
         # Until the daemon handles it, the signal would end the process; the
         # settings that it tells of are about to be read.
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
--- a/verbenathread/admin/branch_text.py
+++ b/verbenathread/admin/branch_text.py
@@ -15,7 +15,7 @@
     A section that is not there yet is added at the end.
     """
     lines = text.splitlines()
-    span = _span(lines, heading)
+    span = _section_lines(lines, heading)
     wanted = f'{option} = {setting}'
     if span is None:
         return add_section(text, heading, {option: setting})
@@ -23,9 +23,9 @@
         found = _OPTION.match(lines[number])
         if found is not None and found.group(1) == option:
             lines[number] = wanted
-            return _joined(lines)
+            return _join_lines(lines)
     lines.insert(span.start, wanted)
-    return _joined(lines)
+    return _join_lines(lines)
 
 
 def add_section(
@@ -33,32 +33,32 @@
 ) -> str:
     """Return the text with one more section at its end."""
     lines = text.splitlines()
-    if _span(lines, heading) is not None:
+    if _section_lines(lines, heading) is not None:
         raise UsageError(f'[{heading}] stands already; use config set')
     if lines:
         lines.append('')
     lines.append(f'[{heading}]')
     for option, setting in setting_by_option.items():
         lines.append(f'{option} = {setting}')
-    return _joined(lines)
+    return _join_lines(lines)
 
 
 def remove_section(text: str, heading: str) -> str:
     """Return the text without one section."""
     lines = text.splitlines()
-    span = _span(lines, heading)
+    span = _section_lines(lines, heading)
     if span is None:
         raise UsageError(f'there is no [{heading}] here; see config get')
     kept = lines[: span.start - 1] + lines[span.stop :]
-    return _joined(kept)
+    return _join_lines(kept)
 
 
 def has_section(text: str, heading: str) -> bool:
     """Tell whether a section stands in the text."""
-    return _span(text.splitlines(), heading) is not None
+    return _section_lines(text.splitlines(), heading) is not None
 
 
-def _span(lines: list[str], heading: str) -> range | None:
+def _section_lines(lines: list[str], heading: str) -> range | None:
     """Return the numbers of the lines below a heading."""
     start = None
     for number, line in enumerate(lines):
@@ -74,5 +74,5 @@
     return range(start, len(lines))
 
 
-def _joined(lines: list[str]) -> str:
+def _join_lines(lines: list[str]) -> str:
     return ''.join(f'{line}\n' for line in lines)
--- a/verbenathread/admin/client.py
+++ b/verbenathread/admin/client.py
@@ -17,21 +17,21 @@
     UnknownOutcomeError,
     UsageError,
 )
-from verbenathread.rpc_channel import BROKEN_CALL, PeerChannel
+from verbenathread.rpc_channel import RPC_ERRORS, PeerChannel
 from verbenathread.schema import control_pb2
 from verbenathread.schema.control_grpc import ControlStub
 from verbenathread.settings.node import parse_address
 from verbenathread.types import Address, Millis
 
 # How long a call looks for a leader that answers, in ms.
-USUAL_LIMIT: Millis = 15_000
+DEFAULT_TIMEOUT: Millis = 15_000
 # A process that stands still is left for another one after this long, in ms;
 # the wait doubles, and resends are safe.
-_FIRST_WAIT: Millis = 1000
-_LONGEST_WAIT: Millis = 8000
-_MEMBER_WAIT: Millis = 35_000
-_PAUSE: Millis = 200
-_ASK_ANOTHER = frozenset(
+_INITIAL_CALL_TIMEOUT: Millis = 1000
+_MAX_CALL_TIMEOUT: Millis = 8000
+_MEMBER_CALL_TIMEOUT: Millis = 35_000
+_RETRY_DELAY: Millis = 200
+_RETRYABLE_CODES = frozenset(
     (
         control_pb2.NOT_LEADER,
         control_pb2.NO_QUORUM,
@@ -62,11 +62,11 @@
         addresses: Sequence[Address],
         operator_name: str,
         operator_key: str,
-        limit: Millis = USUAL_LIMIT,
+        timeout: Millis = DEFAULT_TIMEOUT,
     ) -> None:
         """Ask the control processes at ``addresses``."""
         self._addresses = list(addresses)
-        self._limit = limit
+        self._timeout = timeout
         self._channel_by_address: dict[Address, Channel] = {}
         self._credentials = {
             'operator_name': operator_name,
@@ -89,7 +89,7 @@
         ``expected_revision``.
         """
         request = control_pb2.ChangeRequest(
-            operation_id=operation_id or new_operation(),
+            operation_id=operation_id or new_operation_id(),
             path=path,
             text=text,
             expected_revision=expected_revision,
@@ -146,7 +146,7 @@
     ) -> control_pb2.OrderReply:
         """Set what an upstream is wanted to be."""
         request = control_pb2.OrderRequest(
-            operation_id=new_operation(),
+            operation_id=new_operation_id(),
             upstream_id=upstream_id,
             action=action,
             subject=subject,
@@ -161,7 +161,7 @@
     ) -> None:
         """Add, promote or remove a member of the control group."""
         request = control_pb2.MemberRequest(
-            operation_id=new_operation(),
+            operation_id=new_operation_id(),
             action=action,
             node_id=node_id,
             address=address,
@@ -169,7 +169,10 @@
         )
         # Catching up takes long, and a resend would be a second change.
         await self._call(
-            'ChangeMember', request, control_pb2.MemberReply, _MEMBER_WAIT
+            'ChangeMember',
+            request,
+            control_pb2.MemberReply,
+            _MEMBER_CALL_TIMEOUT,
         )
 
     def close(self) -> None:
@@ -182,37 +185,41 @@
         self,
         method: str,
         request: Any,
-        kind: type[_Reply],
-        first_wait: Millis = _FIRST_WAIT,
+        _reply_type: type[_Reply],
+        initial_timeout: Millis = _INITIAL_CALL_TIMEOUT,
     ) -> _Reply:
         """Ask until somebody decides, at most for the limit of a call."""
         loop = asyncio.get_running_loop()
-        end = loop.time() + seconds(self._limit)
-        search = _Search(self._addresses, first_wait)
+        end = loop.time() + seconds(self._timeout)
+        search = _LeaderSearch(self._addresses, initial_timeout)
         while loop.time() < end:
             left = int((end - loop.time()) * MS_PER_SECOND)
-            reply = await self._ask(search, method, request, left)
+            reply = await self._call_next(search, method, request, left)
             if reply is not None:
                 code = reply.answer.code
-                if code not in _ASK_ANOTHER:
+                if code not in _RETRYABLE_CODES:
                     _raise_refusal(reply.answer)
                     return reply  # type: ignore[no-any-return]
-                search.take(reply.answer)
-            if search.went_round():
-                await asyncio.sleep(seconds(_PAUSE))
-        search.give_up()
+                search.record_answer(reply.answer)
+            if search.has_tried_all():
+                await asyncio.sleep(seconds(_RETRY_DELAY))
+        search.raise_failure()
 
-    async def _ask(
-        self, search: '_Search', method: str, request: Any, left: Millis
+    async def _call_next(
+        self,
+        search: '_LeaderSearch',
+        method: str,
+        request: Any,
+        remaining: Millis,
     ) -> Any:
         """Return the reply of the next process, or None if none came."""
         address = search.next_address()
-        limit = seconds(max(1, min(left, search.wait())))
+        limit = seconds(max(1, min(remaining, search.call_timeout())))
         call = getattr(ControlStub(self._channel(address)), method)
         try:
             return await asyncio.wait_for(call(request, timeout=limit), limit)
-        except BROKEN_CALL as error:
-            search.failed(address, error)
+        except RPC_ERRORS as error:
+            search.record_failure(address, error)
         return None
 
     def _channel(self, address: Address) -> Channel:
@@ -223,66 +230,69 @@
         return channel
 
 
-class _Search:
+class _LeaderSearch:
     """Where one call goes next, and what came of it so far."""
 
     def __init__(
-        self, addresses: Sequence[Address], first_wait: Millis
+        self, addresses: Sequence[Address], initial_timeout: Millis
     ) -> None:
-        self._wait = first_wait
+        self._call_timeout = initial_timeout
         self._addresses = list(addresses)
-        self._asked = 0
+        self._call_count = 0
         self._hint: Address | None = None
-        self._last = 'no control process was asked'
-        self._unknown = False
+        self._last_message = 'no control process was asked'
+        self._outcome_unknown = False
 
     def next_address(self) -> Address:
         hint = self._hint
         if hint is not None:
             self._hint = None
             return hint
-        address = self._addresses[self._asked % len(self._addresses)]
-        self._asked += 1
+        address = self._addresses[self._call_count % len(self._addresses)]
+        self._call_count += 1
         return address
 
-    def went_round(self) -> bool:
+    def has_tried_all(self) -> bool:
         """Tell whether everybody was asked since the last pause."""
         if self._hint is not None:
             return False
-        return self._asked % len(self._addresses) == 0
+        return self._call_count % len(self._addresses) == 0
 
-    def take(self, answer: control_pb2.Answer) -> None:
-        self._last = answer.message
+    def record_answer(self, answer: control_pb2.Answer) -> None:
+        self._last_message = answer.message
         if answer.code == control_pb2.UNKNOWN_OUTCOME:
-            self._unknown = True
+            self._outcome_unknown = True
         if answer.leader:
             with contextlib.suppress(SettingsError):
                 self._hint = parse_address(answer.leader)
 
-    def wait(self) -> Millis:
-        return self._wait
+    def call_timeout(self) -> Millis:
+        return self._call_timeout
 
-    def failed(self, address: Address, error: Exception) -> None:
-        self._last = f'{address}: {error or type(error).__name__}'
+    def record_failure(self, address: Address, error: Exception) -> None:
+        self._last_message = f'{address}: {error or type(error).__name__}'
         # A refused connect is the one break that surely carried nothing.
         if not isinstance(error, ConnectionRefusedError):
-            self._unknown = True
+            self._outcome_unknown = True
         if isinstance(error, TimeoutError):
-            self._wait = max(self._wait, min(2 * self._wait, _LONGEST_WAIT))
+            self._call_timeout = max(
+                self._call_timeout,
+                min(2 * self._call_timeout, _MAX_CALL_TIMEOUT),
+            )
 
-    def give_up(self) -> NoReturn:
-        if self._unknown:
+    def raise_failure(self) -> NoReturn:
+        if self._outcome_unknown:
             raise UnknownOutcomeError(
-                f'no control process confirmed it ({self._last}); look at '
+                f'no control process confirmed it ({self._last_message}); look at '
                 + 'the audit trail before you repeat it'
             )
         raise UnavailableError(
-            f'no control process leads now ({self._last}); see that a '
+            f'no control process leads now ({self._last_message}); see that a '
             + 'majority runs, then try again'
         )
 
 
-def new_operation() -> str:
+def new_operation_id() -> str:
     """Return a fresh operation identifier."""
     return uuid.uuid4().hex
 
--- a/verbenathread/admin/commands.py
+++ b/verbenathread/admin/commands.py
@@ -14,7 +14,7 @@
 from verbenathread.settings.tree import ROOT_PATH
 
 _PROGRAM = 'verbenathread'
-_USUAL_RECORDS = 50
+_DEFAULT_RECORDS = 50
 _PATH = argument('path', metavar='PATH', help='branch, such as /team/part')
 _FILE = argument('file', metavar='FILE', help='INI text of the branch')
 _NAME = argument('name', metavar='NAME')
@@ -22,9 +22,9 @@
 _ADDRESS = argument('--address', help='IP number and port, if not announced')
 _SERVICE = argument('--service', help='its service, if not announced')
 _LIMIT = argument(
-    '--limit', type=int, default=_USUAL_RECORDS, help='most records shown'
+    '--limit', type=int, default=_DEFAULT_RECORDS, help='most records shown'
 )
-_CHANGING = (
+_CHANGE_ARGUMENTS = (
     argument(
         '--expected',
         type=int,
@@ -33,7 +33,7 @@
     ),
     argument('--comment', metavar='TEXT', help='why, for the audit trail'),
 )
-_ADDING = (
+_ADD_ARGUMENTS = (
     _NAME,
     argument('--path', required=True, help='branch that gets it'),
     argument(
@@ -48,7 +48,7 @@
         metavar='OPTION=VALUE',
         help='further option; may be given again',
     ),
-    *_CHANGING,
+    *_CHANGE_ARGUMENTS,
 )
 
 
@@ -80,7 +80,7 @@
         argument('section', metavar='SECTION', help='such as account NAME'),
         argument('option', metavar='OPTION'),
         argument('setting', metavar='VALUE'),
-        *_CHANGING,
+        *_CHANGE_ARGUMENTS,
     )
     yield _command(
         'config apply',
@@ -88,10 +88,14 @@
         '/desk desk.ini --expected 41',
         _PATH,
         _FILE,
-        *_CHANGING,
+        *_CHANGE_ARGUMENTS,
     )
     yield _command(
-        'config remove', config.run_config_remove, '/desk', _PATH, *_CHANGING
+        'config remove',
+        config.run_config_remove,
+        '/desk',
+        _PATH,
+        *_CHANGE_ARGUMENTS,
     )
     yield _command(
         'config diff', config.run_config_diff, '/desk desk.ini', _PATH, _FILE
@@ -108,28 +112,28 @@
         'account add',
         config.run_account_add,
         'tillery --path /desk --new-key tillery.key',
-        *_ADDING,
+        *_ADD_ARGUMENTS,
     )
     yield _command(
         'account remove',
         config.run_account_remove,
         'tillery',
         _NAME,
-        *_CHANGING,
+        *_CHANGE_ARGUMENTS,
     )
     yield _command('service list', config.run_service_list, '')
     yield _command(
         'service add',
         config.run_service_add,
         'cot-ledger --path /desk --new-key cot.key --set kind=plain',
-        *_ADDING,
+        *_ADD_ARGUMENTS,
     )
     yield _command(
         'service remove',
         config.run_service_remove,
         'cot-ledger',
         _NAME,
-        *_CHANGING,
+        *_CHANGE_ARGUMENTS,
     )
 
 
--- a/verbenathread/admin/config_commands.py
+++ b/verbenathread/admin/config_commands.py
@@ -7,7 +7,7 @@
 
 from verbenathread.admin import branch_text, render
 from verbenathread.admin.client import ControlClient
-from verbenathread.command import Rendered
+from verbenathread.command import CommandOutput
 from verbenathread.exceptions import UsageError
 from verbenathread.schema import control_pb2
 from verbenathread.settings.tree import covers, key_hash, parse_branch
@@ -32,69 +32,71 @@
 
 async def run_config_get(
     client: ControlClient, options: argparse.Namespace
-) -> Rendered:
+) -> CommandOutput:
     """Print the branches at and below a path."""
     reply = await client.read_tree(options.path, may_be_stale=options.stale)
     shown = []
     for branch in reply.branches:
         head = f'# {branch.path} at revision {branch.revision}'
         shown.append(f'{head}, by {branch.changed_by}\n{branch.text}')
-    return Rendered('\n'.join(shown).rstrip(), render.jsonable(reply))
+    return CommandOutput('\n'.join(shown).rstrip(), render.to_data(reply))
 
 
 async def run_config_set(
     client: ControlClient, options: argparse.Namespace
-) -> Rendered:
+) -> CommandOutput:
     """Write one option of one section."""
-    branch = await _read(client, options.path)
+    branch = await _read_branch(client, options.path)
     text = branch_text.set_option(
         branch.text, options.section, options.option, options.setting
     )
-    return await _change(client, options, branch, text)
+    return await _change_branch(client, options, branch, text)
 
 
 async def run_config_apply(
     client: ControlClient, options: argparse.Namespace
-) -> Rendered:
+) -> CommandOutput:
     """Make a file the whole text of a branch."""
-    branch = await _read(client, options.path)
-    return await _change(client, options, branch, _file(options.file))
+    branch = await _read_branch(client, options.path)
+    return await _change_branch(
+        client, options, branch, _read_file(options.file)
+    )
 
 
 async def run_config_remove(
     client: ControlClient, options: argparse.Namespace
-) -> Rendered:
+) -> CommandOutput:
     """Remove a branch."""
-    branch = await _read(client, options.path)
+    branch = await _read_branch(client, options.path)
     revision = await client.change(
         options.path,
         '',
-        _expected(options, branch),
+        _expected_revision(options, branch),
         remove=True,
         comment=options.comment or '',
     )
-    return _accepted(options.path, revision)
+    return _accepted_output(options.path, revision)
 
 
 async def run_config_diff(
     client: ControlClient, options: argparse.Namespace
-) -> Rendered:
+) -> CommandOutput:
     """Show what applying a file would change."""
-    branch = await _read(client, options.path)
+    branch = await _read_branch(client, options.path)
     names = (f'{branch.path} at revision {branch.revision}', options.file)
-    shown = render.difference(branch.text, _file(options.file), names)
-    return Rendered(shown or 'no difference', {'diff': shown})
+    shown = render.unified_diff(branch.text, _read_file(options.file), names)
+    return CommandOutput(shown or 'no difference', {'diff': shown})
 
 
 async def run_config_history(
     client: ControlClient, options: argparse.Namespace
-) -> Rendered:
+) -> CommandOutput:
     """Show the last accepted changes of a branch."""
     reply = await client.history(options.path, options.limit)
     rows = [
         (
             record.revision,
-            render.moment(record.time_ms),
+            render.format_time(record.time_ms),
             record.operator_name,
             record.action,
             record.comment,
@@ -102,54 +104,54 @@
         for record in reply.records
     ]
     titles = ('revision', 'when (UTC)', 'operator', 'action', 'comment')
-    return render.answer_table(titles, rows, reply.records)
+    return render.message_table(titles, rows, reply.records)
 
 
 async def run_account_list(
     client: ControlClient, _options: argparse.Namespace
-) -> Rendered:
+) -> CommandOutput:
     """List client accounts."""
-    return await _list(client, 'account_by_name', _ACCOUNT_COLUMNS)
+    return await _list_sections(client, 'account_by_name', _ACCOUNT_COLUMNS)
 
 
 async def run_service_list(
     client: ControlClient, _options: argparse.Namespace
-) -> Rendered:
+) -> CommandOutput:
     """List services."""
-    return await _list(client, 'service_by_name', _SERVICE_COLUMNS)
+    return await _list_sections(client, 'service_by_name', _SERVICE_COLUMNS)
 
 
 async def run_account_add(
     client: ControlClient, options: argparse.Namespace
-) -> Rendered:
+) -> CommandOutput:
     """Add a client account to a branch."""
-    return await _add(client, options, 'account', 'key_sha256')
+    return await _add_section(client, options, 'account', 'key_sha256')
 
 
 async def run_service_add(
     client: ControlClient, options: argparse.Namespace
-) -> Rendered:
+) -> CommandOutput:
     """Add a service to a branch."""
-    return await _add(client, options, 'service', 'announce_key_sha256')
+    return await _add_section(client, options, 'service', 'announce_key_sha256')
 
 
 async def run_account_remove(
     client: ControlClient, options: argparse.Namespace
-) -> Rendered:
+) -> CommandOutput:
     """Remove a client account, in whichever branch it stands."""
-    return await _remove(client, options, f'account {options.name}')
+    return await _remove_section(client, options, f'account {options.name}')
 
 
 async def run_service_remove(
     client: ControlClient, options: argparse.Namespace
-) -> Rendered:
+) -> CommandOutput:
     """Remove a service, in whichever branch it stands."""
-    return await _remove(client, options, f'service {options.name}')
+    return await _remove_section(client, options, f'service {options.name}')
 
 
-async def _list(
+async def _list_sections(
     client: ControlClient, field: str, columns: _Columns
-) -> Rendered:
+) -> CommandOutput:
     """Return one row for each named section of every branch."""
     reply = await client.read_tree()
     rows = []
@@ -158,37 +160,39 @@
         for name, section in sorted(getattr(parsed, field).items()):
             options = [getattr(section, option) for option in columns.options]
             rows.append((name, branch.path, *options))
-    return _rows(columns.titles, rows)
+    return _table_output(columns.titles, rows)
 
 
-async def _add(
+async def _add_section(
     client: ControlClient,
     options: argparse.Namespace,
     kind: str,
     hash_option: str,
-) -> Rendered:
-    branch = await _read(client, options.path)
-    setting_by_option = {hash_option: key_hash(_file(options.new_key).strip())}
+) -> CommandOutput:
+    branch = await _read_branch(client, options.path)
+    setting_by_option = {
+        hash_option: key_hash(_read_file(options.new_key).strip())
+    }
     for pair in options.set or ():
         option, _, setting = pair.partition('=')
         setting_by_option[option.strip()] = setting.strip()
     text = branch_text.add_section(
         branch.text, f'{kind} {options.name}', setting_by_option
     )
-    return await _change(client, options, branch, text)
+    return await _change_branch(client, options, branch, text)
 
 
-async def _remove(
+async def _remove_section(
     client: ControlClient, options: argparse.Namespace, heading: str
-) -> Rendered:
+) -> CommandOutput:
     reply = await client.read_tree()
-    branch = _holder(reply.branches, heading)
+    branch = _find_branch(reply.branches, heading)
     options.path = branch.path
     text = branch_text.remove_section(branch.text, heading)
-    return await _change(client, options, branch, text)
+    return await _change_branch(client, options, branch, text)
 
 
-def _holder(
+def _find_branch(
     branches: Sequence[control_pb2.Branch], heading: str
 ) -> control_pb2.Branch:
     for branch in branches:
@@ -197,7 +201,7 @@
     raise UsageError(f'no branch holds [{heading}]; see config get')
 
 
-async def _read(client: ControlClient, path: str) -> control_pb2.Branch:
+async def _read_branch(client: ControlClient, path: str) -> control_pb2.Branch:
     """Return the branch at ``path``, or an empty one at revision 0."""
     reply = await client.read_tree(path)
     for branch in reply.branches:
@@ -209,43 +213,47 @@
     return control_pb2.Branch(path=path, revision=revision)
 
 
-async def _change(
+async def _change_branch(
     client: ControlClient,
     options: argparse.Namespace,
     branch: control_pb2.Branch,
     text: str,
-) -> Rendered:
+) -> CommandOutput:
     revision = await client.change(
         options.path,
         text,
-        _expected(options, branch),
+        _expected_revision(options, branch),
         comment=options.comment or '',
     )
-    return _accepted(options.path, revision)
+    return _accepted_output(options.path, revision)
 
 
-def _expected(options: argparse.Namespace, branch: control_pb2.Branch) -> int:
+def _expected_revision(
+    options: argparse.Namespace, branch: control_pb2.Branch
+) -> int:
     if options.expected is None:
         return branch.revision
     return int(options.expected)
 
 
-def _accepted(path: str, revision: int) -> Rendered:
-    return Rendered(
+def _accepted_output(path: str, revision: int) -> CommandOutput:
+    return CommandOutput(
         f'{path} stands at revision {revision}; config status shows which '
         + 'nodes run it',
         {'path': path, 'revision': revision},
     )
 
 
-def _rows(titles: Sequence[str], rows: Sequence[Sequence[object]]) -> Rendered:
-    return Rendered(
+def _table_output(
+    titles: Sequence[str], rows: Sequence[Sequence[object]]
+) -> CommandOutput:
+    return CommandOutput(
         render.table(titles, rows),
         [dict(zip(titles, row, strict=True)) for row in rows],
     )
 
 
-def _file(name: str) -> str:
+def _read_file(name: str) -> str:
     try:
         return Path(name).read_text(encoding='utf-8')
     except (OSError, UnicodeDecodeError) as error:
--- a/verbenathread/admin/fleet_commands.py
+++ b/verbenathread/admin/fleet_commands.py
@@ -4,33 +4,35 @@
 
 from verbenathread.admin import render
 from verbenathread.admin.client import ControlClient
-from verbenathread.command import Rendered
+from verbenathread.command import CommandOutput
 from verbenathread.schema import control_pb2
 
-_LIVE_MS = 10_000
+_SILENT_AFTER_MS = 10_000
 
 
 async def run_config_status(
     client: ControlClient, _options: argparse.Namespace
-) -> Rendered:
+) -> CommandOutput:
     """Show which revision each node runs."""
     reply = await client.status()
     behind = [
         node
         for node in reply.nodes
-        if node.revision < reply.revision and node.silent_ms <= _LIVE_MS
+        if node.revision < reply.revision and node.silent_ms <= _SILENT_AFTER_MS
     ]
-    live = sum(node.silent_ms <= _LIVE_MS for node in reply.nodes)
+    live = sum(node.silent_ms <= _SILENT_AFTER_MS for node in reply.nodes)
     summary = (
         f'accepted revision {reply.revision}; {live - len(behind)} of '
         + f'{live} live nodes run it'
     )
-    return Rendered(f'{summary}\n{_nodes(reply)}', render.jsonable(reply))
+    return CommandOutput(
+        f'{summary}\n{_node_table(reply)}', render.to_data(reply)
+    )
 
 
 async def run_status(
     client: ControlClient, _options: argparse.Namespace
-) -> Rendered:
+) -> CommandOutput:
     """Show the control group, the nodes and the orders."""
     reply = await client.status()
     members = render.table(
@@ -49,15 +51,15 @@
         f'leader {reply.leader}, term {reply.term}, log {reply.commit_index}, '
         + f'revision {reply.revision}'
     )
-    parts = [summary, members, _nodes(reply)]
+    parts = [summary, members, _node_table(reply)]
     if reply.orders:
-        parts.append(_orders(reply))
-    return Rendered('\n\n'.join(parts), render.jsonable(reply))
+        parts.append(_order_table(reply))
+    return CommandOutput('\n\n'.join(parts), render.to_data(reply))
 
 
 async def run_upstream_list(
     client: ControlClient, _options: argparse.Namespace
-) -> Rendered:
+) -> CommandOutput:
     """List upstreams as nodes told of them, and their orders."""
     reply = await client.status()
     rows = [
@@ -73,16 +75,16 @@
     titles = ('upstream', 'service', 'state', 'address', 'data centre')
     shown = render.table(titles, rows)
     if reply.orders:
-        shown = f'{shown}\n\n{_orders(reply)}'
-    whole = render.jsonable(reply)
-    return Rendered(
+        shown = f'{shown}\n\n{_order_table(reply)}'
+    whole = render.to_data(reply)
+    return CommandOutput(
         shown, {'upstreams': whole['upstreams'], 'orders': whole['orders']}
     )
 
 
 async def run_upstream_drain(
     client: ControlClient, options: argparse.Namespace
-) -> Rendered:
+) -> CommandOutput:
     """Order an upstream to take no new work, or to take it again."""
     options.action = 'drain'
     options.subject = options.switch
@@ -91,7 +93,7 @@
 
 async def run_upstream_order(
     client: ControlClient, options: argparse.Namespace
-) -> Rendered:
+) -> CommandOutput:
     """Set what an upstream is wanted to be."""
     reply = await client.order(
         options.upstream,
@@ -100,22 +102,22 @@
         address=options.address or '',
         service=options.service or '',
     )
-    return Rendered(
+    return CommandOutput(
         f'ordered under fencing number {reply.fencing}; upstream list shows '
         + 'when the upstream follows it',
-        render.jsonable(reply),
+        render.to_data(reply),
     )
 
 
 async def run_audit(
     client: ControlClient, options: argparse.Namespace
-) -> Rendered:
+) -> CommandOutput:
     """Show the audit trail, refusals included."""
     reply = await client.audit(options.after, options.limit, options.path or '')
     rows = [
         (
             record.index,
-            render.moment(record.time_ms),
+            render.format_time(record.time_ms),
             record.operator_name,
             record.action,
             record.subject,
@@ -133,27 +135,27 @@
         'expected',
         'result',
     )
-    return render.answer_table(titles, rows, reply.records)
+    return render.message_table(titles, rows, reply.records)
 
 
 async def run_member(
     client: ControlClient, options: argparse.Namespace
-) -> Rendered:
+) -> CommandOutput:
     """Add, promote or remove a member of the control group."""
     await client.change_member(
         options.action, options.node, options.address or ''
     )
-    return Rendered(
+    return CommandOutput(
         f'{options.action} {options.node}: done',
         {'action': options.action, 'node': options.node},
     )
 
 
-def _nodes(reply: control_pb2.StatusReply) -> str:
+def _node_table(reply: control_pb2.StatusReply) -> str:
     rows = []
     for node in reply.nodes:
         state = 'stopping' if node.stopping else 'live'
-        if node.silent_ms > _LIVE_MS:
+        if node.silent_ms > _SILENT_AFTER_MS:
             state = 'silent'
         rows.append(
             (
@@ -169,7 +171,7 @@
     return render.table(titles, rows)
 
 
-def _orders(reply: control_pb2.StatusReply) -> str:
+def _order_table(reply: control_pb2.StatusReply) -> str:
     rows = [
         (
             order.upstream_id,
--- a/verbenathread/admin/options.py
+++ b/verbenathread/admin/options.py
@@ -9,13 +9,13 @@
 from pathlib import Path
 
 from verbenathread.admin.client import ControlClient
-from verbenathread.command import Argument, Rendered, argument
+from verbenathread.command import Argument, CommandOutput, argument
 from verbenathread.exceptions import UsageError
 from verbenathread.settings.node import parse_addresses
 from verbenathread.types import Millis
 
 # How long a command looks for a leader that answers, in ms.
-CALL_LIMIT: Millis = 15_000
+CALL_TIMEOUT: Millis = 15_000
 _CONTROL_VARIABLE = 'VERBENATHREAD_CONTROL'
 _OPERATOR_VARIABLE = 'VERBENATHREAD_OPERATOR'
 _KEY_VARIABLE = 'VERBENATHREAD_OPERATOR_KEY'
@@ -38,10 +38,12 @@
     ),
 )
 
-ClientCall = Callable[[ControlClient, argparse.Namespace], Awaitable[Rendered]]
+ClientCall = Callable[
+    [ControlClient, argparse.Namespace], Awaitable[CommandOutput]
+]
 
 
-def client_of(options: argparse.Namespace) -> ControlClient:
+def create_client(options: argparse.Namespace) -> ControlClient:
     """Return a client from the options or the environment."""
     addresses = options.control or os.environ.get(_CONTROL_VARIABLE, '')
     if not addresses:
@@ -51,11 +53,13 @@
         )
     operator = options.operator or os.environ.get(_OPERATOR_VARIABLE, 'root')
     return ControlClient(
-        parse_addresses(addresses), operator, _key(options), CALL_LIMIT
+        parse_addresses(addresses), operator, _read_key(options), CALL_TIMEOUT
     )
 
 
-def with_client(call: ClientCall) -> Callable[[argparse.Namespace], Rendered]:
+def with_client(
+    call: ClientCall,
+) -> Callable[[argparse.Namespace], CommandOutput]:
     """Return ``call`` as a command that makes its own client."""
     return partial(_run_command, call)
 
@@ -65,16 +69,18 @@
     return (*more, *OPERATOR_ARGUMENTS)
 
 
-def _run_command(call: ClientCall, options: argparse.Namespace) -> Rendered:
+def _run_command(
+    call: ClientCall, options: argparse.Namespace
+) -> CommandOutput:
     return asyncio.run(_run(call, options))
 
 
-async def _run(call: ClientCall, options: argparse.Namespace) -> Rendered:
-    with contextlib.closing(client_of(options)) as client:
+async def _run(call: ClientCall, options: argparse.Namespace) -> CommandOutput:
+    with contextlib.closing(create_client(options)) as client:
         return await call(client, options)
 
 
-def _key(options: argparse.Namespace) -> str:
+def _read_key(options: argparse.Namespace) -> str:
     if not options.key_file:
         key = os.environ.get(_KEY_VARIABLE, '')
         if key:
--- a/verbenathread/admin/render.py
+++ b/verbenathread/admin/render.py
@@ -9,9 +9,9 @@
 from google.protobuf.message import Message
 
 from verbenathread.clock import seconds
-from verbenathread.command import Rendered
+from verbenathread.command import CommandOutput
 
-_GAP = '  '
+_COLUMN_GAP = '  '
 
 
 def table(titles: Sequence[str], rows: Iterable[Sequence[object]]) -> str:
@@ -24,11 +24,11 @@
         cells = [
             cell.ljust(width) for cell, width in zip(row, widths, strict=True)
         ]
-        lines.append(_GAP.join(cells).rstrip())
+        lines.append(_COLUMN_GAP.join(cells).rstrip())
     return '\n'.join(lines)
 
 
-def jsonable(message: Message) -> Any:
+def to_data(message: Message) -> Any:
     """Return a message as data that the json module writes."""
     return MessageToDict(
         message,
@@ -37,24 +37,24 @@
     )
 
 
-def answer_table(
+def message_table(
     titles: Sequence[str],
     rows: Iterable[Sequence[object]],
     messages: Iterable[Message],
-) -> Rendered:
+) -> CommandOutput:
     """Return a table of messages, and the messages as data."""
-    return Rendered(
-        table(titles, rows), [jsonable(message) for message in messages]
+    return CommandOutput(
+        table(titles, rows), [to_data(message) for message in messages]
     )
 
 
-def moment(wall_ms: int) -> str:
+def format_time(wall_ms: int) -> str:
     """Return a wall time as people read it, in UTC."""
     when = datetime.datetime.fromtimestamp(seconds(wall_ms), datetime.UTC)
     return when.strftime('%Y-%m-%d %H:%M:%S')
 
 
-def difference(before: str, after: str, names: tuple[str, str]) -> str:
+def unified_diff(before: str, after: str, names: tuple[str, str]) -> str:
     """Return a unified diff of two texts."""
     return '\n'.join(
         difflib.unified_diff(
--- a/verbenathread/duties.py
+++ b/verbenathread/background_tasks.py
@@ -10,12 +10,12 @@
 _log = get_logger('duties')
 
 # An error that comes again at once is logged twice a second at most.
-_PAUSE: Millis = 500
+_RESTART_DELAY: Millis = 500
 
-Duty = Callable[[], Awaitable[None]]
+BackgroundTask = Callable[[], Awaitable[None]]
 
 
-async def keep_running(duty: Duty) -> None:
+async def restart_on_error(duty: BackgroundTask) -> None:
     """Run ``duty`` again whenever an error that nobody expected ends it.
 
     A task that ends by itself would leave its process half alive: a gateway
@@ -24,12 +24,12 @@
     ended = False
     while not ended:
         try:
-            ended = await _run_to_its_end(duty)
+            ended = await _run_once(duty)
         except Exception:
             _log.exception('A duty failed and starts again.', duty=repr(duty))
-            await asyncio.sleep(seconds(_PAUSE))
+            await asyncio.sleep(seconds(_RESTART_DELAY))
 
 
-async def _run_to_its_end(duty: Duty) -> bool:
+async def _run_once(duty: BackgroundTask) -> bool:
     await duty()
     return True
--- a/verbenathread/cmdline.py
+++ b/verbenathread/cmdline.py
@@ -61,7 +61,7 @@
     options = build_parser(_commands_for(words)).parse_args(words)
     command: Command = options.command
     try:
-        return _run(command, options)
+        return _run_command(command, options)
     except VerbenathreadError as error:
         sys.stderr.write(f'verbenathread: {error}\n')
         return error.exit_code
@@ -85,12 +85,12 @@
     return all_commands()
 
 
-def _run(command: Command, options: argparse.Namespace) -> int:
+def _run_command(command: Command, options: argparse.Namespace) -> int:
     rendered = command.run(options)
     if not command.prints:
         return rendered.exit_code
     if options.json:
-        text = json.dumps(rendered.jsonable, indent=2, sort_keys=True)
+        text = json.dumps(rendered.data, indent=2, sort_keys=True)
     else:
         text = rendered.text
     if text:
--- a/verbenathread/command.py
+++ b/verbenathread/command.py
@@ -12,12 +12,12 @@
     keywords: Mapping[str, Any]
 
 
-class Rendered(NamedTuple):
+class CommandOutput(NamedTuple):
     """What a command answers: text for people, data for programs."""
 
     text: str
     # What ``--json`` prints; anything that the json module can write.
-    jsonable: Any
+    data: Any
     exit_code: int = 0
 
 
@@ -30,7 +30,7 @@
     arguments: tuple[Argument, ...]
     # A line or more that a reader can copy.
     example: str
-    run: Callable[[argparse.Namespace], Rendered]
+    run: Callable[[argparse.Namespace], CommandOutput]
     # A daemon runs until it is told to stop and prints nothing itself.
     prints: bool = True
 
--- a/verbenathread/commands.py
+++ b/verbenathread/commands.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from verbenathread import __version__
-from verbenathread.command import Command, Rendered, argument
+from verbenathread.command import Command, CommandOutput, argument
 from verbenathread.daemons import (
     run_control,
     run_directory,
@@ -29,7 +29,7 @@
 _HIDDEN = '(hidden)'
 
 
-def run_check(options: argparse.Namespace) -> Rendered:
+def run_check(options: argparse.Namespace) -> CommandOutput:
     """Check settings files without running anything."""
     problems: list[Problem] = []
     for name in options.files:
@@ -37,17 +37,17 @@
     lines = [str(problem) for problem in problems]
     if not problems:
         lines.append(f'{len(options.files)} files checked, no problem')
-    return Rendered(
+    return CommandOutput(
         '\n'.join(lines),
         [problem._asdict() for problem in problems],
         SettingsError.exit_code if problems else 0,
     )
 
 
-def run_debug(options: argparse.Namespace) -> Rendered:
+def run_debug(options: argparse.Namespace) -> CommandOutput:
     """Tell what the program sees: versions and the settings in effect."""
     if options.request:
-        return _run_story(options.request)
+        return _run_request_history(options.request)
     seen: dict[str, Any] = {
         'verbenathread': __version__,
         'python': platform.python_version(),
@@ -69,17 +69,17 @@
                 if option.rule.secret:
                     shown[option.name] = _HIDDEN
             seen[f'[{field.name}]'] = shown
-    return Rendered('\n'.join(_debug_lines(seen)), seen)
+    return CommandOutput('\n'.join(_debug_lines(seen)), seen)
 
 
-def _run_story(request_id: str) -> Rendered:
+def _run_request_history(request_id: str) -> CommandOutput:
     lines = format_request_history(sys.stdin, request_id)
     if not lines:
         raise UsageError(
             f'no line names request {request_id}; give the logs of the'
             ' gateways on standard input'
         )
-    return Rendered('\n'.join(lines), lines)
+    return CommandOutput('\n'.join(lines), lines)
 
 
 def _debug_lines(seen: dict[str, Any]) -> list[str]:
--- a/verbenathread/consensus/rpc.py
+++ b/verbenathread/consensus/rpc.py
@@ -17,7 +17,7 @@
 from verbenathread.clock import seconds
 from verbenathread.consensus.transport import Handler
 from verbenathread.exceptions import UnavailableError
-from verbenathread.rpc_channel import BROKEN_CALL, PeerChannel
+from verbenathread.rpc_channel import RPC_ERRORS, PeerChannel
 from verbenathread.schema import consensus_pb2 as messages
 from verbenathread.schema.consensus_grpc import ConsensusBase, ConsensusStub
 from verbenathread.types import Millis, Peer
@@ -117,7 +117,7 @@
                 ),
                 seconds(limit),
             )
-        except BROKEN_CALL as error:
+        except RPC_ERRORS as error:
             raise _unavailable(peer, error) from error
 
 
--- a/verbenathread/control/node_reports.py
+++ b/verbenathread/control/node_reports.py
@@ -5,7 +5,7 @@
 from grpclib.client import Channel
 
 from verbenathread.control.nodes import NodeTable
-from verbenathread.rpc_channel import BROKEN_CALL, PeerChannel
+from verbenathread.rpc_channel import RPC_ERRORS, PeerChannel
 from verbenathread.schema import control_pb2
 from verbenathread.schema.control_grpc import ControlStub
 from verbenathread.settings.node import parse_address
@@ -49,7 +49,7 @@
                 ControlStub(self._channel).ReportNodes(request),
                 _REPORT_TIMEOUT_S,
             )
-        except BROKEN_CALL:
+        except RPC_ERRORS:
             return False
         for status in upstreams:
             self._reported_by_upstream[status.upstream_id] = status
--- a/verbenathread/daemons.py
+++ b/verbenathread/daemons.py
@@ -6,7 +6,7 @@
 import signal
 import sys
 
-from verbenathread.command import Rendered
+from verbenathread.command import CommandOutput
 from verbenathread.exceptions import SettingsError, StorageError
 from verbenathread.observability import logs
 from verbenathread.observability.bounded_output import BoundedOutput
@@ -16,26 +16,26 @@
 _STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
-def run_entry(options: argparse.Namespace) -> Rendered:
+def run_entry(options: argparse.Namespace) -> CommandOutput:
     """Run an entry until SIGTERM or SIGINT, then stop as planned."""
     # Only this role needs the HTTP libraries.
     from verbenathread.entry.daemon import EntryDaemon
 
-    settings = _settings_for('entry', options.settings)
+    settings = _load_settings('entry', options.settings)
     # Blocked before any thread starts, so that only sigwait takes them.
     signal.pthread_sigmask(signal.SIG_BLOCK, _STOP_SIGNALS)
     daemon = EntryDaemon(settings)
     daemon.start()
     signal.sigwait(_STOP_SIGNALS)
     daemon.stop()
-    return Rendered('', None)
+    return CommandOutput('', None)
 
 
-def run_control(options: argparse.Namespace) -> Rendered:
+def run_control(options: argparse.Namespace) -> CommandOutput:
     """Run a control process until SIGTERM or SIGINT, then stop as planned."""
-    settings = _settings_for('control', options.settings)
+    settings = _load_settings('control', options.settings)
     asyncio.run(_serve_control(settings))
-    return Rendered('', None)
+    return CommandOutput('', None)
 
 
 async def _serve_control(settings: settings_pb2.NodeSettings) -> None:
@@ -70,18 +70,18 @@
         raise StorageError(failed.result())
 
 
-def run_gateway(options: argparse.Namespace) -> Rendered:
+def run_gateway(options: argparse.Namespace) -> CommandOutput:
     """Run a gateway until SIGTERM or SIGINT, then stop as planned."""
-    settings = _settings_for('gateway', options.settings, to_stdout=True)
+    settings = _load_settings('gateway', options.settings, to_stdout=True)
     asyncio.run(_serve_gateway(settings, options.settings))
-    return Rendered('', None)
+    return CommandOutput('', None)
 
 
-def run_directory(options: argparse.Namespace) -> Rendered:
+def run_directory(options: argparse.Namespace) -> CommandOutput:
     """Run a directory process until SIGTERM or SIGINT."""
-    settings = _settings_for('directory', options.settings, to_stdout=True)
+    settings = _load_settings('directory', options.settings, to_stdout=True)
     asyncio.run(_serve_directory(settings, options.settings))
-    return Rendered('', None)
+    return CommandOutput('', None)
 
 
 async def _serve_gateway(
@@ -102,7 +102,7 @@
             f'[gateway] an address can not be used: {error.strerror}; end'
             ' what uses it or write another'
         )
-    _freeze_startup()
+    _freeze_startup_objects()
     await stopping.wait()
     await daemon.stop()
 
@@ -129,7 +129,7 @@
             ' what uses it or write another'
         )
     asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, daemon.reload)
-    _freeze_startup()
+    _freeze_startup_objects()
     failed = asyncio.create_task(daemon.wait_failed())
     await asyncio.wait(
         (failed, asyncio.create_task(stopping.wait())),
@@ -140,7 +140,7 @@
         raise StorageError(failed.result())
 
 
-def _freeze_startup() -> None:
+def _freeze_startup_objects() -> None:
     """Spare the collector what lives as long as the process."""
     gc.collect()
     gc.freeze()
@@ -154,7 +154,7 @@
     return stopping
 
 
-def _settings_for(
+def _load_settings(
     role: str, path: str, *, to_stdout: bool = False
 ) -> settings_pb2.NodeSettings:
     settings = load_node_settings(path)
--- a/verbenathread/directory/daemon.py
+++ b/verbenathread/directory/daemon.py
@@ -6,6 +6,7 @@
 
 from grpclib.server import Server
 
+from verbenathread.background_tasks import restart_on_error
 from verbenathread.clock import Clock, SystemClock, seconds
 from verbenathread.consensus.disk import FileStorage
 from verbenathread.consensus.replica import Replica
@@ -17,7 +18,6 @@
 from verbenathread.directory.metrics import DirectoryMetrics
 from verbenathread.directory.seeds import SeedFile
 from verbenathread.directory.service import DirectoryService
-from verbenathread.duties import keep_running
 from verbenathread.http1.server import Handler, HttpServer, Limits
 from verbenathread.observability.logs import get_logger
 from verbenathread.observability.status_handler import StatusHandler
@@ -115,7 +115,9 @@
                 parse_address(self._section.metrics_listen)
             )
         for task_function in self._background_tasks:
-            self._tasks.append(asyncio.create_task(keep_running(task_function)))
+            self._tasks.append(
+                asyncio.create_task(restart_on_error(task_function))
+            )
         _log.info(
             'Directory started.',
             listen=str(self._listen),
--- a/verbenathread/gateway/daemon.py
+++ b/verbenathread/gateway/daemon.py
@@ -3,9 +3,9 @@
 import asyncio
 from collections.abc import Callable
 
+from verbenathread.background_tasks import restart_on_error
 from verbenathread.clock import Clock, SystemClock, seconds
 from verbenathread.directory.seeds import SeedFile
-from verbenathread.duties import keep_running
 from verbenathread.gateway.context import build_context
 from verbenathread.gateway.handler import GatewayHandler
 from verbenathread.gateway.watch import DirectoryWatch
@@ -76,7 +76,7 @@
             self.context.prober.run,
         ):
             self._tasks.append(
-                asyncio.create_task(keep_running(background_task))
+                asyncio.create_task(restart_on_error(background_task))
             )
         _log.info(
             'Gateway started.',
--- a/verbenathread/gateway/watch.py
+++ b/verbenathread/gateway/watch.py
@@ -13,7 +13,7 @@
 from verbenathread.exceptions import SettingsError
 from verbenathread.gateway.view import ClusterView, make_peer
 from verbenathread.observability.logs import get_logger
-from verbenathread.rpc_channel import BROKEN_CALL, PeerChannel
+from verbenathread.rpc_channel import RPC_ERRORS, PeerChannel
 from verbenathread.schema import directory_pb2 as messages
 from verbenathread.schema.directory_grpc import DirectoryStub
 from verbenathread.serving.types import ServingConfig
@@ -108,7 +108,7 @@
         channel = PeerChannel(address.host, address.port)
         try:
             return await self._read(channel, address)
-        except BROKEN_CALL as error:
+        except RPC_ERRORS as error:
             self.mark_unresponsive(address)
             if isinstance(error, TimeoutError):
                 self._timeouts = min(_MAX_TIMEOUTS, self._timeouts + 1)
--- a/verbenathread/replay/command.py
+++ b/verbenathread/replay/command.py
@@ -3,7 +3,7 @@
 import argparse
 from pathlib import Path
 
-from verbenathread.command import Command, Rendered, argument
+from verbenathread.command import Command, CommandOutput, argument
 from verbenathread.exceptions import UsageError
 from verbenathread.replay.deployment import DEPLOYMENT_BY_NAME, Faults
 from verbenathread.replay.measures import Measures, measure
@@ -18,7 +18,7 @@
 _MS = 1000
 
 
-def run_replay(options: argparse.Namespace) -> Rendered:
+def run_replay(options: argparse.Namespace) -> CommandOutput:
     """Replay the trace that the options name."""
     trace = read_trace(Path(options.trace))
     deployment = DEPLOYMENT_BY_NAME[options.deployment]
@@ -43,7 +43,7 @@
         'violations': result.violations._asdict(),
     }
     text = _text(measures, result.violations)
-    return Rendered(text, data, _BROKEN if is_broken else 0)
+    return CommandOutput(text, data, _BROKEN if is_broken else 0)
 
 
 def _pairs(words: list[str]) -> list[tuple[int, int]]:
--- a/verbenathread/rpc_channel.py
+++ b/verbenathread/rpc_channel.py
@@ -7,7 +7,7 @@
 from grpclib.protocol import H2Protocol
 
 # A call that failed in one of these ways may still have been acted on.
-BROKEN_CALL = (GRPCError, ProtocolError, StreamTerminatedError, OSError)
+RPC_ERRORS = (GRPCError, ProtocolError, StreamTerminatedError, OSError)
 
 
 class PeerChannel(Channel):
--- a/verbenathread/settings/ini.py
+++ b/verbenathread/settings/ini.py
@@ -54,7 +54,9 @@
     return ParsedText(tuple(sections), ())
 
 
-def fill(source: str, section: ParsedSection, target: Message) -> list[Problem]:
+def fill_section(
+    source: str, section: ParsedSection, target: Message
+) -> list[Problem]:
     """Set defaults and then the section's options on ``target``.
 
     Returns every problem found; ``target`` is usable when there is none.
@@ -66,7 +68,7 @@
         option = option_by_name.get(name)
         if option is None:
             problems.append(
-                _unknown_option(source, section, name, option_by_name)
+                _unknown_option_problem(source, section, name, option_by_name)
             )
             continue
         try:
@@ -77,11 +79,13 @@
                     source, section.heading(), name, str(error), error.remedy
                 )
             )
-    problems.extend(_missing(source, section, option_by_name.values()))
+    problems.extend(
+        _missing_option_problems(source, section, option_by_name.values())
+    )
     return problems
 
 
-def unknown_section(
+def unknown_section_problem(
     source: str, section: ParsedSection, titles: Iterable[str]
 ) -> Problem:
     """Return the problem of a section that the schema does not know."""
@@ -91,11 +95,11 @@
         section.heading(),
         '',
         'there is no such section',
-        _nearest(section.title, known, 'write one of'),
+        _suggestion(section.title, known, 'write one of'),
     )
 
 
-def naming_problem(
+def check_section_name(
     source: str, section: ParsedSection, target: Message
 ) -> Problem | None:
     """Return a problem if the section lacks a name or has one too many."""
@@ -111,7 +115,7 @@
     return Problem(source, section.heading(), '', message, remedy)
 
 
-def _missing(
+def _missing_option_problems(
     source: str, section: ParsedSection, options: Iterable[Option]
 ) -> list[Problem]:
     problems = []
@@ -132,7 +136,7 @@
     return problems
 
 
-def _unknown_option(
+def _unknown_option_problem(
     source: str, section: ParsedSection, name: str, known: Iterable[str]
 ) -> Problem:
     return Problem(
@@ -140,11 +144,11 @@
         section.heading(),
         name,
         'there is no such option',
-        _nearest(name, sorted(known), 'remove it or write one of'),
+        _suggestion(name, sorted(known), 'remove it or write one of'),
     )
 
 
-def _nearest(word: str, known: list[str], otherwise: str) -> str:
+def _suggestion(word: str, known: list[str], otherwise: str) -> str:
     close = difflib.get_close_matches(word, known, n=1)
     if close:
         return f'write {close[0]}'
--- a/verbenathread/settings/node.py
+++ b/verbenathread/settings/node.py
@@ -11,16 +11,16 @@
 from verbenathread.schema import settings_pb2
 from verbenathread.settings.ini import (
     ParsedSection,
-    fill,
-    naming_problem,
+    check_section_name,
+    fill_section,
     parse_ini,
-    unknown_section,
+    unknown_section_problem,
 )
 from verbenathread.settings.rules import Problem
 from verbenathread.types import Address, Peer
 
-_LOWEST_PORT = 0
-_HIGHEST_PORT = 65535
+_MIN_PORT = 0
+_MAX_PORT = 65535
 _ADDRESS_REMEDY = 'write an IP number and a port, such as 127.0.0.1:8080'
 _PEERS_REMEDY = 'write id@ip:port, comma separated'
 _ADDRESS_OPTIONS = (
@@ -52,20 +52,20 @@
     if not re.fullmatch(r'\d{1,5}', port_text):
         raise SettingsError(f'{text!r} has no port; {_ADDRESS_REMEDY}')
     port = int(port_text)
-    if not _LOWEST_PORT <= port <= _HIGHEST_PORT:
+    if not _MIN_PORT <= port <= _MAX_PORT:
         raise SettingsError(f'{text!r} has no such port; {_ADDRESS_REMEDY}')
     return Address(host, port)
 
 
 def parse_addresses(text: str) -> tuple[Address, ...]:
     """Read comma-separated addresses."""
-    return tuple(parse_address(part) for part in _parts(text))
+    return tuple(parse_address(part) for part in _split_list(text))
 
 
 def parse_peers(text: str) -> tuple[Peer, ...]:
     """Read comma-separated ``id@ip:port``."""
     peers = []
-    for part in _parts(text):
+    for part in _split_list(text):
         node_id, at_sign, address = part.partition('@')
         if not at_sign or not node_id:
             raise SettingsError(f'{part!r} is no peer; {_PEERS_REMEDY}')
@@ -89,12 +89,12 @@
         if section.title in _SECTIONS:
             section_by_title[section.title] = section
             continue
-        problems.append(unknown_section(source, section, _SECTIONS))
+        problems.append(unknown_section_problem(source, section, _SECTIONS))
     for title in _SECTIONS:
         if title in _ROLES and title not in section_by_title:
             continue
         present = section_by_title.get(title, ParsedSection(title, '', {}))
-        problems.extend(_fill_section(source, present, getattr(node, title)))
+        problems.extend(_read_section(source, present, getattr(node, title)))
     problems.extend(_check_role(source, section_by_title))
     if not problems:
         problems.extend(_check_addresses(source, node))
@@ -131,14 +131,14 @@
     ]
 
 
-def _fill_section(
+def _read_section(
     source: str, section: ParsedSection, target: Message
 ) -> list[Problem]:
     target.SetInParent()
-    problem = naming_problem(source, section, target)
+    problem = check_section_name(source, section, target)
     if problem is not None:
         return [problem]
-    return fill(source, section, target)
+    return fill_section(source, section, target)
 
 
 def _check_addresses(
@@ -169,11 +169,11 @@
         except SettingsError as error:
             message, _, remedy = str(error).partition('; ')
             problems.append(Problem(source, title, option, message, remedy))
-    problems.extend(_check_own_name(source, node))
+    problems.extend(_check_own_cell(source, node))
     return problems
 
 
-def _check_own_name(
+def _check_own_cell(
     source: str, node: settings_pb2.NodeSettings
 ) -> list[Problem]:
     if not node.HasField('entry'):
@@ -195,5 +195,5 @@
     ]
 
 
-def _parts(text: str) -> list[str]:
+def _split_list(text: str) -> list[str]:
     return [part.strip() for part in text.split(',') if part.strip()]
--- a/verbenathread/settings/rules.py
+++ b/verbenathread/settings/rules.py
@@ -11,7 +11,7 @@
 
 _TRUE_WORDS = frozenset(('yes', 'true', 'on', '1'))
 _FALSE_WORDS = frozenset(('no', 'false', 'off', '0'))
-_WHOLE_TYPES = frozenset(
+_INTEGER_TYPES = frozenset(
     (
         FieldDescriptor.TYPE_UINT32,
         FieldDescriptor.TYPE_UINT64,
@@ -52,13 +52,13 @@
     field: FieldDescriptor
     rule: settings_pb2.Rule
 
-    def kind(self) -> str:
+    def value_description(self) -> str:
         """Return the kind of value in words, for people."""
         if self.rule.choices:
             return f'one of {", ".join(self.rule.choices)}'
         if self.field.type == FieldDescriptor.TYPE_BOOL:
             return 'yes or no'
-        if self.field.type in _WHOLE_TYPES:
+        if self.field.type in _INTEGER_TYPES:
             return 'whole number'
         if self.field.type == FieldDescriptor.TYPE_DOUBLE:
             return 'number'
@@ -100,7 +100,7 @@
     rule = option.rule
     if rule.choices and text not in rule.choices:
         raise BadValueError(
-            f'{text!r} is not a choice', f'write {option.kind()}'
+            f'{text!r} is not a choice', f'write {option.value_description()}'
         )
     if option.field.type == FieldDescriptor.TYPE_BOOL:
         return _convert_bool(text)
@@ -131,16 +131,16 @@
 
 
 def _convert_number(option: Option, text: str) -> int | float:
-    whole = option.field.type in _WHOLE_TYPES
+    whole = option.field.type in _INTEGER_TYPES
     rule = option.rule
     unit = f' {rule.unit}' if rule.unit else ''
-    remedy = (
-        f'write a {option.kind()} from {rule.least:g} to {rule.most:g}{unit}'
-    )
+    remedy = f'write a {option.value_description()} from {rule.least:g} to {rule.most:g}{unit}'
     try:
         number = int(text) if whole else float(text)
     except ValueError:
-        raise BadValueError(f'{text!r} is not a {option.kind()}', remedy)
+        raise BadValueError(
+            f'{text!r} is not a {option.value_description()}', remedy
+        )
     # The comparison is written so that a NaN fails it.
     if not rule.least <= number <= rule.most:
         raise BadValueError(f'{text} is out of range', remedy)
--- a/verbenathread/settings/tree.py
+++ b/verbenathread/settings/tree.py
@@ -17,10 +17,10 @@
 from verbenathread.schema import settings_pb2
 from verbenathread.settings.ini import (
     ParsedSection,
-    fill,
-    naming_problem,
+    check_section_name,
+    fill_section,
     parse_ini,
-    unknown_section,
+    unknown_section_problem,
 )
 from verbenathread.settings.rules import (
     Problem,
@@ -30,15 +30,15 @@
 )
 
 ROOT_PATH = '/'
-LARGEST_BRANCH_BYTES = 262_144
-_PARSED_BRANCHES = 2048
+MAX_BRANCH_BYTES = 262_144
+_CACHED_BRANCHES = 2048
 
 _PATH_PATTERN = re.compile(r'/|(/[a-z0-9][a-z0-9-]{0,62}){1,4}')
 _NAME_PATTERN = re.compile(r'[A-Za-z0-9][A-Za-z0-9._-]{0,62}')
 _METHOD_PATTERN = re.compile('[A-Z]{1,20}')
 _PATH_REMEDY = 'write / or up to four names such as /team/part'
 
-_MAP_BY_TITLE = MappingProxyType(
+_FIELD_BY_TITLE = MappingProxyType(
     {
         'account': 'account_by_name',
         'service': 'service_by_name',
@@ -46,7 +46,7 @@
     }
 )
 _POLICY_TITLE = 'policy'
-_TITLES = (*_MAP_BY_TITLE, _POLICY_TITLE)
+_TITLES = (*_FIELD_BY_TITLE, _POLICY_TITLE)
 
 
 class ParsedBranch(NamedTuple):
@@ -103,19 +103,19 @@
 
 
 # One change leaves all other branches as they were, so they are not read anew.
-@functools.lru_cache(maxsize=_PARSED_BRANCHES)
+@functools.lru_cache(maxsize=_CACHED_BRANCHES)
 def _parse_branch(
     path: str, text: str
 ) -> tuple[ParsedBranch, Sequence[Problem]]:
     branch = settings_pb2.BranchSettings()
     written: Mapping[str, str] = {}
-    if len(text.encode()) > LARGEST_BRANCH_BYTES:
+    if len(text.encode()) > MAX_BRANCH_BYTES:
         return ParsedBranch(branch, written), [
             Problem(
                 path,
                 '',
                 '',
-                f'the branch is over {LARGEST_BRANCH_BYTES} bytes',
+                f'the branch is over {MAX_BRANCH_BYTES} bytes',
                 'split it into branches below it',
             )
         ]
@@ -123,7 +123,7 @@
     problems = list(parsed.problems)
     for section in parsed.sections:
         if section.title not in _TITLES:
-            problems.append(unknown_section(path, section, _TITLES))
+            problems.append(unknown_section_problem(path, section, _TITLES))
             continue
         if section.title == _POLICY_TITLE:
             written = section.text_by_option
@@ -243,12 +243,12 @@
     if section.title == _POLICY_TITLE:
         target: Message = branch.policy
     else:
-        by_name = getattr(branch, _MAP_BY_TITLE[section.title])
+        by_name = getattr(branch, _FIELD_BY_TITLE[section.title])
         target = by_name[section.name]
-    name_problem = naming_problem(path, section, target)
+    name_problem = check_section_name(path, section, target)
     if name_problem is not None:
         return [name_problem]
-    problems = fill(path, section, target)
+    problems = fill_section(path, section, target)
     if section.name and not _NAME_PATTERN.fullmatch(section.name):
         problems.append(
             Problem(
@@ -298,7 +298,7 @@
     problems = []
     path_by_place: dict[tuple[str, str], str] = {}
     for path, branch in branch_by_path.items():
-        for title, name in _unique_places(branch.settings):
+        for title, name in _unique_names(branch.settings):
             earlier = path_by_place.setdefault((title, name), path)
             if earlier == path:
                 continue
@@ -315,10 +315,10 @@
     return problems
 
 
-def _unique_places(
+def _unique_names(
     branch: settings_pb2.BranchSettings,
 ) -> Iterator[tuple[str, str]]:
-    for title, field in _MAP_BY_TITLE.items():
+    for title, field in _FIELD_BY_TITLE.items():
         for name in sorted(getattr(branch, field)):
             yield title, name
     for account in branch.account_by_name.values():
