--- a/tests/test_background_tasks.py
+++ b/tests/test_background_tasks.py
@@ -1,4 +1,4 @@
-"""Duties go on after errors that nobody expected."""
+"""Background tasks are restarted after unexpected errors."""
 
 import unittest
 
@@ -6,14 +6,14 @@
 from verbenathread.background_tasks import restart_on_error
 
 
-class DutiesTest(unittest.TestCase):
-    def test_a_duty_that_fails_starts_again(self):
+class BackgroundTasksTest(unittest.TestCase):
+    def test_failed_task_is_restarted(self):
         runs = []
 
-        async def duty():
+        async def task():
             runs.append(len(runs))
             if len(runs) < 4:
-                raise RuntimeError('a connection in an odd state')
+                raise RuntimeError('unexpected connection state')
 
-        run_virtual(restart_on_error(duty))
+        run_virtual(restart_on_error(task))
         self.assertEqual(len(runs), 4)
--- a/tests/test_binary.py
+++ b/tests/test_binary.py
@@ -1,4 +1,4 @@
-"""Tests of the one binary: it runs, and it starts no process."""
+"""The single-file binary runs and starts no child processes."""
 
 import os
 import signal
@@ -15,7 +15,7 @@
 from tools.processes import Started, wait_for
 from verbenathread import __version__
 
-START_LIMIT_SECONDS = 60
+START_TIMEOUT_SECONDS = 60
 SETTINGS = """
 [node]
 id = c1
@@ -56,22 +56,24 @@
             'SHIV_ROOT': str(self.folder / 'shiv'),
         }
 
-    def test_version_and_control_without_a_child(self):
-        words = [sys.executable, str(self.binary)]
-        told = subprocess.run(
-            [*words, '--version'],
+    def test_version_and_control_without_child_processes(self):
+        command = [sys.executable, str(self.binary)]
+        completed = subprocess.run(
+            [*command, '--version'],
             env=self.environment,
             capture_output=True,
             check=True,
         )
-        self.assertEqual(told.stdout.decode(), f'verbenathread {__version__}\n')
+        self.assertEqual(
+            completed.stdout.decode(), f'verbenathread {__version__}\n'
+        )
         listen, metrics = free_address(), free_address()
         settings = self.folder / 'c1.ini'
         settings.write_text(SETTINGS.format(listen, metrics, 'a' * 64))
         log = self.folder / 'log'
         with log.open('wb') as output:
             process = subprocess.Popen(
-                [*words, 'control', '--settings', str(settings)],
+                [*command, 'control', '--settings', str(settings)],
                 cwd=self.folder,
                 env=self.environment,
                 stderr=output,
@@ -79,7 +81,7 @@
         self.addCleanup(process.wait)
         self.addCleanup(process.kill)
         started = Started('binary', process, log)
-        wait_for('control', lambda: is_ready(metrics), START_LIMIT_SECONDS)
+        wait_for('control', lambda: is_ready(metrics), START_TIMEOUT_SECONDS)
         self.assertEqual(started.children(), 0)
         started.send(signal.SIGTERM)
-        self.assertEqual(started.wait(START_LIMIT_SECONDS), 0)
+        self.assertEqual(started.wait(START_TIMEOUT_SECONDS), 0)
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -15,7 +15,7 @@
                 clock.move_to(moment)
                 self.assertEqual(clock.now(), expected)
 
-    def test_virtual_loop_skips_waiting(self):
+    def test_virtual_loop_skips_sleeps(self):
         async def wait() -> int:
             clock = LoopClock()
             await asyncio.sleep(seconds(3_600_000))
--- a/tests/test_cmdline.py
+++ b/tests/test_cmdline.py
@@ -1,4 +1,4 @@
-"""Tests of the command line: what people and programs see."""
+"""Tests of the command line: exit codes, text and JSON output."""
 
 import contextlib
 import io
@@ -46,16 +46,17 @@
                     self.assertIn(expected, seen[1] + seen[2])
                     self.assertNotIn('Traceback', seen[2])
 
-    def test_a_broken_pipe_never_ends_a_daemon(self):
+    def test_sigpipe_stays_ignored(self):
+        # By default, writing to a closed connection would end a daemon.
         run('check', ENTRY)
         self.assertEqual(signal.getsignal(signal.SIGPIPE), signal.SIG_IGN)
 
-    def test_json_for_programs(self):
+    def test_json_output(self):
         code, out, _ = run('check', '--json', ENTRY, ENTRY + '.none')
         self.assertEqual(code, 2)
         self.assertEqual(json.loads(out)[0]['source'], ENTRY + '.none')
 
-    def test_every_command_explains_itself_with_an_example(self):
+    def test_help_of_every_command_has_an_example(self):
         for command in all_commands():
             with self.subTest(command=command.name):
                 code, out, _ = run(*command.name.split(), '--help')
@@ -63,7 +64,7 @@
                 self.assertIn('example:', out)
         self.assertIsNotNone(build_parser(all_commands()))
 
-    def test_examples_are_good_settings(self):
+    def test_examples_are_valid_settings(self):
         for path in sorted((ROOT / 'examples').rglob('*.ini')):
             with self.subTest(path=path.name):
                 words = ['check', str(path)]
--- a/tests/test_rpc_channel.py
+++ b/tests/test_rpc_channel.py
@@ -1,4 +1,4 @@
-"""Calls to a peer whose connections are lost as they open."""
+"""Calls to a peer whose connections are lost while they open."""
 
 import asyncio
 from unittest import IsolatedAsyncioTestCase, mock
@@ -15,15 +15,15 @@
 connect = Channel._create_connection
 
 
-async def lose(channel):
+async def lose_connection(channel):
     """Open a connection that the peer resets before its first use."""
     protocol = await connect(channel)
     protocol.connection_lost(ConnectionResetError())
     return protocol
 
 
-async def break_while_writing(channel):
-    """Open a connection whose loss is noted, but not yet told."""
+async def abort_transport(channel):
+    """Open a connection that is aborted but has not reported its loss yet."""
     protocol = await connect(channel)
     protocol.connection._transport.abort()
     return protocol
@@ -39,12 +39,12 @@
     async def asyncTearDown(self):
         self.server.close()
 
-    async def test_the_peer_does_not_answer(self):
-        for fault in (lose, break_while_writing):
+    async def test_lost_connection_raises_unavailable(self):
+        for fault in (lose_connection, abort_transport):
             with self.subTest(fault.__name__):
-                await self.call_both(fault)
+                await self.check_calls(fault)
 
-    async def call_both(self, fault):
+    async def check_calls(self, fault):
         transport = RpcTransport('c', 'k')
         peer = Peer('d2', self.address)
         with mock.patch.object(Channel, CONNECT, fault):
@@ -54,17 +54,17 @@
                 await transport.beat(peer, BeatRequest(), 500)
         transport.close()
 
-    async def test_a_connection_does_not_outlive_its_channel(self):
+    async def test_connection_is_closed_with_its_channel(self):
         channel = PeerChannel(*self.address)
         opened = []
 
-        async def close_meanwhile(one):
-            protocol = await connect(one)
+        async def close_while_opening(opening):
+            protocol = await connect(opening)
             opened.append(protocol)
-            one.close()
+            opening.close()
             return protocol
 
-        with mock.patch.object(Channel, CONNECT, close_meanwhile):
+        with mock.patch.object(Channel, CONNECT, close_while_opening):
             with self.assertRaises(ConnectionError):
                 await channel.__connect__()
         self.assertTrue(opened[0].connection.is_closing())
--- a/verbenathread/__init__.py
+++ b/verbenathread/__init__.py
@@ -1,8 +1,8 @@
-"""A serving layer for prompts of very unlike lengths.
+"""A serving layer for prompts of widely varying lengths.
 
-The daemons are the roles ``entry`` and ``control`` of the one program. The
-packages ``consensus``, ``control``, ``membership`` and ``scheduling`` hold
-the coordination parts; they can be embedded without any daemon.
+One program runs every daemon as a role, such as ``entry`` or ``control``.
+The packages ``consensus``, ``control``, ``membership`` and ``scheduling``
+implement coordination and can be embedded without running a daemon.
 """
 
 __version__ = '0.1.0'
--- a/verbenathread/__main__.py
+++ b/verbenathread/__main__.py
@@ -3,15 +3,16 @@
 import signal
 import sys
 
-# Daemons that read their settings again on SIGHUP.
+# Daemons that reload their settings on SIGHUP.
 _RELOADABLE_ROLES = frozenset(('gateway', 'directory'))
 
 
 def main() -> int:
     """Run one command and return its exit code."""
     if _RELOADABLE_ROLES.intersection(sys.argv[1:2]):
-        # Until the daemon handles it, the signal would end the process; the
-        # settings that it tells of are about to be read.
+        # The default action would terminate the process. Ignoring SIGHUP
+        # until the daemon installs its handler loses nothing, because the
+        # settings have not been read yet.
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
     from verbenathread import cmdline
 
--- a/verbenathread/background_tasks.py
+++ b/verbenathread/background_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that run for as long as their process does."""
+"""Background tasks that run as long as the process."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -9,27 +9,30 @@
 
 _log = get_logger('duties')
 
-# An error that comes again at once is logged twice a second at most.
+# Limits an error that recurs immediately to two log lines per second.
 _RESTART_DELAY: Millis = 500
 
 BackgroundTask = Callable[[], Awaitable[None]]
 
 
-async def restart_on_error(duty: BackgroundTask) -> None:
-    """Run ``duty`` again whenever an error that nobody expected ends it.
+async def restart_on_error(task: BackgroundTask) -> None:
+    """Run ``task`` until it returns, restarting it after any exception.
 
-    A task that ends by itself would leave its process half alive: a gateway
-    that follows no leader, a directory that drops no silent worker.
+    A background task that dies would leave its process running but broken: a
+    gateway that follows no leader, or a directory that never drops workers
+    whose heartbeats stopped.
     """
     ended = False
     while not ended:
         try:
-            ended = await _run_once(duty)
+            ended = await _run_once(task)
         except Exception:
-            _log.exception('A duty failed and starts again.', duty=repr(duty))
+            _log.exception(
+                'A background task failed and is restarted.', duty=repr(task)
+            )
             await asyncio.sleep(seconds(_RESTART_DELAY))
 
 
-async def _run_once(duty: BackgroundTask) -> bool:
-    await duty()
+async def _run_once(task: BackgroundTask) -> bool:
+    await task()
     return True
--- a/verbenathread/clock.py
+++ b/verbenathread/clock.py
@@ -1,4 +1,4 @@
-"""One clock for the whole program, in milliseconds."""
+"""Clocks in milliseconds, shared by the whole program."""
 
 import asyncio
 import time
@@ -15,11 +15,11 @@
         """Return monotonic time in ms, for leases and deadlines."""
 
     def wall(self) -> int:
-        """Return time since the epoch in ms, for people to read."""
+        """Return time since the epoch in ms, for display."""
 
 
 class SystemClock:
-    """The machine's clocks."""
+    """The system's monotonic and wall clocks."""
 
     def now(self) -> int:
         """Return monotonic time in ms."""
@@ -31,7 +31,7 @@
 
 
 class LoopClock:
-    """The clock of the running event loop, which a test may replace."""
+    """The clock of the running event loop, which tests may virtualize."""
 
     def now(self) -> int:
         """Return the loop's time in ms."""
@@ -43,14 +43,14 @@
 
 
 class ManualClock:
-    """A clock that moves only when told to."""
+    """A clock that only moves when advanced explicitly."""
 
     def __init__(self, start: int = 0) -> None:
         """Start at ``start`` ms."""
         self._now = start
 
     def now(self) -> int:
-        """Return the time in ms that was last set."""
+        """Return the time in ms that was set last."""
         return self._now
 
     def wall(self) -> int:
@@ -62,10 +62,10 @@
         self._now += step
 
     def move_to(self, moment: int) -> None:
-        """Move to ``moment`` ms; the clock never goes back."""
+        """Move to ``moment`` ms, or stay if that is in the past."""
         self._now = max(self._now, moment)
 
 
 def seconds(duration: int) -> float:
-    """Return ``duration`` ms in seconds, as the standard library takes it."""
+    """Convert ``duration`` from ms to seconds, as the stdlib expects."""
     return duration / MS_PER_SECOND
--- a/verbenathread/cmdline.py
+++ b/verbenathread/cmdline.py
@@ -1,4 +1,4 @@
-"""The command line: a thin layer over the packages."""
+"""The command line: parsing, dispatch and output."""
 
 import argparse
 import json
@@ -12,23 +12,23 @@
 from verbenathread.exceptions import VerbenathreadError
 
 _DESCRIPTION = """\
-Serve prompts of very unlike lengths over a shared fleet of model engines.
+Serve prompts of widely varying lengths on a shared fleet of model engines.
 
 exit codes:
-  0  done
-  1  an error that no other code names
-  2  settings or words that can't be used as written
+  0  success
+  1  any other error
+  2  invalid settings or command line arguments
   3  a conflict: the branch changed since the expected revision
-  4  the credentials do not allow it
-  5  nobody can answer now; nothing was run
-  6  the outcome is unknown; look before repeating
-  7  durable state is damaged or can't be made durable
+  4  the credentials do not permit it
+  5  no process can answer now; nothing was run
+  6  the outcome is unknown; check it before retrying
+  7  durable state is damaged or can't be written
 """
 _EXIT_INTERRUPTED = 130
 
 
 def build_parser(commands: Iterable[Command]) -> argparse.ArgumentParser:
-    """Return the parser of all ``commands``."""
+    """Return an argument parser for ``commands``."""
     parser = argparse.ArgumentParser(
         prog='verbenathread',
         description=_DESCRIPTION,
@@ -68,17 +68,18 @@
     except KeyboardInterrupt:
         return _EXIT_INTERRUPTED
     except BrokenPipeError:
-        # The reader closed the pipe early. What the interpreter flushes at
-        # its exit goes nowhere, as the signal module's documentation advises.
-        nowhere = os.open(os.devnull, os.O_WRONLY)
-        os.dup2(nowhere, sys.stdout.fileno())
+        # The reader closed the pipe early. Redirect the interpreter's flush
+        # at exit to devnull, as the signal module's documentation advises.
+        devnull = os.open(os.devnull, os.O_WRONLY)
+        os.dup2(devnull, sys.stdout.fileno())
         return 0
 
 
 def _commands_for(words: Sequence[str]) -> Iterable[Command]:
-    """Return the commands that ``words`` may mean.
+    """Return the commands to parse ``words`` with.
 
-    A daemon is back sooner without the operators' client and the replay.
+    A daemon restarts faster without importing the operator commands and the
+    replay.
     """
     if words and any(words[0] == command.name for command in CORE_COMMANDS):
         return CORE_COMMANDS
@@ -86,16 +87,16 @@
 
 
 def _run_command(command: Command, options: argparse.Namespace) -> int:
-    rendered = command.run(options)
+    output = command.run(options)
     if not command.prints:
-        return rendered.exit_code
+        return output.exit_code
     if options.json:
-        text = json.dumps(rendered.data, indent=2, sort_keys=True)
+        text = json.dumps(output.data, indent=2, sort_keys=True)
     else:
-        text = rendered.text
+        text = output.text
     if text:
         sys.stdout.write(f'{text}\n')
-    return rendered.exit_code
+    return output.exit_code
 
 
 def _add_command(
@@ -114,6 +115,6 @@
         parser.add_argument(*item.flags, **item.keywords)
     if command.prints:
         parser.add_argument(
-            '--json', action='store_true', help='print JSON for programs'
+            '--json', action='store_true', help='print JSON instead of text'
         )
     parser.set_defaults(command=command)
--- a/verbenathread/command.py
+++ b/verbenathread/command.py
@@ -1,4 +1,4 @@
-"""What the command line knows of a command."""
+"""Definition of a command and its output."""
 
 import argparse
 from collections.abc import Callable, Mapping
@@ -6,32 +6,32 @@
 
 
 class Argument(NamedTuple):
-    """One argument of a command, as ``argparse`` takes it."""
+    """One argument of a command, as passed to ``argparse``."""
 
     flags: tuple[str, ...]
     keywords: Mapping[str, Any]
 
 
 class CommandOutput(NamedTuple):
-    """What a command answers: text for people, data for programs."""
+    """Output of a command: text, and data for ``--json``."""
 
     text: str
-    # What ``--json`` prints; anything that the json module can write.
+    # Printed by ``--json``; must be serializable by the json module.
     data: Any
     exit_code: int = 0
 
 
 class Command(NamedTuple):
-    """One command: its words, its help, and the function that runs it."""
+    """One command: its name, its help, and the function that runs it."""
 
     # One word, or two such as ``config set``.
     name: str
     summary: str
     arguments: tuple[Argument, ...]
-    # A line or more that a reader can copy.
+    # One or more command lines, shown by ``--help``.
     example: str
     run: Callable[[argparse.Namespace], CommandOutput]
-    # A daemon runs until it is told to stop and prints nothing itself.
+    # False for daemons, which run until stopped and print no output.
     prints: bool = True
 
 
--- a/verbenathread/commands.py
+++ b/verbenathread/commands.py
@@ -1,4 +1,4 @@
-"""The one table of commands."""
+"""The table of all commands."""
 
 import argparse
 import platform
@@ -30,7 +30,7 @@
 
 
 def run_check(options: argparse.Namespace) -> CommandOutput:
-    """Check settings files without running anything."""
+    """Check settings files without starting a daemon."""
     problems: list[Problem] = []
     for name in options.files:
         problems.extend(_check_file(name, options.branch))
@@ -45,7 +45,7 @@
 
 
 def run_debug(options: argparse.Namespace) -> CommandOutput:
-    """Tell what the program sees: versions and the settings in effect."""
+    """Show the versions and the settings in effect."""
     if options.request:
         return _run_request_history(options.request)
     seen: dict[str, Any] = {
@@ -55,7 +55,7 @@
         'program': sys.argv[0],
     }
     if options.settings:
-        # Of all commands only this one needs it.
+        # Imported here because no other command needs it.
         from google.protobuf.json_format import MessageToDict
 
         node = load_node_settings(options.settings)
@@ -76,7 +76,7 @@
     lines = format_request_history(sys.stdin, request_id)
     if not lines:
         raise UsageError(
-            f'no line names request {request_id}; give the logs of the'
+            f'no log line mentions request {request_id}; pass the logs of the'
             ' gateways on standard input'
         )
     return CommandOutput('\n'.join(lines), lines)
@@ -108,7 +108,7 @@
 CORE_COMMANDS = (
     Command(
         'entry',
-        'Run an entry: take requests and relay them to upstreams.',
+        'Run an entry: accept requests and relay them to upstreams.',
         (_SETTINGS_ARGUMENT,),
         'verbenathread entry --settings examples/tillery/entry-1.ini',
         run_entry,
@@ -116,7 +116,7 @@
     ),
     Command(
         'control',
-        'Run a control process: keep settings, claims, orders and the audit.',
+        'Run a control process: store settings, claims, orders and the audit.',
         (_SETTINGS_ARGUMENT,),
         'verbenathread control --settings examples/tillery/control-1.ini',
         run_control,
@@ -124,7 +124,7 @@
     ),
     Command(
         'gateway',
-        'Run a gateway: pass requests on unchanged to workers.',
+        'Run a gateway: forward requests unchanged to workers.',
         (_SETTINGS_ARGUMENT,),
         'verbenathread gateway --settings examples/platform/gateway-1.ini',
         run_gateway,
@@ -132,7 +132,7 @@
     ),
     Command(
         'directory',
-        'Run a directory process: keep the routes and the workers.',
+        'Run a directory process: store the routes and the workers.',
         (_SETTINGS_ARGUMENT,),
         'verbenathread directory --settings examples/platform/directory-1.ini',
         run_directory,
@@ -140,7 +140,7 @@
     ),
     Command(
         'check',
-        'Check settings files: what is wrong, and what to write instead.',
+        'Check settings files and report problems and how to fix them.',
         (
             argument('files', nargs='+', metavar='FILE'),
             argument(
@@ -154,13 +154,13 @@
     ),
     Command(
         'debug',
-        'Print what the program sees; keys are hidden.',
+        'Print the versions and settings in effect; keys are hidden.',
         (
             argument('--settings', metavar='FILE', help='INI file of a node'),
             argument(
                 '--request',
                 metavar='ID',
-                help='tell the story of a request from logs on standard input',
+                help='print the history of a request from logs on standard input',
             ),
         ),
         'verbenathread debug --settings examples/tillery/entry-1.ini',
--- a/verbenathread/daemons.py
+++ b/verbenathread/daemons.py
@@ -1,4 +1,4 @@
-"""Run a role of the program until it is told to stop."""
+"""Run the daemon of a role until it receives a stop signal."""
 
 import argparse
 import asyncio
@@ -17,12 +17,12 @@
 
 
 def run_entry(options: argparse.Namespace) -> CommandOutput:
-    """Run an entry until SIGTERM or SIGINT, then stop as planned."""
-    # Only this role needs the HTTP libraries.
+    """Run an entry until SIGTERM or SIGINT, then shut down cleanly."""
+    # Imported here because only this role needs the HTTP libraries.
     from verbenathread.entry.daemon import EntryDaemon
 
     settings = _load_settings('entry', options.settings)
-    # Blocked before any thread starts, so that only sigwait takes them.
+    # Blocked before any thread starts, so that only sigwait receives them.
     signal.pthread_sigmask(signal.SIG_BLOCK, _STOP_SIGNALS)
     daemon = EntryDaemon(settings)
     daemon.start()
@@ -32,14 +32,14 @@
 
 
 def run_control(options: argparse.Namespace) -> CommandOutput:
-    """Run a control process until SIGTERM or SIGINT, then stop as planned."""
+    """Run a control process until SIGTERM or SIGINT, then shut down."""
     settings = _load_settings('control', options.settings)
     asyncio.run(_serve_control(settings))
     return CommandOutput('', None)
 
 
 async def _serve_control(settings: settings_pb2.NodeSettings) -> None:
-    # Only this role needs the replicated log.
+    # Imported here because only this role needs the replicated log.
     from verbenathread.control.daemon import ControlDaemon
     from verbenathread.control.status import status_server
 
@@ -56,8 +56,8 @@
         status.start()
     except OSError as error:
         raise SettingsError(
-            f'[control] listen or metrics_listen: {error.strerror}; end what'
-            ' uses the address or write another'
+            f'[control] listen or metrics_listen: {error.strerror}; free the'
+            ' address or set another'
         )
     failed = asyncio.create_task(daemon.wait_failed())
     await asyncio.wait(
@@ -71,14 +71,14 @@
 
 
 def run_gateway(options: argparse.Namespace) -> CommandOutput:
-    """Run a gateway until SIGTERM or SIGINT, then stop as planned."""
+    """Run a gateway until SIGTERM or SIGINT, then shut down cleanly."""
     settings = _load_settings('gateway', options.settings, to_stdout=True)
     asyncio.run(_serve_gateway(settings, options.settings))
     return CommandOutput('', None)
 
 
 def run_directory(options: argparse.Namespace) -> CommandOutput:
-    """Run a directory process until SIGTERM or SIGINT."""
+    """Run a directory process until SIGTERM or SIGINT, then shut down."""
     settings = _load_settings('directory', options.settings, to_stdout=True)
     asyncio.run(_serve_directory(settings, options.settings))
     return CommandOutput('', None)
@@ -87,7 +87,8 @@
 async def _serve_gateway(
     settings: settings_pb2.NodeSettings, path: str
 ) -> None:
-    # Only this role needs the HTTP parser and the platform's language.
+    # Imported here because only this role needs the HTTP parser and the
+    # platform's dialect.
     from verbenathread.gateway.daemon import GatewayDaemon
     from verbenathread.platform.bodies import decode_config
     from verbenathread.platform.headers import PlatformDialect
@@ -99,8 +100,8 @@
         await daemon.start()
     except OSError as error:
         raise SettingsError(
-            f'[gateway] an address can not be used: {error.strerror}; end'
-            ' what uses it or write another'
+            f'[gateway] cannot listen on an address: {error.strerror}; free'
+            ' the address or set another'
         )
     _freeze_startup_objects()
     await stopping.wait()
@@ -125,8 +126,8 @@
         await daemon.start()
     except OSError as error:
         raise SettingsError(
-            f'[directory] an address can not be used: {error.strerror}; end'
-            ' what uses it or write another'
+            f'[directory] cannot listen on an address: {error.strerror};'
+            ' free the address or set another'
         )
     asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, daemon.reload)
     _freeze_startup_objects()
@@ -141,7 +142,10 @@
 
 
 def _freeze_startup_objects() -> None:
-    """Spare the collector what lives as long as the process."""
+    """Exempt objects created at startup from garbage collection.
+
+    They live as long as the process, so scanning them again is wasted work.
+    """
     gc.collect()
     gc.freeze()
 
@@ -160,8 +164,8 @@
     settings = load_node_settings(path)
     if not settings.HasField(role):
         raise SettingsError(
-            f'{path}: there is no [{role}] section; add one or run the other'
-            ' role'
+            f'{path}: there is no [{role}] section; add one or run the role'
+            ' that the file configures'
         )
     stream = BoundedOutput(sys.stdout.fileno()) if to_stdout else None
     logs.configure(settings.log.level, settings.log.format, stream)
--- a/verbenathread/exceptions.py
+++ b/verbenathread/exceptions.py
@@ -1,24 +1,24 @@
-"""The kinds of error that the program raises on purpose.
+"""Exceptions raised by the program.
 
-Each message says what is wrong and what to do about it. The command line
-catches :class:`VerbenathreadError` once and prints it as one line.
+Each message says what is wrong and how to fix it. The command line catches
+:class:`VerbenathreadError` in one place and prints it as one line.
 """
 
 
 class VerbenathreadError(Exception):
-    """Base of every error that this package raises on purpose."""
+    """Base class of the exceptions that this package raises."""
 
     exit_code = 1
 
 
 class SettingsError(VerbenathreadError):
-    """A settings file or a branch of the tree can't be used as written."""
+    """A settings file or a branch of the tree is invalid."""
 
     exit_code = 2
 
 
 class UsageError(VerbenathreadError):
-    """A command was called with words that it does not take."""
+    """A command was called with invalid arguments."""
 
     exit_code = 2
 
@@ -30,33 +30,33 @@
 
 
 class DeniedError(VerbenathreadError):
-    """The credentials do not allow this."""
+    """The credentials do not permit the operation."""
 
     exit_code = 4
 
 
 class UnavailableError(VerbenathreadError):
-    """Nobody can answer now; nothing was run, and a later try may do."""
+    """No process can answer now; nothing was run and a retry may succeed."""
 
     exit_code = 5
 
 
 class UnknownOutcomeError(VerbenathreadError):
-    """The call may or may not have taken effect; look before repeating."""
+    """The call may have taken effect; check before retrying."""
 
     exit_code = 6
 
 
 class StorageError(VerbenathreadError):
-    """Durable state is damaged or can't be made durable."""
+    """Durable state is damaged or can't be written."""
 
     exit_code = 7
 
 
 class NotLeaderError(UnavailableError):
-    """Another replica leads; ``leader`` names who does, if known."""
+    """Another replica leads; ``leader`` is its address, if known."""
 
     def __init__(self, message: str, leader: str = '') -> None:
-        """Keep the leader's address beside the message."""
+        """Store the message and the address of the leader."""
         super().__init__(message)
         self.leader = leader
--- a/verbenathread/rpc_channel.py
+++ b/verbenathread/rpc_channel.py
@@ -1,4 +1,4 @@
-"""The channel for calls between our processes."""
+"""The gRPC channel for calls between processes of the cluster."""
 
 from typing import Any
 
@@ -6,35 +6,37 @@
 from grpclib.exceptions import GRPCError, ProtocolError, StreamTerminatedError
 from grpclib.protocol import H2Protocol
 
-# A call that failed in one of these ways may still have been acted on.
+# The peer may still have executed a call that failed with one of these.
 RPC_ERRORS = (GRPCError, ProtocolError, StreamTerminatedError, OSError)
 
 
 class PeerChannel(Channel):
-    """A grpclib channel that survives a connection lost as it opens.
+    """A grpclib channel that handles connections lost while opening.
 
-    grpclib 0.4.9 hands such a connection out and then fails with
-    AttributeError, which callers can't tell from a bug of their own; a
-    connection that opens while the channel is closed stays open. Here both
-    are a ConnectionError.
+    grpclib 0.4.9 returns such a connection and then fails with an
+    AttributeError, which callers can't tell from a bug of their own. It also
+    leaves a connection open that opens while the channel is being closed.
+    This class raises a ConnectionError in both cases.
     """
 
     def __init__(self, *args: Any, **options: Any) -> None:
-        """Take what :class:`grpclib.client.Channel` takes."""
+        """Accept the arguments of :class:`grpclib.client.Channel`."""
         super().__init__(*args, **options)
         self._is_closed = False
 
     async def __connect__(self) -> H2Protocol:  # noqa: PLW3201
-        """Return a connection that stands, opened if there is none."""
+        """Return an open connection, connecting if there is none."""
         protocol = await super().__connect__()
         if self._is_closed:
             self.close()
-            raise ConnectionAbortedError('the channel was closed meanwhile')
+            raise ConnectionAbortedError(
+                'the channel was closed while connecting'
+            )
         if protocol.connection.is_closing():
-            raise ConnectionResetError('the connection was lost as it opened')
+            raise ConnectionResetError('the connection was lost while opening')
         return protocol
 
     def close(self) -> None:
-        """Close for good, also what is just being opened."""
+        """Close permanently, including a connection that is being opened."""
         self._is_closed = True
         super().close()
--- a/verbenathread/types.py
+++ b/verbenathread/types.py
@@ -1,4 +1,4 @@
-"""Types that several packages share."""
+"""Types shared by several packages."""
 
 import enum
 from typing import NamedTuple
@@ -9,7 +9,7 @@
 
 
 class Address(NamedTuple):
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     host: str
     port: int
@@ -27,27 +27,28 @@
 
 
 class UpstreamState(enum.IntEnum):
-    """What an upstream last said of itself; a later state outranks."""
+    """State that an upstream last reported; higher values take precedence."""
 
     READY = 1
-    # Gets no new work; what runs there goes on.
+    # Receives no new work; running requests continue.
     LEAVING = 2
-    # Its lease ran out or it was removed.
+    # Its lease expired or it was removed.
     GONE = 3
 
 
 class UpstreamKind(enum.Enum):
-    """What stands behind a service."""
+    """Kind of upstream that serves a service."""
 
     ENGINE = 'model'
     PLAIN = 'plain'
 
 
 class UpstreamRecord(NamedTuple):
-    """One upstream, as entries tell one another.
+    """One upstream, as entries report it to one another.
 
-    Of two records of one upstream the greater ``(incarnation, state,
-    version)`` holds, so that a late renewal can't revive one that leaves.
+    Of two records of the same upstream the one with the greater
+    ``(incarnation, state, version)`` wins, so that a late renewal can't
+    revive an upstream that is leaving.
     """
 
     upstream_id: UpstreamId
@@ -60,14 +61,14 @@
     data_centre: str
     # Capacity of the KV cache in tokens; 0 for a plain service.
     memory_tokens: int
-    # Models or adapters that are loaded, in the order they were named.
+    # Loaded models or adapters, in the announced order.
     models: tuple[str, ...] = ()
-    # prefill, decode or both.
+    # One of 'prefill', 'decode' and 'both'.
     role: str = 'both'
 
 
 class LengthClass(enum.IntEnum):
-    """Classes of prompts by length; shorter ones outrank."""
+    """Classes of prompts by length; shorter prompts have priority."""
 
     SHORT = 0
     MIDDLE = 1
@@ -75,34 +76,35 @@
 
 
 class Work(NamedTuple):
-    """What the scheduler knows of one request."""
+    """One request, as the scheduler sees it."""
 
     request_id: str
     account: str
     service: str
     prompt_tokens: int
-    # Most output tokens that the engine may produce.
+    # Maximum number of output tokens that the engine may produce.
     most_output_tokens: int
-    # Output tokens expected, from what the account and service sent before.
+    # Expected output tokens, estimated from earlier requests of the account
+    # and service.
     expected_output_tokens: int
-    # Monotonic time by which the answer must be complete.
+    # Monotonic time by which the response must be complete.
     deadline: Millis
     arrival: Millis
-    # Hash of the leading block of the prompt; equal prefixes share it.
+    # Hashes of the prompt's leading blocks; equal prefixes share them.
     prefix_hashes: tuple[int, ...] = ()
 
 
 class Outcome(enum.Enum):
-    """How an attempt ended, kept apart from end to end."""
+    """How an attempt ended; the values stay distinct from end to end."""
 
     COMPLETED = 'completed'
-    # On evidence: nothing of the request took effect.
+    # Proven: the request had no effect.
     NOT_RUN = 'not-run'
     UNKNOWN = 'unknown'
 
 
 class RefusalReason(enum.Enum):
-    """Why a request was given up; callers see the value."""
+    """Why a request was refused; the value is sent to the client."""
 
     OVERLOADED = 'overloaded'
     DEADLINE = 'deadline_cannot_be_met'
@@ -115,7 +117,7 @@
 
 
 class Refusal(NamedTuple):
-    """A request that was not run, why, and when to come back."""
+    """Why a request was not run, and after how long to retry."""
 
     reason: RefusalReason
     message: str
@@ -127,10 +129,11 @@
 
     reservation_id: str
     attempt_id: str
-    # The engine that runs the attempt first; others hold parts of its KV.
+    # The engine that runs the attempt comes first; the others hold parts of
+    # its KV cache.
     upstream_ids: tuple[UpstreamId, ...]
     memory_tokens: int
     # The attempt must reach the engine before this monotonic time.
     start_by: Millis
-    # Lower runs first at the engine.
+    # Lower values run first on the engine.
     priority: int
