--- a/verbenathread/admin/client.py
+++ b/verbenathread/admin/client.py
@@ -185,7 +185,7 @@
         self,
         method: str,
         request: Any,
-        _reply_type: type[_Reply],
+        reply_type: type[_Reply],
         initial_timeout: Millis = _INITIAL_CALL_TIMEOUT,
     ) -> _Reply:
         """Ask until somebody decides, at most for the limit of a call."""
--- a/verbenathread/settings/__init__.py
+++ b/verbenathread/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings in INI: parsing, checks, defaults and the tree of branches."""
+"""INI settings: parsing, validation, defaults and the branch tree."""
--- a/verbenathread/settings/ini.py
+++ b/verbenathread/settings/ini.py
@@ -1,4 +1,4 @@
-"""Reading INI text into the messages of the schema."""
+"""Parsing of INI text into messages of the schema."""
 
 import configparser
 import difflib
@@ -19,26 +19,26 @@
 
 
 class ParsedSection(NamedTuple):
-    """One section of a text: its title, its name if any, its options."""
+    """One section of INI text: its title, its optional name, its options."""
 
     title: str
     name: str
     text_by_option: Mapping[str, str]
 
     def heading(self) -> str:
-        """Return the heading as it is written between the brackets."""
+        """Return the heading as written between the brackets."""
         return f'{self.title} {self.name}'.strip()
 
 
 class ParsedText(NamedTuple):
-    """The sections of a text, or the one problem that kept it unread."""
+    """The sections of INI text, or the problem that prevented parsing."""
 
     sections: tuple[ParsedSection, ...]
     problems: tuple[Problem, ...]
 
 
 def parse_ini(source: str, text: str) -> ParsedText:
-    """Split INI text into sections; ``source`` names it in problems."""
+    """Split INI text into sections; problems refer to it as ``source``."""
     parser = configparser.ConfigParser(
         strict=True, interpolation=None, default_section='(none)'
     )
@@ -57,9 +57,9 @@
 def fill_section(
     source: str, section: ParsedSection, target: Message
 ) -> list[Problem]:
-    """Set defaults and then the section's options on ``target``.
+    """Set the defaults and then the section's options on ``target``.
 
-    Returns every problem found; ``target`` is usable when there is none.
+    Returns every problem found; ``target`` is valid only if there is none.
     """
     fill_defaults(target)
     option_by_name = {option.name: option for option in options_of(target)}
@@ -88,13 +88,13 @@
 def unknown_section_problem(
     source: str, section: ParsedSection, titles: Iterable[str]
 ) -> Problem:
-    """Return the problem of a section that the schema does not know."""
+    """Return the problem of a section that the schema does not define."""
     known = sorted(titles)
     return Problem(
         source,
         section.heading(),
         '',
-        'there is no such section',
+        'unknown section',
         _suggestion(section.title, known, 'write one of'),
     )
 
@@ -102,7 +102,7 @@
 def check_section_name(
     source: str, section: ParsedSection, target: Message
 ) -> Problem | None:
-    """Return a problem if the section lacks a name or has one too many."""
+    """Return a problem if a required name is missing or not allowed."""
     named = section_of(target).named
     if named and not section.name:
         message = 'the section has no name'
@@ -143,7 +143,7 @@
         source,
         section.heading(),
         name,
-        'there is no such option',
+        'unknown option',
         _suggestion(name, sorted(known), 'remove it or write one of'),
     )
 
@@ -161,7 +161,7 @@
             source,
             error.section,
             error.option,
-            f'the option stands twice, again in line {error.lineno}',
+            f'the option is repeated in line {error.lineno}',
             'keep one of the two',
         )
     if isinstance(error, configparser.DuplicateSectionError):
@@ -169,8 +169,8 @@
             source,
             error.section,
             '',
-            f'the section stands twice, again in line {error.lineno}',
-            'join the two',
+            f'the section is repeated in line {error.lineno}',
+            'merge the two',
         )
     line = getattr(error, 'lineno', None)
     if line is None and isinstance(error, configparser.ParsingError):
@@ -179,6 +179,6 @@
         source,
         '',
         '',
-        f'line {line} is not INI',
+        f'line {line} is not valid INI',
         'write [section], option = value, or # comment',
     )
--- a/verbenathread/settings/node.py
+++ b/verbenathread/settings/node.py
@@ -1,4 +1,4 @@
-"""Settings of one node, from a file beside the program."""
+"""Settings of one node, read from a local INI file."""
 
 import ipaddress
 import re
@@ -21,8 +21,8 @@
 
 _MIN_PORT = 0
 _MAX_PORT = 65535
-_ADDRESS_REMEDY = 'write an IP number and a port, such as 127.0.0.1:8080'
-_PEERS_REMEDY = 'write id@ip:port, comma separated'
+_ADDRESS_REMEDY = 'write an IP address and a port, such as 127.0.0.1:8080'
+_PEERS_REMEDY = 'write id@ip:port, separated by commas'
 _ADDRESS_OPTIONS = (
     ('entry', 'listen'),
     ('entry', 'peer_listen'),
@@ -42,43 +42,43 @@
 
 
 def parse_address(text: str) -> Address:
-    """Read ``ip:port``; raise :class:`SettingsError` when it is none."""
+    """Parse ``ip:port``; raise :class:`SettingsError` if it is invalid."""
     host, _, port_text = text.strip().rpartition(':')
     host = host.strip('[]')
     try:
         ipaddress.ip_address(host)
     except ValueError:
-        raise SettingsError(f'{text!r} is no address; {_ADDRESS_REMEDY}')
+        raise SettingsError(f'{text!r} is not an address; {_ADDRESS_REMEDY}')
     if not re.fullmatch(r'\d{1,5}', port_text):
         raise SettingsError(f'{text!r} has no port; {_ADDRESS_REMEDY}')
     port = int(port_text)
     if not _MIN_PORT <= port <= _MAX_PORT:
-        raise SettingsError(f'{text!r} has no such port; {_ADDRESS_REMEDY}')
+        raise SettingsError(f'{text!r} has an invalid port; {_ADDRESS_REMEDY}')
     return Address(host, port)
 
 
 def parse_addresses(text: str) -> tuple[Address, ...]:
-    """Read comma-separated addresses."""
+    """Parse comma-separated addresses."""
     return tuple(parse_address(part) for part in _split_list(text))
 
 
 def parse_peers(text: str) -> tuple[Peer, ...]:
-    """Read comma-separated ``id@ip:port``."""
+    """Parse comma-separated peers of the form ``id@ip:port``."""
     peers = []
     for part in _split_list(text):
         node_id, at_sign, address = part.partition('@')
         if not at_sign or not node_id:
-            raise SettingsError(f'{part!r} is no peer; {_PEERS_REMEDY}')
+            raise SettingsError(f'{part!r} is not a peer; {_PEERS_REMEDY}')
         peers.append(Peer(node_id, parse_address(address)))
     if len({peer.node_id for peer in peers}) < len(peers):
-        raise SettingsError('a peer stands twice; keep one of the two')
+        raise SettingsError('a peer is listed twice; keep one of the two')
     return tuple(peers)
 
 
 def check_node_text(
     source: str, text: str
 ) -> tuple[settings_pb2.NodeSettings, list[Problem]]:
-    """Read the settings of a node and return every problem found."""
+    """Parse the settings of a node and return them with all problems."""
     node = settings_pb2.NodeSettings()
     parsed = parse_ini(source, text)
     if parsed.problems:
@@ -102,7 +102,7 @@
 
 
 def load_node_settings(path: str) -> settings_pb2.NodeSettings:
-    """Read the file at ``path``; raise :class:`SettingsError` if it is bad."""
+    """Read the file at ``path``; raise :class:`SettingsError` if invalid."""
     try:
         text = Path(path).read_text(encoding='utf-8')
     except (OSError, UnicodeDecodeError) as error:
@@ -125,7 +125,7 @@
             source,
             '',
             '',
-            f'there is no section of a role: {", ".join(_ROLES)}',
+            f'there is no role section: {", ".join(_ROLES)}',
             'add the section of the role that this node runs',
         )
     ]
--- a/verbenathread/settings/rules.py
+++ b/verbenathread/settings/rules.py
@@ -1,4 +1,4 @@
-"""The rules that the schema gives for each option, and their checks."""
+"""The schema's rules for options, and the checks that apply them."""
 
 import re
 from collections.abc import Iterator
@@ -20,7 +20,7 @@
 
 
 class Problem(NamedTuple):
-    """One thing wrong with a settings text, and what to write instead."""
+    """One error in a settings text, and how to fix it."""
 
     source: str
     section: str
@@ -37,23 +37,23 @@
 
 
 class BadValueError(ValueError):
-    """A value breaks its option's rule; holds what to write instead."""
+    """A value violates its option's rule; ``remedy`` says how to fix it."""
 
     def __init__(self, message: str, remedy: str) -> None:
-        """Keep the remedy beside the message."""
+        """Store the message and the remedy."""
         super().__init__(message)
         self.remedy = remedy
 
 
 class Option(NamedTuple):
-    """One option of a section: its field and its rule."""
+    """One option of a section: its name, field and rule."""
 
     name: str
     field: FieldDescriptor
     rule: settings_pb2.Rule
 
     def value_description(self) -> str:
-        """Return the kind of value in words, for people."""
+        """Return a readable description of the accepted values."""
         if self.rule.choices:
             return f'one of {", ".join(self.rule.choices)}'
         if self.field.type == FieldDescriptor.TYPE_BOOL:
@@ -66,15 +66,15 @@
 
 
 def section_of(message: Message) -> settings_pb2.Section:
-    """Return how the section of a message is named."""
-    # The generated stubs do not type the extensions of options.
+    """Return the section options that the schema declares for a message."""
+    # The generated stubs have no types for the extensions of options.
     extensions: Any = message.DESCRIPTOR.GetOptions().Extensions
     section: settings_pb2.Section = extensions[settings_pb2.section]
     return section
 
 
 def options_of(message: Message) -> Iterator[Option]:
-    """Yield the options of one section in the order of the schema."""
+    """Yield the options of one section in schema order."""
     fields: Any = message.DESCRIPTOR.fields
     for field in fields:
         rule = field.GetOptions().Extensions[settings_pb2.rule]
@@ -82,16 +82,16 @@
 
 
 def fill_defaults(target: Message) -> None:
-    """Set every option of one section message to its default."""
+    """Set every option of a section message that has a default."""
     for option in options_of(target):
         if option.rule.default_text:
             set_option(target, option, option.rule.default_text)
 
 
 def set_option(target: Message, option: Option, text: str) -> None:
-    """Check ``text`` and set it on ``target``.
+    """Validate ``text`` and set the option on ``target``.
 
-    Raises :class:`BadValueError`, whose remedy says what to write.
+    Raises :class:`BadValueError` if ``text`` is invalid.
     """
     setattr(target, option.name, _convert(option, text.strip()))
 
@@ -100,7 +100,8 @@
     rule = option.rule
     if rule.choices and text not in rule.choices:
         raise BadValueError(
-            f'{text!r} is not a choice', f'write {option.value_description()}'
+            f'{text!r} is not a valid choice',
+            f'write {option.value_description()}',
         )
     if option.field.type == FieldDescriptor.TYPE_BOOL:
         return _convert_bool(text)
@@ -123,7 +124,7 @@
     if pattern and re.fullmatch(pattern, text) is None:
         shown = '(not shown)' if option.rule.secret else repr(text)
         raise BadValueError(
-            f'{shown} does not fit', f'write a value that matches {pattern}'
+            f'{shown} is not valid', f'write a value that matches {pattern}'
         )
     if option.rule.required and not text:
         raise BadValueError('the value is empty', f'write {option.rule.help}')
@@ -141,7 +142,7 @@
         raise BadValueError(
             f'{text!r} is not a {option.value_description()}', remedy
         )
-    # The comparison is written so that a NaN fails it.
+    # Negated so that NaN, which fails every comparison, is rejected too.
     if not rule.least <= number <= rule.most:
         raise BadValueError(f'{text} is out of range', remedy)
     return number
--- a/verbenathread/settings/tree.py
+++ b/verbenathread/settings/tree.py
@@ -1,8 +1,8 @@
-"""The tree of shared settings: one branch of INI text for each team.
+"""The tree of shared settings, with one branch of INI text per team.
 
 The root branch is ``/``; a team's branch is ``/team`` or ``/team/part``. A
-branch takes the policy that it does not write itself from the branch above.
-Names of client accounts, services and operators are unique over the tree.
+branch inherits the policy options that it does not set from its ancestors.
+Names of client accounts, services and operators are unique in the tree.
 """
 
 import functools
@@ -50,42 +50,40 @@
 
 
 class ParsedBranch(NamedTuple):
-    """The settings of one branch and what its policy section writes."""
+    """The settings of one branch, and the text of its own policy options."""
 
     settings: settings_pb2.BranchSettings
     written_policy: Mapping[str, str]
 
 
 class OwnedOperator(NamedTuple):
-    """An operator and the branch that names it."""
+    """An operator and the path of the branch that defines it."""
 
     path: str
     settings: settings_pb2.OperatorSettings
 
 
 def key_hash(key: str) -> str:
-    """Return the SHA-256 of a key as settings hold it."""
+    """Return the SHA-256 of a key as stored in settings."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 def covers(path: str, other: str) -> bool:
-    """Tell whether ``other`` is the branch ``path`` or lies below it."""
+    """Return whether ``other`` is ``path`` or one of its descendants."""
     if path in {ROOT_PATH, other}:
         return True
     return other.startswith(f'{path}/')
 
 
 def check_path(path: str) -> Problem | None:
-    """Return the problem of a branch's path, or None."""
+    """Return the problem with a branch path, or None if it is valid."""
     if _PATH_PATTERN.fullmatch(path):
         return None
-    return Problem(
-        path, '', '', f'{path!r} is no path of a branch', _PATH_REMEDY
-    )
+    return Problem(path, '', '', f'{path!r} is not a branch path', _PATH_REMEDY)
 
 
 def ancestors(path: str) -> Iterator[str]:
-    """Yield the branches from the root down to ``path`` itself."""
+    """Yield the paths from the root down to ``path``, both included."""
     yield ROOT_PATH
     names = [name for name in path.split('/') if name]
     for count in range(1, len(names) + 1):
@@ -94,15 +92,15 @@
 
 
 def parse_branch(path: str, text: str) -> tuple[ParsedBranch, list[Problem]]:
-    """Read one branch and return every problem found in it.
+    """Parse one branch and return it with every problem found.
 
-    The branch is shared between calls and must not be changed.
+    The branch is cached between calls and must not be modified.
     """
     branch, problems = _parse_branch(path, text)
     return branch, list(problems)
 
 
-# One change leaves all other branches as they were, so they are not read anew.
+# Cached because a change to one branch leaves all others unchanged.
 @functools.lru_cache(maxsize=_CACHED_BRANCHES)
 def _parse_branch(
     path: str, text: str
@@ -116,7 +114,7 @@
                 '',
                 '',
                 f'the branch is over {MAX_BRANCH_BYTES} bytes',
-                'split it into branches below it',
+                'split it into child branches',
             )
         ]
     parsed = parse_ini(path, text)
@@ -132,7 +130,7 @@
 
 
 def check_tree(text_by_path: Mapping[str, str]) -> list[Problem]:
-    """Return every problem of the whole tree; none means it can be applied."""
+    """Return every problem of the tree; without any it can be applied."""
     problems = []
     branch_by_path = {}
     for path, text in sorted(text_by_path.items()):
@@ -149,10 +147,10 @@
 
 
 class EffectiveTree:
-    """The tree as nodes use it; built from texts that were checked."""
+    """The tree as nodes use it, built from texts that were validated."""
 
     def __init__(self, text_by_path: Mapping[str, str]) -> None:
-        """Index the branches; texts with problems are read as far as good."""
+        """Index the branches; invalid parts of a text are skipped."""
         self._branch_by_path = {
             path: parse_branch(path, text)[0]
             for path, text in sorted(text_by_path.items())
@@ -171,7 +169,7 @@
     def account_by_key(
         self, bearer_key: str
     ) -> tuple[str, settings_pb2.AccountSettings] | None:
-        """Return name and settings of the account that owns the key."""
+        """Return the name and settings of the client account with this key."""
         return self._account_by_key_hash.get(key_hash(bearer_key))
 
     def account(self, name: str) -> settings_pb2.AccountSettings | None:
@@ -191,15 +189,15 @@
         return tuple(sorted(self._service_by_name))
 
     def service_path(self, name: str) -> str | None:
-        """Return the branch that holds the service."""
+        """Return the path of the branch that defines the service."""
         return self._path_by_service.get(name)
 
     def operator(self, name: str) -> OwnedOperator | None:
-        """Return one operator and the branch that names it."""
+        """Return one operator and the branch that defines it."""
         return self._operator_by_name.get(name)
 
     def policy(self, service: str) -> settings_pb2.PolicySettings:
-        """Return the policy of the branch that holds the service."""
+        """Return the policy of the branch that defines the service."""
         path = self._path_by_service.get(service, ROOT_PATH)
         if path not in self._policy_by_path:
             self._policy_by_path[path] = effective_policy(
@@ -224,7 +222,7 @@
 def effective_policy(
     path: str, branch_by_path: Mapping[str, ParsedBranch]
 ) -> settings_pb2.PolicySettings:
-    """Return the policy at ``path``: its own, then from the branches above."""
+    """Return the policy at ``path``, including inherited options."""
     policy = settings_pb2.PolicySettings()
     fill_defaults(policy)
     option_by_name = {option.name: option for option in options_of(policy)}
@@ -255,7 +253,7 @@
                 path,
                 section.heading(),
                 '',
-                'the name does not fit',
+                'the name is not valid',
                 f'write a name that matches {_NAME_PATTERN.pattern}',
             )
         )
@@ -285,8 +283,8 @@
                     path,
                     section.heading(),
                     'idempotent',
-                    f'{method.strip()!r} is no method',
-                    'write methods such as GET,HEAD, comma separated',
+                    f'{method.strip()!r} is not an HTTP method',
+                    'write methods separated by commas, such as GET,HEAD',
                 )
             )
     return problems
@@ -308,7 +306,7 @@
                     path,
                     shown,
                     '',
-                    f'it stands in branch {earlier} already',
+                    f'it is already defined in branch {earlier}',
                     'choose another',
                 )
             )
@@ -332,12 +330,12 @@
     problems: list[Problem] = []
     for path, branch in branch_by_path.items():
         if not branch.written_policy:
-            # It takes the policy of a branch above, which is checked there.
+            # It inherits the policy of an ancestor, which is checked there.
             continue
         try:
             policy = effective_policy(path, branch_by_path)
         except (KeyError, ValueError):
-            # The branch that wrote the option has its own problem already.
+            # Already reported for the branch that sets the option.
             continue
         if policy.short_tokens < policy.long_tokens:
             continue
