--- a/tests/test_admin_commands.py
+++ b/tests/test_admin_commands.py
@@ -21,7 +21,7 @@
 from verbenathread.commands import CORE_COMMANDS
 
 BRANCH = """\
-# Kept by the desk.
+# Owned by the desk.
 [account tillery]
 key_sha256 = {key}
 
@@ -56,20 +56,20 @@
         self.common = ('--control', addresses, '--key-file')
 
     def test_commands(self):
-        """Each row: the operator, the words, the exit code, what it says."""
+        """Each row: operator, arguments, exit code, expected output."""
         rows = (
             ('root', 'config get', 0, ''),
-            ('root', 'config apply /desk @branch', 0, '/desk stands at'),
+            ('root', 'config apply /desk @branch', 0, '/desk is now at'),
             ('root', 'config apply /desk @bad', 2, 'key_sha256'),
             ('root', 'config apply /desk @branch --expected 1', 3, 'by root'),
-            ('mo', 'config get /desk', 0, '# Kept by the desk.'),
+            ('mo', 'config get /desk', 0, '# Owned by the desk.'),
             ('mo', 'config apply /ledger @branch', 4, 'may not do this'),
             ('bad', 'config get /desk', 4, 'check the name and key'),
             (
                 'mo',
                 'config set /desk account~tillery weight 2 --comment ask',
                 0,
-                'stands at',
+                'is now at',
             ),
             ('mo', 'config get /desk', 0, '[account tillery]\nweight = 2\n'),
             ('mo', 'config diff /desk @branch', 0, '-weight = 2'),
@@ -79,11 +79,11 @@
                 'service add cot-ledger --path /desk --new-key @mo'
                 ' --set kind=plain',
                 0,
-                'stands at',
+                'is now at',
             ),
             ('mo', 'service list', 0, 'plain'),
-            ('mo', 'service remove none', 2, 'no branch holds'),
-            ('mo', 'account remove tillery', 0, 'stands at'),
+            ('mo', 'service remove none', 2, 'no branch defines'),
+            ('mo', 'account remove tillery', 0, 'is now at'),
             ('mo', 'account list', 0, 'tokens/s'),
             (
                 'mo',
@@ -95,18 +95,18 @@
             ('mo', 'upstream drain w9 on', 2, 'is not an address'),
             ('mo', 'upstream list', 0, 'a7'),
             ('mo', 'member remove c0', 4, 'may not do this'),
-            ('root', 'config remove /desk', 0, 'stands at'),
-            ('root', 'config apply /desk @branch', 0, 'stands at'),
+            ('root', 'config remove /desk', 0, 'is now at'),
+            ('root', 'config apply /desk @branch', 0, 'is now at'),
             ('root', 'audit --path /desk', 0, 'conflict'),
             ('root', 'audit', 0, 'invalid: /desk [account x] key_sha256'),
             ('root', 'config status', 0, 'live nodes run it'),
             ('root', 'status', 0, 'leader c0'),
         )
-        for operator, words, code, said in rows:
+        for operator, words, code, expected in rows:
             with self.subTest(operator=operator, words=words):
                 seen, text = self._run(operator, words)
                 self.assertEqual((seen, text), (code, text))
-                self.assertIn(said, text)
+                self.assertIn(expected, text)
         _, text = self._run('root', 'audit --json')
         results = {record['result'] for record in json.loads(text)}
         self.assertLessEqual({'accepted', 'conflict', 'denied'}, results)
@@ -125,12 +125,12 @@
 
 
 class UnreachableTest(unittest.TestCase):
-    def test_nobody_there(self):
+    def test_unreachable_control(self):
         key = self.enterContext(tempfile.NamedTemporaryFile())
         self.enterContext(
             patch('verbenathread.admin.options.CALL_TIMEOUT', 300)
         )
-        for control, code, said in (
+        for control, code, expected in (
             ('127.0.0.1:1', 5, 'no control process leads'),
             ('host', 2, 'is not an address'),
             ('', 2, 'use --control'),
@@ -140,4 +140,4 @@
                     'status', '--control', control, '--key-file', key.name
                 )
                 self.assertEqual(seen, code)
-                self.assertIn(said, text)
+                self.assertIn(expected, text)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -41,7 +41,7 @@
 
 
 class NodeSettingsTest(unittest.TestCase):
-    def test_decases_come_from_the_schema(self):
+    def test_defaults_come_from_the_schema(self):
         node, problems = check_node_text('e1.ini', NODE)
         self.assertEqual(problems, [])
         self.assertEqual(node.entry.streams, 256)
@@ -183,7 +183,7 @@
 
 
 class SchemaTest(unittest.TestCase):
-    def test_decases_satisfy_their_rules(self):
+    def test_defaults_satisfy_their_rules(self):
         for name in ('PolicySettings', 'ServiceSettings', 'EntrySection'):
             with self.subTest(name=name):
                 message = getattr(settings_pb2, name)()
--- a/verbenathread/admin/__init__.py
+++ b/verbenathread/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's side of control."""
+"""Operator commands and the client with which they call control."""
--- a/verbenathread/admin/branch_text.py
+++ b/verbenathread/admin/branch_text.py
@@ -1,4 +1,4 @@
-"""Edits of one branch's INI text that leave all other lines as they are."""
+"""Edits of a branch's INI text that leave all other lines unchanged."""
 
 import re
 from collections.abc import Mapping
@@ -10,9 +10,9 @@
 
 
 def set_option(text: str, heading: str, option: str, setting: str) -> str:
-    """Return the text with one option of a section written anew.
+    """Return the text with one option of a section set.
 
-    A section that is not there yet is added at the end.
+    A missing section is appended.
     """
     lines = text.splitlines()
     span = _section_lines(lines, heading)
@@ -31,10 +31,10 @@
 def add_section(
     text: str, heading: str, setting_by_option: Mapping[str, str]
 ) -> str:
-    """Return the text with one more section at its end."""
+    """Return the text with a new section appended."""
     lines = text.splitlines()
     if _section_lines(lines, heading) is not None:
-        raise UsageError(f'[{heading}] stands already; use config set')
+        raise UsageError(f'[{heading}] already exists; use config set')
     if lines:
         lines.append('')
     lines.append(f'[{heading}]')
@@ -44,22 +44,24 @@
 
 
 def remove_section(text: str, heading: str) -> str:
-    """Return the text without one section."""
+    """Return the text without the section."""
     lines = text.splitlines()
     span = _section_lines(lines, heading)
     if span is None:
-        raise UsageError(f'there is no [{heading}] here; see config get')
+        raise UsageError(
+            f'there is no [{heading}] in this branch; see config get'
+        )
     kept = lines[: span.start - 1] + lines[span.stop :]
     return _join_lines(kept)
 
 
 def has_section(text: str, heading: str) -> bool:
-    """Tell whether a section stands in the text."""
+    """Return whether the text contains the section."""
     return _section_lines(text.splitlines(), heading) is not None
 
 
 def _section_lines(lines: list[str], heading: str) -> range | None:
-    """Return the numbers of the lines below a heading."""
+    """Return the line numbers of a section's body, or None."""
     start = None
     for number, line in enumerate(lines):
         found = _HEADING.fullmatch(line)
--- a/verbenathread/admin/client.py
+++ b/verbenathread/admin/client.py
@@ -1,4 +1,4 @@
-"""Client of control for operators: finds the leader and resends safely."""
+"""Client of control for operators: finds the leader and retries safely."""
 
 import asyncio
 import contextlib
@@ -23,10 +23,10 @@
 from verbenathread.settings.node import parse_address
 from verbenathread.types import Address, Millis
 
-# How long a call looks for a leader that answers, in ms.
+# How long a call looks for a leader.
 DEFAULT_TIMEOUT: Millis = 15_000
-# A process that stands still is left for another one after this long, in ms;
-# the wait doubles, and resends are safe.
+# A process that stalls is given up for another one after this time, which
+# doubles with each timeout. Resending is safe.
 _INITIAL_CALL_TIMEOUT: Millis = 1000
 _MAX_CALL_TIMEOUT: Millis = 8000
 _MEMBER_CALL_TIMEOUT: Millis = 35_000
@@ -42,19 +42,19 @@
 
 
 class BranchConflictError(ConflictError):
-    """Another change came first; ``current`` is what stands now."""
+    """Another change came first; ``current`` is the branch as it is now."""
 
     def __init__(self, message: str, current: control_pb2.Branch) -> None:
-        """Keep the branch beside the message."""
+        """Store the message and the current branch."""
         super().__init__(message)
         self.current = current
 
 
 class ControlClient:
-    """Calls whichever control process leads.
+    """Sends calls to whichever control process leads.
 
-    A call whose answer was lost is sent again under the same operation
-    identifier, so it takes effect once and gets its first answer.
+    A call whose reply was lost is sent again with the same operation ID, so
+    it takes effect only once and gets the original reply.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
         operator_key: str,
         timeout: Millis = DEFAULT_TIMEOUT,
     ) -> None:
-        """Ask the control processes at ``addresses``."""
+        """Create a client of the control processes at ``addresses``."""
         self._addresses = list(addresses)
         self._timeout = timeout
         self._channel_by_address: dict[Address, Channel] = {}
@@ -85,7 +85,7 @@
     ) -> int:
         """Change a branch and return its new revision.
 
-        Raises :class:`BranchConflictError` when the branch does not stand at
+        Raises :class:`BranchConflictError` if the branch is not at
         ``expected_revision``.
         """
         request = control_pb2.ChangeRequest(
@@ -112,7 +112,7 @@
         return await self._call('ReadTree', request, control_pb2.ReadTreeReply)
 
     async def history(self, path: str, limit: int) -> control_pb2.HistoryReply:
-        """Return the last accepted changes of a branch, newest first."""
+        """Return the latest accepted changes of a branch, newest first."""
         request = control_pb2.HistoryRequest(
             path=path, limit=limit, **self._credentials
         )
@@ -131,7 +131,7 @@
         return await self._call('Audit', request, control_pb2.AuditReply)
 
     async def status(self) -> control_pb2.StatusReply:
-        """Return the group, the nodes, the upstreams and their orders."""
+        """Return the control group, nodes, upstreams and their orders."""
         request = control_pb2.StatusRequest(**self._credentials)
         return await self._call('Status', request, control_pb2.StatusReply)
 
@@ -144,7 +144,7 @@
         address: str = '',
         service: str = '',
     ) -> control_pb2.OrderReply:
-        """Set what an upstream is wanted to be."""
+        """Set the desired state of an upstream."""
         request = control_pb2.OrderRequest(
             operation_id=new_operation_id(),
             upstream_id=upstream_id,
@@ -167,7 +167,8 @@
             address=address,
             **self._credentials,
         )
-        # Catching up takes long, and a resend would be a second change.
+        # Long timeout: a new member takes a while to catch up, and a resent
+        # call would be a second change.
         await self._call(
             'ChangeMember',
             request,
@@ -188,13 +189,13 @@
         reply_type: type[_Reply],
         initial_timeout: Millis = _INITIAL_CALL_TIMEOUT,
     ) -> _Reply:
-        """Ask until somebody decides, at most for the limit of a call."""
+        """Call the processes in turn until one replies or time runs out."""
         loop = asyncio.get_running_loop()
-        end = loop.time() + seconds(self._timeout)
+        deadline = loop.time() + seconds(self._timeout)
         search = _LeaderSearch(self._addresses, initial_timeout)
-        while loop.time() < end:
-            left = int((end - loop.time()) * MS_PER_SECOND)
-            reply = await self._call_next(search, method, request, left)
+        while loop.time() < deadline:
+            remaining = int((deadline - loop.time()) * MS_PER_SECOND)
+            reply = await self._call_next(search, method, request, remaining)
             if reply is not None:
                 code = reply.answer.code
                 if code not in _RETRYABLE_CODES:
@@ -212,12 +213,14 @@
         request: Any,
         remaining: Millis,
     ) -> Any:
-        """Return the reply of the next process, or None if none came."""
+        """Call the next process and return its reply, or None on failure."""
         address = search.next_address()
-        limit = seconds(max(1, min(remaining, search.call_timeout())))
+        timeout = seconds(max(1, min(remaining, search.call_timeout())))
         call = getattr(ControlStub(self._channel(address)), method)
         try:
-            return await asyncio.wait_for(call(request, timeout=limit), limit)
+            return await asyncio.wait_for(
+                call(request, timeout=timeout), timeout
+            )
         except RPC_ERRORS as error:
             search.record_failure(address, error)
         return None
@@ -231,7 +234,7 @@
 
 
 class _LeaderSearch:
-    """Where one call goes next, and what came of it so far."""
+    """Chooses the process to call next and records earlier failures."""
 
     def __init__(
         self, addresses: Sequence[Address], initial_timeout: Millis
@@ -240,7 +243,7 @@
         self._addresses = list(addresses)
         self._call_count = 0
         self._hint: Address | None = None
-        self._last_message = 'no control process was asked'
+        self._last_message = 'no control process was called'
         self._outcome_unknown = False
 
     def next_address(self) -> Address:
@@ -253,7 +256,7 @@
         return address
 
     def has_tried_all(self) -> bool:
-        """Tell whether everybody was asked since the last pause."""
+        """Return whether every process was called since the last pause."""
         if self._hint is not None:
             return False
         return self._call_count % len(self._addresses) == 0
@@ -271,7 +274,7 @@
 
     def record_failure(self, address: Address, error: Exception) -> None:
         self._last_message = f'{address}: {error or type(error).__name__}'
-        # A refused connect is the one break that surely carried nothing.
+        # Only a refused connection proves that the call was not received.
         if not isinstance(error, ConnectionRefusedError):
             self._outcome_unknown = True
         if isinstance(error, TimeoutError):
@@ -283,17 +286,17 @@
     def raise_failure(self) -> NoReturn:
         if self._outcome_unknown:
             raise UnknownOutcomeError(
-                f'no control process confirmed it ({self._last_message}); look at '
-                + 'the audit trail before you repeat it'
+                f'no control process confirmed it ({self._last_message}); check '
+                + 'the audit trail before retrying'
             )
         raise UnavailableError(
-            f'no control process leads now ({self._last_message}); see that a '
-            + 'majority runs, then try again'
+            f'no control process leads now ({self._last_message}); make sure '
+            + 'that a majority runs, then try again'
         )
 
 
 def new_operation_id() -> str:
-    """Return a fresh operation identifier."""
+    """Return a new operation ID."""
     return uuid.uuid4().hex
 
 
--- a/verbenathread/admin/commands.py
+++ b/verbenathread/admin/commands.py
@@ -1,4 +1,4 @@
-"""The table of operator commands, from which the command line is built."""
+"""The table of operator commands."""
 
 from collections.abc import Iterator
 
@@ -19,47 +19,52 @@
 _FILE = argument('file', metavar='FILE', help='INI text of the branch')
 _NAME = argument('name', metavar='NAME')
 _UPSTREAM = argument('upstream', metavar='UPSTREAM')
-_ADDRESS = argument('--address', help='IP number and port, if not announced')
-_SERVICE = argument('--service', help='its service, if not announced')
+_ADDRESS = argument('--address', help='IP address and port, if not announced')
+_SERVICE = argument(
+    '--service', help='service of the upstream, if not announced'
+)
 _LIMIT = argument(
-    '--limit', type=int, default=_DEFAULT_RECORDS, help='most records shown'
+    '--limit',
+    type=int,
+    default=_DEFAULT_RECORDS,
+    help='maximum number of records to show',
 )
 _CHANGE_ARGUMENTS = (
     argument(
         '--expected',
         type=int,
         metavar='REVISION',
-        help='revision that must stand; else the one that stands now',
+        help='revision that the branch must be at; default: its current one',
     ),
-    argument('--comment', metavar='TEXT', help='why, for the audit trail'),
+    argument('--comment', metavar='TEXT', help='reason, for the audit trail'),
 )
 _ADD_ARGUMENTS = (
     _NAME,
-    argument('--path', required=True, help='branch that gets it'),
+    argument('--path', required=True, help='branch to add it to'),
     argument(
         '--new-key',
         required=True,
         metavar='FILE',
-        help='file with its key; only the hash is kept',
+        help='file with its key; only the hash is stored',
     ),
     argument(
         '--set',
         action='append',
         metavar='OPTION=VALUE',
-        help='further option; may be given again',
+        help='another option; may be repeated',
     ),
     *_CHANGE_ARGUMENTS,
 )
 
 
 def _command(
-    name: str, call: ClientCall, words: str, *arguments: Argument
+    name: str, call: ClientCall, example: str, *arguments: Argument
 ) -> Command:
     return Command(
         name,
         call.__doc__ or '',
         operator_arguments(*arguments),
-        f'{_PROGRAM} {name} {words}'.strip(),
+        f'{_PROGRAM} {name} {example}'.strip(),
         with_client(call),
     )
 
@@ -70,7 +75,11 @@
         config.run_config_get,
         '/desk',
         argument('path', nargs='?', default=ROOT_PATH, metavar='PATH'),
-        argument('--stale', action='store_true', help='any process may answer'),
+        argument(
+            '--stale',
+            action='store_true',
+            help='allow any process to answer, even with old data',
+        ),
     )
     yield _command(
         'config set',
@@ -168,7 +177,7 @@
             type=int,
             default=0,
             metavar='INDEX',
-            help='records after this index; else the newest ones',
+            help='records after this index; default: the newest ones',
         ),
         _LIMIT,
     )
@@ -179,7 +188,7 @@
         'add control-4 --address 10.0.0.4:8090',
         argument('action', choices=('add', 'promote', 'remove')),
         argument('node', metavar='NODE'),
-        argument('--address', help='IP number and port of a new member'),
+        argument('--address', help='IP address and port of a new member'),
     )
 
 
--- a/verbenathread/admin/config_commands.py
+++ b/verbenathread/admin/config_commands.py
@@ -14,7 +14,7 @@
 
 
 class _Columns(NamedTuple):
-    """What a list shows beside the name and the branch of each section."""
+    """Column titles of a list, and the options shown after the branch."""
 
     titles: tuple[str, ...]
     options: tuple[str, ...]
@@ -45,7 +45,7 @@
 async def run_config_set(
     client: ControlClient, options: argparse.Namespace
 ) -> CommandOutput:
-    """Write one option of one section."""
+    """Set one option of one section."""
     branch = await _read_branch(client, options.path)
     text = branch_text.set_option(
         branch.text, options.section, options.option, options.setting
@@ -56,7 +56,7 @@
 async def run_config_apply(
     client: ControlClient, options: argparse.Namespace
 ) -> CommandOutput:
-    """Make a file the whole text of a branch."""
+    """Replace the text of a branch with a file."""
     branch = await _read_branch(client, options.path)
     return await _change_branch(
         client, options, branch, _read_file(options.file)
@@ -91,7 +91,7 @@
 async def run_config_history(
     client: ControlClient, options: argparse.Namespace
 ) -> CommandOutput:
-    """Show the last accepted changes of a branch."""
+    """Show the latest accepted changes of a branch."""
     reply = await client.history(options.path, options.limit)
     rows = [
         (
@@ -138,21 +138,21 @@
 async def run_account_remove(
     client: ControlClient, options: argparse.Namespace
 ) -> CommandOutput:
-    """Remove a client account, in whichever branch it stands."""
+    """Remove a client account from the branch that defines it."""
     return await _remove_section(client, options, f'account {options.name}')
 
 
 async def run_service_remove(
     client: ControlClient, options: argparse.Namespace
 ) -> CommandOutput:
-    """Remove a service, in whichever branch it stands."""
+    """Remove a service from the branch that defines it."""
     return await _remove_section(client, options, f'service {options.name}')
 
 
 async def _list_sections(
     client: ControlClient, field: str, columns: _Columns
 ) -> CommandOutput:
-    """Return one row for each named section of every branch."""
+    """Return a table with a row for each named section of every branch."""
     reply = await client.read_tree()
     rows = []
     for branch in reply.branches:
@@ -198,7 +198,7 @@
     for branch in branches:
         if branch_text.has_section(branch.text, heading):
             return branch
-    raise UsageError(f'no branch holds [{heading}]; see config get')
+    raise UsageError(f'no branch defines [{heading}]; see config get')
 
 
 async def _read_branch(client: ControlClient, path: str) -> control_pb2.Branch:
@@ -208,7 +208,7 @@
         if branch.path == path and covers(path, branch.path):
             return branch
     history = await client.history(path, 1)
-    # A removed branch is made again on the revision of its removal.
+    # A removed branch is recreated on top of the revision that removed it.
     revision = history.records[0].revision if history.records else 0
     return control_pb2.Branch(path=path, revision=revision)
 
@@ -238,7 +238,7 @@
 
 def _accepted_output(path: str, revision: int) -> CommandOutput:
     return CommandOutput(
-        f'{path} stands at revision {revision}; config status shows which '
+        f'{path} is now at revision {revision}; config status shows which '
         + 'nodes run it',
         {'path': path, 'revision': revision},
     )
--- a/verbenathread/admin/fleet_commands.py
+++ b/verbenathread/admin/fleet_commands.py
@@ -1,4 +1,4 @@
-"""Commands about nodes, upstreams, members and the audit trail."""
+"""Commands for nodes, upstreams, members and the audit trail."""
 
 import argparse
 
@@ -60,7 +60,7 @@
 async def run_upstream_list(
     client: ControlClient, _options: argparse.Namespace
 ) -> CommandOutput:
-    """List upstreams as nodes told of them, and their orders."""
+    """List upstreams as reported by nodes, and their orders."""
     reply = await client.status()
     rows = [
         (
@@ -85,7 +85,7 @@
 async def run_upstream_drain(
     client: ControlClient, options: argparse.Namespace
 ) -> CommandOutput:
-    """Order an upstream to take no new work, or to take it again."""
+    """Order an upstream to stop or resume accepting new work."""
     options.action = 'drain'
     options.subject = options.switch
     return await run_upstream_order(client, options)
@@ -94,7 +94,7 @@
 async def run_upstream_order(
     client: ControlClient, options: argparse.Namespace
 ) -> CommandOutput:
-    """Set what an upstream is wanted to be."""
+    """Set the desired state of an upstream."""
     reply = await client.order(
         options.upstream,
         options.action,
@@ -103,8 +103,8 @@
         service=options.service or '',
     )
     return CommandOutput(
-        f'ordered under fencing number {reply.fencing}; upstream list shows '
-        + 'when the upstream follows it',
+        f'ordered with fencing number {reply.fencing}; upstream list shows '
+        + 'when the upstream has applied it',
         render.to_data(reply),
     )
 
@@ -112,7 +112,7 @@
 async def run_audit(
     client: ControlClient, options: argparse.Namespace
 ) -> CommandOutput:
-    """Show the audit trail, refusals included."""
+    """Show the audit trail, including refused changes."""
     reply = await client.audit(options.after, options.limit, options.path or '')
     rows = [
         (
--- a/verbenathread/admin/options.py
+++ b/verbenathread/admin/options.py
@@ -1,4 +1,4 @@
-"""Arguments that every command of an operator takes, and the client."""
+"""Arguments common to all operator commands, and the client they use."""
 
 import argparse
 import asyncio
@@ -14,7 +14,7 @@
 from verbenathread.settings.node import parse_addresses
 from verbenathread.types import Millis
 
-# How long a command looks for a leader that answers, in ms.
+# How long a command looks for a leader.
 CALL_TIMEOUT: Millis = 15_000
 _CONTROL_VARIABLE = 'VERBENATHREAD_CONTROL'
 _OPERATOR_VARIABLE = 'VERBENATHREAD_OPERATOR'
@@ -24,17 +24,17 @@
     argument(
         '--control',
         metavar='IP:PORT,...',
-        help=f'control processes; else the variable {_CONTROL_VARIABLE}',
+        help=f'control processes; default: the variable {_CONTROL_VARIABLE}',
     ),
     argument(
         '--operator',
         metavar='NAME',
-        help=f'your name; else the variable {_OPERATOR_VARIABLE}, or root',
+        help=f'your name; default: the variable {_OPERATOR_VARIABLE}, or root',
     ),
     argument(
         '--key-file',
         metavar='FILE',
-        help=f'file with your key; else the variable {_KEY_VARIABLE}',
+        help=f'file with your key; default: the variable {_KEY_VARIABLE}',
     ),
 )
 
@@ -44,11 +44,11 @@
 
 
 def create_client(options: argparse.Namespace) -> ControlClient:
-    """Return a client from the options or the environment."""
+    """Create a client from the options or the environment."""
     addresses = options.control or os.environ.get(_CONTROL_VARIABLE, '')
     if not addresses:
         raise UsageError(
-            'no control process is named; use --control or set '
+            'no control process is given; use --control or set '
             + _CONTROL_VARIABLE
         )
     operator = options.operator or os.environ.get(_OPERATOR_VARIABLE, 'root')
@@ -60,12 +60,12 @@
 def with_client(
     call: ClientCall,
 ) -> Callable[[argparse.Namespace], CommandOutput]:
-    """Return ``call`` as a command that makes its own client."""
+    """Return ``call`` as a command that creates its own client."""
     return partial(_run_command, call)
 
 
 def operator_arguments(*more: Argument) -> tuple[Argument, ...]:
-    """Return the arguments of a command, the common ones last."""
+    """Return the arguments of a command followed by the common ones."""
     return (*more, *OPERATOR_ARGUMENTS)
 
 
--- a/verbenathread/admin/render.py
+++ b/verbenathread/admin/render.py
@@ -1,4 +1,4 @@
-"""Answers of control as tables for people and as data for programs."""
+"""Formatting of control's replies as text tables and as JSON data."""
 
 import datetime
 import difflib
@@ -15,7 +15,7 @@
 
 
 def table(titles: Sequence[str], rows: Iterable[Sequence[object]]) -> str:
-    """Return rows under titles, each column as wide as its widest text."""
+    """Format rows as a table with columns as wide as their widest cell."""
     shown = [tuple(titles)]
     shown.extend(tuple(str(cell) for cell in row) for row in rows)
     widths = [max(map(len, column)) for column in zip(*shown, strict=True)]
@@ -29,7 +29,7 @@
 
 
 def to_data(message: Message) -> Any:
-    """Return a message as data that the json module writes."""
+    """Convert a message to data that the json module can serialize."""
     return MessageToDict(
         message,
         preserving_proto_field_name=True,
@@ -42,14 +42,14 @@
     rows: Iterable[Sequence[object]],
     messages: Iterable[Message],
 ) -> CommandOutput:
-    """Return a table of messages, and the messages as data."""
+    """Return the output for a table of messages."""
     return CommandOutput(
         table(titles, rows), [to_data(message) for message in messages]
     )
 
 
 def format_time(wall_ms: int) -> str:
-    """Return a wall time as people read it, in UTC."""
+    """Format a wall clock time in UTC."""
     when = datetime.datetime.fromtimestamp(seconds(wall_ms), datetime.UTC)
     return when.strftime('%Y-%m-%d %H:%M:%S')
 
