--- a/verbenathread/admin/client.py
+++ b/verbenathread/admin/client.py
@@ -189,7 +189,7 @@
         reply_type: type[_Reply],
         initial_timeout: Millis = _INITIAL_CALL_TIMEOUT,
     ) -> _Reply:
-        """Call the processes in turn until one replies or time runs out."""
+        """Call processes until one gives a final reply or time runs out."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + seconds(self._timeout)
         search = _LeaderSearch(self._addresses, initial_timeout)
--- a/verbenathread/exceptions.py
+++ b/verbenathread/exceptions.py
@@ -42,7 +42,7 @@
 
 
 class UnknownOutcomeError(VerbenathreadError):
-    """The call may have taken effect; check before retrying."""
+    """The call may or may not have taken effect; check before retrying."""
 
     exit_code = 6
 
