--- a/verbenathread/settings/ini.py
+++ b/verbenathread/settings/ini.py
@@ -1,4 +1,4 @@
-"""Reading INI text into the messages of the schema."""
+"""Parsing of INI text into messages of the schema."""
 
 import configparser
 import difflib
@@ -19,26 +19,26 @@
 
 
 class ParsedSection(NamedTuple):
-    """One section of a text: its title, its name if any, its options."""
+    """One section of INI text: its title, its optional name, its options."""
 
     title: str
     name: str
     text_by_option: Mapping[str, str]
 
     def heading(self) -> str:
-        """Return the heading as it is written between the brackets."""
+        """Return the heading as written between the brackets."""
         return f'{self.title} {self.name}'.strip()
 
 
 class ParsedText(NamedTuple):
-    """The sections of a text, or the one problem that kept it unread."""
+    """The sections of INI text, or the problem that prevented parsing."""
 
     sections: tuple[ParsedSection, ...]
     problems: tuple[Problem, ...]
 
 
 def parse_ini(source: str, text: str) -> ParsedText:
-    """Split INI text into sections; ``source`` names it in problems."""
+    """Split INI text into sections; problems refer to it as ``source``."""
     parser = configparser.ConfigParser(
         strict=True, interpolation=None, default_section='(none)'
     )
@@ -54,10 +54,12 @@
     return ParsedText(tuple(sections), ())
 
 
-def fill(source: str, section: ParsedSection, target: Message) -> list[Problem]:
-    """Set defaults and then the section's options on ``target``.
+def fill_section(
+    source: str, section: ParsedSection, target: Message
+) -> list[Problem]:
+    """Set the defaults and then the section's options on ``target``.
 
-    Returns every problem found; ``target`` is usable when there is none.
+    Returns every problem found; ``target`` is valid only if there is none.
     """
     fill_defaults(target)
     option_by_name = {option.name: option for option in options_of(target)}
@@ -66,7 +68,7 @@
         option = option_by_name.get(name)
         if option is None:
             problems.append(
-                _unknown_option(source, section, name, option_by_name)
+                _unknown_option_problem(source, section, name, option_by_name)
             )
             continue
         try:
@@ -77,28 +79,30 @@
                     source, section.heading(), name, str(error), error.remedy
                 )
             )
-    problems.extend(_missing(source, section, option_by_name.values()))
+    problems.extend(
+        _missing_option_problems(source, section, option_by_name.values())
+    )
     return problems
 
 
-def unknown_section(
+def unknown_section_problem(
     source: str, section: ParsedSection, titles: Iterable[str]
 ) -> Problem:
-    """Return the problem of a section that the schema does not know."""
+    """Return the problem of a section that the schema does not define."""
     known = sorted(titles)
     return Problem(
         source,
         section.heading(),
         '',
-        'there is no such section',
-        _nearest(section.title, known, 'write one of'),
+        'unknown section',
+        _suggestion(section.title, known, 'write one of'),
     )
 
 
-def naming_problem(
+def check_section_name(
     source: str, section: ParsedSection, target: Message
 ) -> Problem | None:
-    """Return a problem if the section lacks a name or has one too many."""
+    """Return a problem if a required name is missing or not allowed."""
     named = section_of(target).named
     if named and not section.name:
         message = 'the section has no name'
@@ -111,7 +115,7 @@
     return Problem(source, section.heading(), '', message, remedy)
 
 
-def _missing(
+def _missing_option_problems(
     source: str, section: ParsedSection, options: Iterable[Option]
 ) -> list[Problem]:
     problems = []
@@ -132,19 +136,19 @@
     return problems
 
 
-def _unknown_option(
+def _unknown_option_problem(
     source: str, section: ParsedSection, name: str, known: Iterable[str]
 ) -> Problem:
     return Problem(
         source,
         section.heading(),
         name,
-        'there is no such option',
-        _nearest(name, sorted(known), 'remove it or write one of'),
+        'unknown option',
+        _suggestion(name, sorted(known), 'remove it or write one of'),
     )
 
 
-def _nearest(word: str, known: list[str], otherwise: str) -> str:
+def _suggestion(word: str, known: list[str], otherwise: str) -> str:
     close = difflib.get_close_matches(word, known, n=1)
     if close:
         return f'write {close[0]}'
@@ -157,7 +161,7 @@
             source,
             error.section,
             error.option,
-            f'the option stands twice, again in line {error.lineno}',
+            f'the option is repeated in line {error.lineno}',
             'keep one of the two',
         )
     if isinstance(error, configparser.DuplicateSectionError):
@@ -165,8 +169,8 @@
             source,
             error.section,
             '',
-            f'the section stands twice, again in line {error.lineno}',
-            'join the two',
+            f'the section is repeated in line {error.lineno}',
+            'merge the two',
         )
     line = getattr(error, 'lineno', None)
     if line is None and isinstance(error, configparser.ParsingError):
@@ -175,6 +179,6 @@
         source,
         '',
         '',
-        f'line {line} is not INI',
+        f'line {line} is not valid INI',
         'write [section], option = value, or # comment',
     )
