--- a/tests/consensus_network.py
+++ b/tests/consensus_network.py
@@ -1,6 +1,6 @@
-"""A group of replicas over a network and disks that misbehave on demand.
+"""Replica group with fault injection in the network and the disks.
 
-Everything runs on the virtual loop and draws from one seeded generator.
+Everything runs on the virtual event loop and uses one seeded generator.
 """
 
 import asyncio
@@ -19,13 +19,13 @@
 
 
 class MemoryFiles:
-    """Files that know which of their bytes were synced."""
+    """In-memory files that track which bytes have been synced."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
         self.content: dict[str, bytes] = {}
         self.synced: dict[str, bytes] = {}
-        # Names as of the last sync of the folder.
+        # File names at the last sync of the folder.
         self.durable: set[str] = set()
         self.failing = False
         self.full = False
@@ -33,7 +33,7 @@
         self.sync_seconds = 0.002
 
     def lock(self) -> None:
-        """Nobody else opens these files."""
+        """Do nothing; the files are not shared."""
 
     def names(self):
         return sorted(self.content)
@@ -51,7 +51,7 @@
             content + self.content.get(name, b'')[len(content) :]
         )
 
-    def cut(self, name, length):
+    def truncate(self, name, length):
         self.content[name] = self.content[name][:length]
 
     def rename(self, name, new_name):
@@ -80,10 +80,10 @@
         return f'memory/{name}'
 
     def close(self) -> None:
-        """Keep the content for the next start."""
+        """Do nothing; the content is kept for the next start."""
 
     def crashed(self) -> 'MemoryFiles':
-        """Return what a machine finds after it lost power now."""
+        """Return the files as found after a power loss at this moment."""
         after = MemoryFiles(self.rng)
         names = sorted(self.durable)
         if self.rng.randrange(2):
@@ -101,7 +101,7 @@
 
 
 class ListMachine:
-    """Keeps every command with its index; the result is their count."""
+    """Records every command with its index; the result is the count."""
 
     def __init__(self) -> None:
         self.applied: list[tuple[int, str]] = []
@@ -118,32 +118,32 @@
 
 
 class Network:
-    """Carries calls, and drops, delays, doubles or cuts them."""
+    """Carries calls, with loss, delay, duplication and partitions."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
         self.replica_by_id: dict[str, Replica] = {}
-        # Pairs of sender and receiver between which nothing passes.
-        self.cut: set[tuple[str, str]] = set()
-        self.drop = 0.0
-        self.double = 0.0
-        self.slowest_ms = 2.0
+        # Pairs of sender and receiver between which all messages are lost.
+        self.blocked: set[tuple[str, str]] = set()
+        self.drop_rate = 0.0
+        self.duplicate_rate = 0.0
+        self.max_delay_ms = 2.0
         self.calls = 0
         self.bytes = 0
-        self.doubles: list[asyncio.Task[None]] = []
+        self.duplicates: list[asyncio.Task[None]] = []
 
     def isolate(self, node_id):
         for other in self.replica_by_id:
-            self.cut |= {(node_id, other), (other, node_id)}
+            self.blocked |= {(node_id, other), (other, node_id)}
 
     def heal(self):
-        self.cut.clear()
+        self.blocked.clear()
 
-    async def pass_over(self, sender, receiver):
-        await asyncio.sleep(self.rng.uniform(0.2, self.slowest_ms) / 1000)
-        lost = self.rng.random() < self.drop
-        if lost or (sender, receiver) in self.cut:
-            # Nothing ever arrives; the caller's limit ends the wait.
+    async def deliver(self, sender, receiver):
+        await asyncio.sleep(self.rng.uniform(0.2, self.max_delay_ms) / 1000)
+        lost = self.rng.random() < self.drop_rate
+        if lost or (sender, receiver) in self.blocked:
+            # The message never arrives; the caller's timeout ends the wait.
             await asyncio.get_running_loop().create_future()
 
     async def call(self, kind, sender, receiver, request):
@@ -151,16 +151,16 @@
         copy.CopyFrom(request)
         self.calls += 1
         self.bytes += request.ByteSize()
-        await self.pass_over(sender, receiver)
+        await self.deliver(sender, receiver)
         replica = self.replica_by_id.get(receiver)
         if replica is None:
-            raise UnavailableError('Nobody listens there; try another one.')
+            raise UnavailableError('No replica runs there; try another one.')
         reply = await getattr(replica, kind)(copy)
-        await self.pass_over(receiver, sender)
+        await self.deliver(receiver, sender)
         self.bytes += reply.ByteSize()
         return reply
 
-    async def repeat(self, kind, sender, receiver, request):
+    async def send_duplicate(self, kind, sender, receiver, request):
         await asyncio.sleep(self.rng.uniform(0, 0.5))
         try:
             await asyncio.wait_for(
@@ -170,8 +170,8 @@
             return
 
 
-class Wire:
-    """The transport of one replica."""
+class NetworkTransport:
+    """Transport of one replica over :class:`Network`."""
 
     def __init__(self, network: Network, sender: str) -> None:
         self.network = network
@@ -180,16 +180,18 @@
     def __getattr__(self, kind):
         async def call(peer, request, limit):
             network = self.network
-            if network.rng.random() < network.double:
-                again = network.repeat(kind, self.sender, peer.node_id, request)
-                network.doubles.append(asyncio.create_task(again))
+            if network.rng.random() < network.duplicate_rate:
+                again = network.send_duplicate(
+                    kind, self.sender, peer.node_id, request
+                )
+                network.duplicates.append(asyncio.create_task(again))
             try:
                 return await asyncio.wait_for(
                     network.call(kind, self.sender, peer.node_id, request),
                     seconds(limit),
                 )
             except TimeoutError:
-                raise UnavailableError('No answer came in time.') from None
+                raise UnavailableError('The call timed out.') from None
 
         return call
 
@@ -199,25 +201,27 @@
 
 
 async def run_in_order(call, arguments):
-    """Await ``call`` for each argument, one after another."""
+    """Await ``call`` for each argument in order."""
     left = list(arguments)
     while left:
         await call(left.pop(0))
 
 
 class Group:
-    """Replicas n1, n2, ... with their disks and machines."""
+    """Replicas n1, n2, ... with their files and state machines."""
 
     def __init__(self, voters=3, seed=1, **settings) -> None:
         self.rng = random.Random(seed)
         self.network = Network(self.rng)
         self.settings = settings
-        self.first = tuple(peer(f'n{n + 1}') for n in range(voters))
+        self.initial_peers = tuple(peer(f'n{n + 1}') for n in range(voters))
         self.files_by_id: dict[str, MemoryFiles] = {}
         self.machine_by_id: dict[str, ListMachine] = {}
 
     async def __aenter__(self):
-        await run_in_order(self.start, [one.node_id for one in self.first])
+        await run_in_order(
+            self.start, [one.node_id for one in self.initial_peers]
+        )
         return self
 
     async def __aexit__(self, *_):
@@ -234,13 +238,13 @@
             settings=ReplicaSettings(
                 local_peer=peer(node_id),
                 cluster='test',
-                initial_members=self.first,
+                initial_members=self.initial_peers,
                 join=join,
                 **self.settings,
             ),
             storage=RecordStorage(files),
             machine=machine,
-            transport=Wire(self.network, node_id),
+            transport=NetworkTransport(self.network, node_id),
             clock=LoopClock(),
             random=self.rng,
         )
@@ -254,7 +258,7 @@
         await replica.stop(transfer_leadership=transfer_leadership)
 
     async def crash(self, node_id):
-        """Lose power: what was not synced may be lost or torn."""
+        """Simulate a power loss: unsynced content may be lost or torn."""
         replica = self.replicas.pop(node_id)
         self.files_by_id[node_id] = self.files_by_id[node_id].crashed()
         await replica.stop(transfer_leadership=False)
@@ -279,12 +283,12 @@
         try:
             return await replica.propose(text.encode(), limit)
         except UnavailableError:
-            # Surely not taken, as right after a change of leader.
+            # Certainly not appended, for example after a change of leader.
             await asyncio.sleep(0.05)
         return await self.propose(text, limit)
 
     async def propose_all(self, texts):
-        """Propose one after another and return the last index."""
+        """Propose the commands in order and return the last index."""
         indexes = []
 
         async def one(text):
@@ -294,7 +298,7 @@
         return indexes[-1]
 
     async def wait_applied(self, index, *node_ids):
-        """Wait until replicas, or all, have applied up to ``index``."""
+        """Wait until the given or all replicas have applied ``index``."""
 
         async def one(node_id):
             await self.replicas[node_id].wait_applied(index - 1, TIMEOUT_MS)
--- a/verbenathread/admin/branch_text.py
+++ b/verbenathread/admin/branch_text.py
@@ -1,4 +1,4 @@
-"""Edits of one branch's INI text that leave all other lines as they are."""
+"""Edits of a branch's INI text that leave all other lines unchanged."""
 
 import re
 from collections.abc import Mapping
@@ -10,12 +10,12 @@
 
 
 def set_option(text: str, heading: str, option: str, setting: str) -> str:
-    """Return the text with one option of a section written anew.
+    """Return the text with one option of a section set.
 
-    A section that is not there yet is added at the end.
+    A missing section is appended.
     """
     lines = text.splitlines()
-    span = _span(lines, heading)
+    span = _section_lines(lines, heading)
     wanted = f'{option} = {setting}'
     if span is None:
         return add_section(text, heading, {option: setting})
@@ -23,43 +23,45 @@
         found = _OPTION.match(lines[number])
         if found is not None and found.group(1) == option:
             lines[number] = wanted
-            return _joined(lines)
+            return _join_lines(lines)
     lines.insert(span.start, wanted)
-    return _joined(lines)
+    return _join_lines(lines)
 
 
 def add_section(
     text: str, heading: str, setting_by_option: Mapping[str, str]
 ) -> str:
-    """Return the text with one more section at its end."""
+    """Return the text with a new section appended."""
     lines = text.splitlines()
-    if _span(lines, heading) is not None:
-        raise UsageError(f'[{heading}] stands already; use config set')
+    if _section_lines(lines, heading) is not None:
+        raise UsageError(f'[{heading}] already exists; use config set')
     if lines:
         lines.append('')
     lines.append(f'[{heading}]')
     for option, setting in setting_by_option.items():
         lines.append(f'{option} = {setting}')
-    return _joined(lines)
+    return _join_lines(lines)
 
 
 def remove_section(text: str, heading: str) -> str:
-    """Return the text without one section."""
+    """Return the text without the section."""
     lines = text.splitlines()
-    span = _span(lines, heading)
+    span = _section_lines(lines, heading)
     if span is None:
-        raise UsageError(f'there is no [{heading}] here; see config get')
+        raise UsageError(
+            f'there is no [{heading}] in this branch; see config get'
+        )
     kept = lines[: span.start - 1] + lines[span.stop :]
-    return _joined(kept)
+    return _join_lines(kept)
 
 
 def has_section(text: str, heading: str) -> bool:
-    """Tell whether a section stands in the text."""
-    return _span(text.splitlines(), heading) is not None
+    """Return whether the text contains the section."""
+    return _section_lines(text.splitlines(), heading) is not None
 
 
-def _span(lines: list[str], heading: str) -> range | None:
-    """Return the numbers of the lines below a heading."""
+def _section_lines(lines: list[str], heading: str) -> range | None:
+    """Return the line numbers of a section's body, or None."""
     start = None
     for number, line in enumerate(lines):
         found = _HEADING.fullmatch(line)
@@ -74,5 +76,5 @@
     return range(start, len(lines))
 
 
-def _joined(lines: list[str]) -> str:
+def _join_lines(lines: list[str]) -> str:
     return ''.join(f'{line}\n' for line in lines)
--- a/verbenathread/admin/commands.py
+++ b/verbenathread/admin/commands.py
@@ -1,4 +1,4 @@
-"""The table of operator commands, from which the command line is built."""
+"""The table of operator commands."""
 
 from collections.abc import Iterator
 
@@ -10,56 +10,61 @@
     with_client,
 )
 from verbenathread.command import Argument, Command, argument
-from verbenathread.control.wanted import ACTIONS, SWITCH
+from verbenathread.control.wanted import ACTIONS, SWITCH_VALUES
 from verbenathread.settings.tree import ROOT_PATH
 
 _PROGRAM = 'verbenathread'
-_USUAL_RECORDS = 50
+_DEFAULT_RECORDS = 50
 _PATH = argument('path', metavar='PATH', help='branch, such as /team/part')
 _FILE = argument('file', metavar='FILE', help='INI text of the branch')
 _NAME = argument('name', metavar='NAME')
 _UPSTREAM = argument('upstream', metavar='UPSTREAM')
-_ADDRESS = argument('--address', help='IP number and port, if not announced')
-_SERVICE = argument('--service', help='its service, if not announced')
+_ADDRESS = argument('--address', help='IP address and port, if not announced')
+_SERVICE = argument(
+    '--service', help='service of the upstream, if not announced'
+)
 _LIMIT = argument(
-    '--limit', type=int, default=_USUAL_RECORDS, help='most records shown'
+    '--limit',
+    type=int,
+    default=_DEFAULT_RECORDS,
+    help='maximum number of records to show',
 )
-_CHANGING = (
+_CHANGE_ARGUMENTS = (
     argument(
         '--expected',
         type=int,
         metavar='REVISION',
-        help='revision that must stand; else the one that stands now',
+        help='revision that the branch must be at; default: its current one',
     ),
-    argument('--comment', metavar='TEXT', help='why, for the audit trail'),
+    argument('--comment', metavar='TEXT', help='reason, for the audit trail'),
 )
-_ADDING = (
+_ADD_ARGUMENTS = (
     _NAME,
-    argument('--path', required=True, help='branch that gets it'),
+    argument('--path', required=True, help='branch to add it to'),
     argument(
         '--new-key',
         required=True,
         metavar='FILE',
-        help='file with its key; only the hash is kept',
+        help='file with its key; only the hash is stored',
     ),
     argument(
         '--set',
         action='append',
         metavar='OPTION=VALUE',
-        help='further option; may be given again',
+        help='another option; may be repeated',
     ),
-    *_CHANGING,
+    *_CHANGE_ARGUMENTS,
 )
 
 
 def _command(
-    name: str, call: ClientCall, words: str, *arguments: Argument
+    name: str, call: ClientCall, example: str, *arguments: Argument
 ) -> Command:
     return Command(
         name,
         call.__doc__ or '',
         operator_arguments(*arguments),
-        f'{_PROGRAM} {name} {words}'.strip(),
+        f'{_PROGRAM} {name} {example}'.strip(),
         with_client(call),
     )
 
@@ -70,7 +75,11 @@
         config.run_config_get,
         '/desk',
         argument('path', nargs='?', default=ROOT_PATH, metavar='PATH'),
-        argument('--stale', action='store_true', help='any process may answer'),
+        argument(
+            '--stale',
+            action='store_true',
+            help='allow any process to answer, even with old data',
+        ),
     )
     yield _command(
         'config set',
@@ -80,7 +89,7 @@
         argument('section', metavar='SECTION', help='such as account NAME'),
         argument('option', metavar='OPTION'),
         argument('setting', metavar='VALUE'),
-        *_CHANGING,
+        *_CHANGE_ARGUMENTS,
     )
     yield _command(
         'config apply',
@@ -88,10 +97,14 @@
         '/desk desk.ini --expected 41',
         _PATH,
         _FILE,
-        *_CHANGING,
+        *_CHANGE_ARGUMENTS,
     )
     yield _command(
-        'config remove', config.run_config_remove, '/desk', _PATH, *_CHANGING
+        'config remove',
+        config.run_config_remove,
+        '/desk',
+        _PATH,
+        *_CHANGE_ARGUMENTS,
     )
     yield _command(
         'config diff', config.run_config_diff, '/desk desk.ini', _PATH, _FILE
@@ -108,28 +121,28 @@
         'account add',
         config.run_account_add,
         'tillery --path /desk --new-key tillery.key',
-        *_ADDING,
+        *_ADD_ARGUMENTS,
     )
     yield _command(
         'account remove',
         config.run_account_remove,
         'tillery',
         _NAME,
-        *_CHANGING,
+        *_CHANGE_ARGUMENTS,
     )
     yield _command('service list', config.run_service_list, '')
     yield _command(
         'service add',
         config.run_service_add,
         'cot-ledger --path /desk --new-key cot.key --set kind=plain',
-        *_ADDING,
+        *_ADD_ARGUMENTS,
     )
     yield _command(
         'service remove',
         config.run_service_remove,
         'cot-ledger',
         _NAME,
-        *_CHANGING,
+        *_CHANGE_ARGUMENTS,
     )
 
 
@@ -140,7 +153,7 @@
         fleet.run_upstream_drain,
         'worker-7 on',
         _UPSTREAM,
-        argument('switch', choices=SWITCH, nargs='?', default='on'),
+        argument('switch', choices=SWITCH_VALUES, nargs='?', default='on'),
         _ADDRESS,
         _SERVICE,
     )
@@ -164,7 +177,7 @@
             type=int,
             default=0,
             metavar='INDEX',
-            help='records after this index; else the newest ones',
+            help='records after this index; default: the newest ones',
         ),
         _LIMIT,
     )
@@ -175,7 +188,7 @@
         'add control-4 --address 10.0.0.4:8090',
         argument('action', choices=('add', 'promote', 'remove')),
         argument('node', metavar='NODE'),
-        argument('--address', help='IP number and port of a new member'),
+        argument('--address', help='IP address and port of a new member'),
     )
 
 
--- a/verbenathread/consensus/changes.py
+++ b/verbenathread/consensus/changes.py
@@ -1,12 +1,13 @@
-"""Changes of members and the handing over of leadership.
+"""Membership changes and leadership transfer.
 
-One member is changed at a time (Ongaro's thesis 2014, section 4.1, with the
-leader's own term committed first, as its author's correction of 2015 asks).
+One member is changed at a time (Ongaro's thesis 2014, section 4.1). The leader
+first commits an entry of its own term, as the author's correction of 2015
+requires.
 """
 
 from verbenathread.consensus import members as membership
 from verbenathread.consensus.leader import Leader
-from verbenathread.consensus.state import Leading, Progress, ReplicaState
+from verbenathread.consensus.state import Leadership, Progress, ReplicaState
 from verbenathread.consensus.transport import Transport
 from verbenathread.exceptions import (
     UnavailableError,
@@ -24,66 +25,79 @@
 _log = get_logger('consensus')
 
 
-class MemberChanges:
-    """Adds learners, makes them voters, and removes members."""
+class MembershipChanges:
+    """Adds learners, promotes them to voters, and removes members."""
 
     def __init__(
         self, state: ReplicaState, transport: Transport, leader: Leader
     ) -> None:
-        """Write changes through ``leader``."""
+        """Append changes through ``leader``."""
         self._state = state
         self._transport = transport
         self._leader = leader
 
     async def change(self, action: str, peer: Peer, limit: Millis) -> None:
-        """Add, promote or remove one member; return once it is committed."""
+        """Add, promote or remove one member; return once committed."""
         state = self._state
         deadline = state.clock.now() + limit
-        leading = state.require_leading()
-        await self._commit_own_term(leading, limit)
+        leadership = state.require_leadership()
+        await self._wait_for_term_commit(leadership, limit)
         expected = state.log.members_index()
-        changed = await self._changed(action, leading, peer, deadline)
+        changed = await self._target_members(action, leadership, peer, deadline)
         if changed is None:
             return
-        index = await self._leader.write_members(leading, changed, expected)
+        index = await self._leader.write_members(leadership, changed, expected)
         committed = await state.changed.wait_for(
-            lambda: state.commit_index >= index or not state.leads(leading),
+            lambda: (
+                state.commit_index >= index or not state.still_leads(leadership)
+            ),
             deadline - state.clock.now(),
         )
         if not committed or state.commit_index < index:
             raise UnknownOutcomeError(
-                'The change of members may or may not be accepted; read the '
-                'status, then repeat it if it is missing.'
+                'The membership change may or may not be committed; read the '
+                'status, and repeat the change if it is missing.'
             )
-        _log.info('A member was changed.', action=action, node=peer.node_id)
+        _log.info(
+            'The membership was changed.', action=action, node=peer.node_id
+        )
 
-    async def hand_over(self, limit: Millis) -> bool:
-        """Let the most advanced voter lead; False when none took over."""
+    async def transfer_leadership(self, limit: Millis) -> bool:
+        """Transfer leadership to the most up-to-date voter.
+
+        Returns False if no voter took over before the timeout.
+        """
         state = self._state
-        leading = state.leading
-        if leading is None:
+        leadership = state.leadership
+        if leadership is None:
             return True
-        target = self._successor(leading)
+        target = self._choose_successor(leadership)
         if target is None:
             return False
-        leading.handing_over = True
+        leadership.transferring = True
         deadline = state.clock.now() + limit
         await state.changed.wait_for(
-            lambda: not state.leads(leading) or _is_ready(state, target),
+            lambda: (
+                not state.still_leads(leadership)
+                or _is_caught_up(state, target)
+            ),
             limit,
         )
-        if state.leads(leading) and _is_ready(state, target):
-            await self._ask_to_lead(leading, target)
-        handed = await state.changed.wait_for(
-            lambda: not state.leads(leading), deadline - state.clock.now()
+        if state.still_leads(leadership) and _is_caught_up(state, target):
+            await self._request_transfer(leadership, target)
+        transferred = await state.changed.wait_for(
+            lambda: not state.still_leads(leadership),
+            deadline - state.clock.now(),
         )
-        leading.handing_over = False
-        return handed
+        leadership.transferring = False
+        return transferred
 
-    async def _ask_to_lead(self, leading: Leading, target: Progress) -> None:
+    async def _request_transfer(
+        self, leadership: Leadership, target: Progress
+    ) -> None:
         state = self._state
-        head = state.head(target.member.store_id)
-        head.term = leading.term
+        head = state.envelope(target.member.store_id)
+        head.term = leadership.term
         try:
             await self._transport.transfer(
                 membership.peer_of(target.member),
@@ -91,62 +105,64 @@
                 state.settings.election_timeout,
             )
         except UnavailableError:
-            _log.warning('The successor does not answer.')
+            _log.warning('The leadership successor does not answer.')
 
-    def _successor(self, leading: Leading) -> Progress | None:
+    def _choose_successor(self, leadership: Leadership) -> Progress | None:
         best = None
         oldest = self._state.clock.now() - self._state.settings.election_timeout
-        for progress in leading.progress_by_id.values():
-            if not progress.member.voter or progress.heard < oldest:
+        for progress in leadership.progress_by_id.values():
+            if not progress.member.voter or progress.last_contact < oldest:
                 continue
             if best is None or progress.match_index > best.match_index:
                 best = progress
         return best
 
-    async def _commit_own_term(self, leading: Leading, limit: Millis) -> None:
+    async def _wait_for_term_commit(
+        self, leadership: Leadership, limit: Millis
+    ) -> None:
         state = self._state
         await state.changed.wait_for(
             lambda: (
-                state.commit_index >= leading.first_index
-                or not state.leads(leading)
+                state.commit_index >= leadership.first_index
+                or not state.still_leads(leadership)
             ),
             limit,
         )
-        if not state.leads(leading):
-            raise state.not_leader()
-        if state.commit_index < leading.first_index:
+        if not state.still_leads(leadership):
+            raise state.not_leader_error()
+        if state.commit_index < leadership.first_index:
             raise UnavailableError(
-                'The leader has not committed its own term; check that a '
-                'quorum of the members runs.'
+                'The leader has not committed an entry of its own term; check '
+                'that a quorum of the voters is running.'
             )
 
-    async def _changed(
-        self, action: str, leading: Leading, peer: Peer, deadline: Millis
+    async def _target_members(
+        self, action: str, leadership: Leadership, peer: Peer, deadline: Millis
     ) -> LogMembers | None:
-        """Return the members as wanted; None when they already are so."""
+        """Return the members after the change, or None if nothing changes."""
         if action == 'add':
-            return await self._added(peer)
+            return await self._members_with_learner(peer)
         if action == 'promote':
-            return await self._promoted(leading, peer, deadline)
+            return await self._members_with_voter(leadership, peer, deadline)
         if action == 'remove':
-            return await self._removed(leading, peer, deadline)
+            return await self._members_without(leadership, peer, deadline)
         raise UsageError(
-            f'No such change of members: {action}. Use add, promote or remove.'
+            f'Unknown membership change: {action}. Use add, promote or remove.'
         )
 
-    async def _added(self, peer: Peer) -> LogMembers | None:
+    async def _members_with_learner(self, peer: Peer) -> LogMembers | None:
         state = self._state
         members = state.log.members()
         reply = await self._transport.beat(
             peer,
-            BeatRequest(head=state.head()),
+            BeatRequest(head=state.envelope()),
             state.settings.election_timeout,
         )
         store_id = reply.head.sender_store
-        known = membership.find(members, peer.node_id)
-        if known is not None and known.store_id == store_id:
+        member = membership.find(members, peer.node_id)
+        if member is not None and member.store_id == store_id:
             return None
-        if known is not None:
+        if member is not None:
             raise UsageError(
                 f'{peer.node_id} is a member with another data folder; '
                 'remove it first, then add it.'
@@ -154,69 +170,72 @@
         if reply.head.sender != peer.node_id:
             raise UsageError(
                 f'{peer.address} is {reply.head.sender}, not {peer.node_id}; '
-                'name the node as its settings do.'
+                'use the node id from its settings.'
             )
         learner = membership.member_of(peer, voter=False, store_id=store_id)
         return membership.with_learner(members, learner)
 
-    async def _promoted(
-        self, leading: Leading, peer: Peer, deadline: Millis
+    async def _members_with_voter(
+        self, leadership: Leadership, peer: Peer, deadline: Millis
     ) -> LogMembers | None:
         state = self._state
         members = state.log.members()
-        known = membership.find(members, peer.node_id)
-        progress = leading.progress_by_id.get(peer.node_id)
-        if known is None or progress is None:
-            if known is not None and known.voter:
+        member = membership.find(members, peer.node_id)
+        progress = leadership.progress_by_id.get(peer.node_id)
+        if member is None or progress is None:
+            if member is not None and member.voter:
                 return None
             raise UsageError(
-                f'{peer.node_id} is no member; add it first, then promote it.'
+                f'{peer.node_id} is not a member; add it first, then '
+                'promote it.'
             )
-        if known.voter:
+        if member.voter:
             return None
-        wanted = state.commit_index
+        target_index = state.commit_index
         caught_up = await state.changed.wait_for(
-            lambda: progress.match_index >= wanted,
+            lambda: progress.match_index >= target_index,
             deadline - state.clock.now(),
         )
         if not caught_up:
             raise UnavailableError(
-                f'{peer.node_id} holds {progress.match_index} of {wanted} '
-                'records; promote it once it has caught up.'
+                f'{peer.node_id} has {progress.match_index} of {target_index} '
+                'entries; promote it once it has caught up.'
             )
         return membership.with_voter(members, peer.node_id)
 
-    async def _removed(
-        self, leading: Leading, peer: Peer, deadline: Millis
+    async def _members_without(
+        self, leadership: Leadership, peer: Peer, deadline: Millis
     ) -> LogMembers | None:
         state = self._state
         members = state.log.members()
         if membership.find(members, peer.node_id) is None:
             return None
-        if peer.node_id == state.my_id:
-            await self.hand_over(deadline - state.clock.now())
-            raise state.not_leader()
-        rest = membership.without(members, peer.node_id)
-        self._require_quorum(leading, rest)
-        return rest
-
-    def _require_quorum(self, leading: Leading, members: LogMembers) -> None:
-        """Refuse a removal after which nothing could be committed."""
+        if peer.node_id == state.node_id:
+            await self.transfer_leadership(deadline - state.clock.now())
+            raise state.not_leader_error()
+        remaining = membership.without(members, peer.node_id)
+        self._check_remaining_quorum(leadership, remaining)
+        return remaining
+
+    def _check_remaining_quorum(
+        self, leadership: Leadership, members: LogMembers
+    ) -> None:
+        """Refuse a removal that would leave no responsive quorum."""
         state = self._state
         oldest = state.clock.now() - state.settings.election_timeout
-        heard = {state.my_id}
-        for node_id, progress in leading.progress_by_id.items():
-            if progress.heard > oldest:
-                heard.add(node_id)
-        if not membership.is_quorum(members, heard):
+        responsive = {state.node_id}
+        for node_id, progress in leadership.progress_by_id.items():
+            if progress.last_contact > oldest:
+                responsive.add(node_id)
+        if not membership.is_quorum(members, responsive):
             raise UnavailableError(
-                'Without this member no quorum would answer; bring another '
-                'voter back or add one first.'
+                'Without this member no quorum would answer; restore another '
+                'voter or add one first.'
             )
 
 
-def _is_ready(state: ReplicaState, target: Progress) -> bool:
-    leading = state.leading
-    if leading is None or leading.queue:
+def _is_caught_up(state: ReplicaState, target: Progress) -> bool:
+    leadership = state.leadership
+    if leadership is None or leadership.queue:
         return False
     return target.match_index >= state.log.last_index
--- a/verbenathread/consensus/replica.py
+++ b/verbenathread/consensus/replica.py
@@ -1,7 +1,7 @@
-"""One replica of a log: the part that others embed.
+"""A replica of the log, for embedding in other services.
 
-The parts beneath share one :class:`ReplicaState`; this module starts them,
-stops them, and offers what callers need.
+Starts and stops the components, which share one :class:`ReplicaState`, and
+provides the public API.
 """
 
 import asyncio
@@ -12,7 +12,7 @@
 from verbenathread.clock import Clock, seconds
 from verbenathread.consensus import members as membership
 from verbenathread.consensus.applier import Applier
-from verbenathread.consensus.changes import MemberChanges
+from verbenathread.consensus.changes import MembershipChanges
 from verbenathread.consensus.election import Elections
 from verbenathread.consensus.follower import Follower
 from verbenathread.consensus.leader import Leader, queue_proposal
@@ -23,7 +23,7 @@
     ReplicaStatus,
 )
 from verbenathread.consensus.snapshots import SnapshotReceiver
-from verbenathread.consensus.state import Leading, ReplicaState
+from verbenathread.consensus.state import Leadership, ReplicaState
 from verbenathread.consensus.storage import Storage
 from verbenathread.consensus.transport import Transport
 from verbenathread.consensus.waiting import TaskSet
@@ -43,8 +43,8 @@
 class Replica:
     """A member of a group that agrees on one log of commands.
 
-    A replica that fails (a sync, a damaged log) stops by itself and says why
-    in :meth:`status`; it is not started again on the same object.
+    A replica that fails (for example on a failed sync or a damaged log) stops
+    and reports the reason in :meth:`status`. The object can't be restarted.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         clock: Clock,
         random: Random,
     ) -> None:
-        """Wire the parts; nothing runs before :meth:`start`."""
+        """Connect the components; nothing runs before :meth:`start`."""
         state = ReplicaState(settings, storage, clock, random)
         self._state = state
         self._machine = machine
@@ -67,17 +67,17 @@
         self._elections = Elections(
             state, transport, self._tasks, self._leader.lead
         )
-        self._changes = MemberChanges(state, transport, self._leader)
-        follower = Follower(state, self._applier.abandon_from)
+        self._changes = MembershipChanges(state, transport, self._leader)
+        follower = Follower(state, self._applier.fail_pending_from)
         self._follower = follower
         self._receiver = SnapshotReceiver(state, follower, self._applier)
         self._running = False
         self._failure = ''
 
     async def start(self) -> None:
-        """Load what was saved and take part in the group.
+        """Load the saved state and take part in the group.
 
-        Raises StorageError when the data folder can't be trusted.
+        Raises StorageError if the data folder is damaged or unsuitable.
         """
         settings = self._state.settings
         saved = await self._state.storage.load(
@@ -91,10 +91,16 @@
         self._tasks.spawn(self._applier.run())
 
     async def stop(self, *, transfer_leadership: bool = True) -> None:
-        """Stop; a leader first hands over and answers what is in progress."""
+        """Stop; a leader first transfers leadership and finishes proposals."""
         state = self._state
-        if self._running and transfer_leadership and state.leading is not None:
-            await self._changes.hand_over(2 * state.settings.election_timeout)
+        if (
+            self._running
+            and transfer_leadership
+            and state.leadership is not None
+        ):
+            await self._changes.transfer_leadership(
+                2 * state.settings.election_timeout
+            )
             await state.changed.wait_for(
                 self._applier.is_idle, state.settings.election_timeout
             )
@@ -103,14 +109,14 @@
         state.storage.close()
 
     async def propose(self, command: bytes, limit: Millis) -> Applied:
-        """Put a command on the log and return once it is applied here.
+        """Append a command and return once it is applied on this replica.
 
-        NotLeaderError and UnavailableError mean that it was surely not
-        taken; UnknownOutcomeError that it may or may not be committed.
+        NotLeaderError and UnavailableError guarantee that the command will not
+        be committed; after UnknownOutcomeError it may or may not be.
         """
         self._require_running()
-        leading = self._state.require_leading()
-        proposal = queue_proposal(self._state, leading, command)
+        leadership = self._state.require_leadership()
+        proposal = queue_proposal(self._state, leadership, command)
         try:
             return await asyncio.wait_for(proposal.future, seconds(limit))
         except TimeoutError:
@@ -120,40 +126,42 @@
                     'it back, or send it again under the same identifier.'
                 ) from None
         raise UnavailableError(
-            'The log was busy and did not take the change; try again.'
+            'The log was busy and did not accept the change; try again.'
         )
 
     async def barrier(self, limit: Millis) -> int:
-        """Return an index that a quorum confirmed; later reads are fresh.
+        """Return a read index that a quorum confirmed, once it is applied.
 
-        A read of the state machine after this call sees every change that
-        was answered before it (Ongaro's thesis 2014, section 6.4).
+        Reads of the state machine after this call are linearizable: they see
+        every change acknowledged before it (Ongaro's thesis 2014, section 6.4).
         """
         self._require_running()
         state = self._state
         deadline = state.clock.now() + limit
-        leading = state.require_leading()
-        await self._wait_leading(
-            leading,
-            lambda: state.commit_index >= leading.first_index,
+        leadership = state.require_leadership()
+        await self._wait_while_leader(
+            leadership,
+            lambda: state.commit_index >= leadership.first_index,
             deadline,
         )
         index = state.commit_index
-        leading.round += 1
-        wanted = leading.round
-        leading.wake_beats()
-        await self._wait_leading(
-            leading, lambda: self._is_confirmed(leading, wanted), deadline
+        leadership.round += 1
+        wanted = leadership.round
+        leadership.wake_heartbeats()
+        await self._wait_while_leader(
+            leadership,
+            lambda: self._is_round_confirmed(leadership, wanted),
+            deadline,
         )
-        await self._wait_leading(
-            leading, lambda: self._applier.applied_index >= index, deadline
+        await self._wait_while_leader(
+            leadership, lambda: self._applier.applied_index >= index, deadline
         )
         return index
 
     async def change_member(
         self, action: str, peer: Peer, limit: Millis
     ) -> None:
-        """Add a learner, promote it once caught up, or remove a member."""
+        """Add a learner, promote a caught-up learner, or remove a member."""
         self._require_running()
         await self._changes.change(action, peer, limit)
 
@@ -162,8 +170,8 @@
     ) -> int:
         """Return the applied index once it exceeds ``after``.
 
-        With a ``limit`` in ms, returns what is applied when it passes.
-        Raises UnavailableError when the replica stops meanwhile.
+        With a ``limit`` in ms, returns the current applied index on timeout.
+        Raises UnavailableError if the replica stops first.
         """
         applier = self._applier
         await self._state.changed.wait_for(
@@ -174,14 +182,14 @@
         return applier.applied_index
 
     async def wait_leader(self, limit: Millis) -> None:
-        """Return once a leader is known here, or after ``limit`` ms."""
+        """Return once a leader is known, or after ``limit`` ms."""
         state = self._state
         await state.changed.wait_for(
             lambda: bool(state.leader_id) or not self._running, limit
         )
 
     def status(self) -> ReplicaStatus:
-        """Return what this replica knows; it may be stale."""
+        """Return this replica's view of the group, which may be stale."""
         state = self._state
         members = []
         for member in state.log.members().members:
@@ -196,83 +204,85 @@
             members=tuple(members),
             sync_count=state.storage.sync_count(),
             failure=self._failure,
-            node_id=state.my_id,
+            node_id=state.node_id,
             store_id=state.store_id,
         )
 
     def silent_for(self) -> dict[str, Millis]:
-        """Return ms since each other member answered; empty if not leading."""
+        """Return ms since contact with each other member, if leading."""
         state = self._state
-        if state.leading is None:
+        if state.leadership is None:
             return {}
         now = state.clock.now()
         return {
-            node_id: now - progress.heard
-            for node_id, progress in state.leading.progress_by_id.items()
+            node_id: now - progress.last_contact
+            for node_id, progress in state.leadership.progress_by_id.items()
         }
 
     async def vote(self, request: messages.VoteRequest) -> messages.VoteReply:
-        """Answer a candidate."""
-        return await self._serve(self._elections.vote(request))
+        """Handle a vote request."""
+        return await self._run_uncancelled(self._elections.vote(request))
 
     async def append(
         self, request: messages.AppendRequest
     ) -> messages.AppendReply:
-        """Answer the leader's entries."""
-        return await self._serve(self._follower.append(request))
+        """Handle entries from the leader."""
+        return await self._run_uncancelled(self._follower.append(request))
 
     async def beat(self, request: messages.BeatRequest) -> messages.BeatReply:
-        """Answer a heartbeat."""
-        return await self._serve(self._follower.beat(request))
+        """Handle a heartbeat."""
+        return await self._run_uncancelled(self._follower.beat(request))
 
     async def install(
         self, request: messages.InstallRequest
     ) -> messages.InstallReply:
-        """Answer a part of a snapshot."""
-        return await self._serve(self._receiver.install(request))
+        """Handle a snapshot chunk."""
+        return await self._run_uncancelled(self._receiver.install(request))
 
     async def transfer(
         self, request: messages.TransferRequest
     ) -> messages.TransferReply:
-        """Answer the leader that hands over."""
-        return await self._serve(self._elections.transfer(request))
+        """Handle a leadership transfer."""
+        return await self._run_uncancelled(self._elections.transfer(request))
 
-    async def _serve(self, answer: Coroutine[Any, Any, _Reply]) -> _Reply:
-        """Answer in a task that a caller who hangs up can't cancel.
+    async def _run_uncancelled(
+        self, handler: Coroutine[Any, Any, _Reply]
+    ) -> _Reply:
+        """Run a handler in a task that a disconnecting caller does not cancel.
 
-        Half of an append would leave the disk ahead of the memory.
+        A partial append would leave the disk ahead of memory.
         """
         if not self._running:
-            answer.close()
+            handler.close()
             raise UnavailableError(
-                'This replica does not run; ask another one.'
+                'This replica is not running; call another one.'
             )
-        task = self._tasks.spawn(answer)
+        task = self._tasks.spawn(handler)
         await asyncio.wait((task,))
         if task.cancelled() or task.exception() is not None:
-            raise UnavailableError('This replica stopped; ask another one.')
+            raise UnavailableError('This replica stopped; call another one.')
         return task.result()
 
-    async def _wait_leading(
-        self, leading: Leading, condition: Any, deadline: Millis
+    async def _wait_while_leader(
+        self, leadership: Leadership, condition: Any, deadline: Millis
     ) -> None:
         state = self._state
         done = await state.changed.wait_for(
-            lambda: condition() or not state.leads(leading),
+            lambda: condition() or not state.still_leads(leadership),
             deadline - state.clock.now(),
         )
-        if not state.leads(leading):
-            raise state.not_leader()
+        if not state.still_leads(leadership):
+            raise state.not_leader_error()
         if not done:
             raise UnavailableError(
-                'No quorum confirmed this leader in time; try again, or ask '
-                'another control process.'
+                'No quorum confirmed this leader before the deadline; try '
+                'again, or call another control process.'
             )
 
-    def _is_confirmed(self, leading: Leading, wanted: int) -> bool:
-        """Tell whether a quorum answered a heartbeat sent since then."""
-        confirmed = {self._state.my_id}
-        for node_id, progress in leading.progress_by_id.items():
+    def _is_round_confirmed(self, leadership: Leadership, wanted: int) -> bool:
+        """Return whether a quorum answered a heartbeat of round ``wanted``."""
+        confirmed = {self._state.node_id}
+        for node_id, progress in leadership.progress_by_id.items():
             if progress.round >= wanted:
                 confirmed.add(node_id)
         return membership.is_quorum(self._state.log.members(), confirmed)
@@ -280,10 +290,10 @@
     def _member_state(self, member: messages.LogMember) -> MemberState:
         state = self._state
         match_index = 0
-        if member.node_id == state.my_id:
+        if member.node_id == state.node_id:
             match_index = state.log.last_index
-        elif state.leading is not None:
-            progress = state.leading.progress_by_id.get(member.node_id)
+        elif state.leadership is not None:
+            progress = state.leadership.progress_by_id.get(member.node_id)
             match_index = progress.match_index if progress else 0
         return MemberState(
             node_id=member.node_id,
@@ -296,15 +306,15 @@
     def _require_running(self) -> None:
         if self._failure:
             raise UnavailableError(
-                f'This replica stopped: {self._failure} Ask another one.'
+                f'This replica stopped: {self._failure} Call another one.'
             )
         if not self._running:
             raise UnavailableError(
-                'This replica does not run; start it or ask another one.'
+                'This replica is not running; start it or call another one.'
             )
 
     def _fail(self, error: BaseException) -> None:
-        """Stop for good: what the disk holds is no longer known."""
+        """Stop permanently, as the content of the disk is now unknown."""
         if self._failure:
             return
         self._failure = str(error) or type(error).__name__
@@ -312,7 +322,7 @@
         if unexpected:
             self._failure = f'Internal error: {error!r}.'
         _log.error(
-            'This replica stops.',
+            'This replica stops after an error.',
             reason=self._failure,
             exc_info=error if unexpected else None,
         )
@@ -321,5 +331,5 @@
     def _halt(self) -> None:
         self._running = False
         self._tasks.cancel()
-        self._state.follow('')
-        self._applier.abandon_from(0)
+        self._state.become_follower('')
+        self._applier.fail_pending_from(0)
--- a/verbenathread/consensus/segments.py
+++ b/verbenathread/consensus/segments.py
@@ -1,12 +1,12 @@
-"""The log, the term and the vote in segment files.
+"""Segment files that store the log, the term and the vote.
 
-They share one sequence of records, so that each change costs one sync. One
-append is one record: when a crash tears it, no whole record can follow, and
-a whole record after a bad one means damage.
+All share one sequence of records, so that each change costs one sync. Each
+append is one record. If a crash tears the last one, no valid record can follow
+it, so a valid record after an invalid one means damage.
 """
 
 from verbenathread.consensus import records
-from verbenathread.consensus.folder import REPLACE, Folder
+from verbenathread.consensus.folder import REPLACE_MEMBER, DataFolder
 from verbenathread.consensus.replay import Replay, Segment
 from verbenathread.consensus.storage import Ballot
 from verbenathread.exceptions import StorageError
@@ -17,55 +17,57 @@
     SyncedMark,
 )
 
-_PREFIX = 'segment-'
-_MARK = 'mark'
-# A segment is closed once it is this long.
-_SEGMENT_BYTES = 0x1000000
+_SEGMENT_PREFIX = 'segment-'
+_MARK_NAME = 'mark'
+# Length at which a new segment is started.
+_SEGMENT_ROTATION_BYTES = 0x1000000
 
 
 class SegmentLog:
-    """Appends records and reads them back after a restart."""
+    """Appends records, and reads them back after a restart."""
 
-    def __init__(self, folder: Folder) -> None:
-        """Touch nothing before :meth:`read`."""
+    def __init__(self, folder: DataFolder) -> None:
+        """Use ``folder``; no file is accessed before :meth:`read`."""
         self._folder = folder
         self._segments: list[Segment] = []
         # True from the start of an append until it is synced.
-        self._interrupted = False
+        self._append_pending = False
         self.replay = Replay()
 
     def is_empty(self) -> bool:
-        """Tell whether there is no segment at all."""
+        """Return whether there are no segments."""
         return not self._segments
 
     async def read(self, names: list[str]) -> None:
-        """Read every segment; cut off an append that a crash tore."""
+        """Read every segment; truncate an append torn by a crash."""
         numbers = _segment_numbers(names)
         mark = self._read_mark(names)
         if numbers and mark.segment > numbers[-1]:
-            raise self._damage(mark.segment, 0, 'the segment is missing')
+            raise self._damage_error(mark.segment, 0, 'the segment is missing')
         for number in numbers:
             if self._segments and number != self._segments[-1].number + 1:
-                raise self._damage(number - 1, 0, 'the segment is missing')
+                raise self._damage_error(
+                    number - 1, 0, 'the segment is missing'
+                )
             synced = mark.length if mark.segment == number else 0
             self._read_segment(number, synced, is_last=number == numbers[-1])
         if numbers:
-            # What the last process wrote may still be on its way to the disk.
+            # The previous process may have left writes that are not yet synced.
             await self._folder.sync(_segment_name(numbers[-1]))
 
     async def append(self, record: DiskRecord) -> None:
-        """Add one record with one sync."""
-        if self._interrupted:
+        """Append one record with one sync."""
+        if self._append_pending:
             raise StorageError(
-                'An earlier append was interrupted, and where the log ends '
+                'An earlier append was interrupted, so the end of the log '
                 'is unknown; start this replica again.'
             )
-        self._interrupted = True
+        self._append_pending = True
         await self._append(record)
-        self._interrupted = False
+        self._append_pending = False
 
     async def begin_segment(self) -> None:
-        """Make a file that says where the log stands."""
+        """Create a segment whose first record gives the end of the log."""
         number = 1
         if self._segments:
             number = self._segments[-1].number + 1
@@ -75,20 +77,24 @@
         )
         record = DiskRecord(segment=head, ballot=saved_ballot(replay.ballot))
         packed = records.pack(record.SerializeToString(), number, 0)
-        await self._folder.write_file(_segment_name(number), packed)
+        await self._folder.write_atomic(_segment_name(number), packed)
         self._segments.append(Segment(number, len(packed)))
-        self._note_synced()
+        self._write_mark()
 
-    async def begin_empty(self, index: int, term: int) -> None:
-        """Begin an empty log after an index, and drop what was before."""
+    async def reset(self, index: int, term: int) -> None:
+        """Start an empty log after an index and remove older segments."""
         self.replay.reset(index, term)
         await self.begin_segment()
         for segment in self._segments[:-1]:
             segment.last_index = 0
-        await self.drop(index)
+        await self.remove_oldest(index)
+
+    async def remove_oldest(self, keep_after: int) -> None:
+        """Remove segments up to ``keep_after``, oldest first.
 
-    async def drop(self, keep_after: int) -> None:
-        """Remove the oldest segments, one by one, so that none is missed."""
+        Each removal is synced before the next one, so that a crash never
+        leaves a gap between segments.
+        """
         while len(self._segments) > 1:
             oldest = self._segments[0]
             if oldest.last_index > keep_after:
@@ -109,74 +115,87 @@
         if record.entries:
             last = record.entries[-1]
             segment.last_index = max(segment.last_index, last.index)
-            self.replay.end(last.index, last.term)
-        self._note_synced()
-        if segment.length >= _SEGMENT_BYTES:
+            self.replay.set_end(last.index, last.term)
+        self._write_mark()
+        if segment.length >= _SEGMENT_ROTATION_BYTES:
             await self.begin_segment()
 
     def _read_segment(self, number: int, synced: int, *, is_last: bool) -> None:
         name = _segment_name(number)
         content = self._folder.read(name)
         found = records.scan(content, number)
-        whole = found.valid_length
-        if found.resumes_at >= 0:
-            raise self._damage(
-                number, whole, f'a whole record follows at {found.resumes_at}'
+        valid_length = found.valid_length
+        if found.resync_offset >= 0:
+            raise self._damage_error(
+                number,
+                valid_length,
+                f'a whole record follows at {found.resync_offset}',
+            )
+        if valid_length < synced:
+            raise self._damage_error(
+                number, valid_length, f'{synced} bytes were synced'
             )
-        if whole < synced:
-            raise self._damage(number, whole, f'{synced} bytes were synced')
         if not found.payloads:
-            raise self._damage(number, whole, 'its first record is not whole')
-        if whole < len(content):
+            raise self._damage_error(
+                number, valid_length, 'its first record is invalid'
+            )
+        if valid_length < len(content):
             if not is_last:
-                raise self._damage(number, whole, 'a later segment follows')
-            # The last append was torn by a crash; nobody was told of it.
-            self._folder.cut(name, whole)
-        self._take(Segment(number, whole), found.payloads)
+                raise self._damage_error(
+                    number, valid_length, 'a later segment follows'
+                )
+            # A crash tore the last append, which was never acknowledged.
+            self._folder.truncate(name, valid_length)
+        self._replay_records(Segment(number, valid_length), found.payloads)
 
-    def _take(self, segment: Segment, payloads: list[bytes]) -> None:
+    def _replay_records(self, segment: Segment, payloads: list[bytes]) -> None:
         self._segments.append(segment)
         for payload in payloads:
-            if not self.replay.take(DiskRecord.FromString(payload), segment):
-                raise self._damage(
-                    segment.number, 0, 'it lacks entries of the log'
+            if not self.replay.apply(DiskRecord.FromString(payload), segment):
+                raise self._damage_error(
+                    segment.number, 0, 'it lacks earlier entries of the log'
                 )
 
     def _read_mark(self, names: list[str]) -> SyncedMark:
         mark = SyncedMark()
-        if _MARK not in names:
+        if _MARK_NAME not in names:
             return mark
-        payload = records.unpack(self._folder.read(_MARK), 0, 0)
+        payload = records.unpack(self._folder.read(_MARK_NAME), 0, 0)
         if payload is not None:
             mark.ParseFromString(payload)
         return mark
 
-    def _note_synced(self) -> None:
-        """Note the synced length, itself unsynced: it may only be too low."""
+    def _write_mark(self) -> None:
+        """Record the synced length.
+
+        The mark itself is not synced, so it may be too low but never too high.
+        """
         segment = self._segments[-1]
         mark = SyncedMark(segment=segment.number, length=segment.length)
         packed = records.pack(mark.SerializeToString(), 0, 0)
-        self._folder.overwrite(_MARK, packed)
+        self._folder.overwrite(_MARK_NAME, packed)
 
-    def _damage(self, number: int, offset: int, reason: str) -> StorageError:
+    def _damage_error(
+        self, number: int, offset: int, reason: str
+    ) -> StorageError:
         path = self._folder.path(_segment_name(number))
         return StorageError(
-            f'{path} is damaged at offset {offset}: {reason}. {REPLACE}'
+            f'{path} is damaged at offset {offset}: {reason}. {REPLACE_MEMBER}'
         )
 
 
 def saved_ballot(ballot: Ballot) -> SavedBallot:
-    """Return a ballot as it is put on the disk."""
+    """Return the on-disk form of a ballot."""
     return SavedBallot(term=ballot.term, vote=ballot.vote)
 
 
 def _segment_numbers(names: list[str]) -> list[int]:
     numbers = []
     for name in names:
-        if name.startswith(_PREFIX):
-            numbers.append(int(name.removeprefix(_PREFIX)))
+        if name.startswith(_SEGMENT_PREFIX):
+            numbers.append(int(name.removeprefix(_SEGMENT_PREFIX)))
     return numbers
 
 
 def _segment_name(number: int) -> str:
-    return f'{_PREFIX}{number:016d}'
+    return f'{_SEGMENT_PREFIX}{number:016d}'
--- a/verbenathread/control/audit.py
+++ b/verbenathread/control/audit.py
@@ -1,8 +1,7 @@
 """The audit trail: who changed what, when, and what was refused.
 
-Bounded by count and by the bytes of the texts it holds; the oldest records go
-first. Refused texts stand in it by their hash alone, since a text that was
-not accepted may hold a secret.
+Limited by the count and the bytes of its records; the oldest are dropped
+first. A refused text is recorded only by its hash, since it may hold a secret.
 """
 
 from collections import deque
@@ -11,20 +10,20 @@
 from verbenathread.schema import control_pb2
 from verbenathread.settings.tree import covers
 
-MOST_RECORDS = 10_000
-MOST_TEXT_BYTES = 16_777_216
+MAX_RECORDS = 10_000
+MAX_BYTES = 16_777_216
 ACCEPTED = 'accepted'
 
 
 class AuditTrail:
-    """Records in the order of the log."""
+    """Audit records in log order."""
 
     def __init__(
-        self, most: int = MOST_RECORDS, most_bytes: int = MOST_TEXT_BYTES
+        self, max_records: int = MAX_RECORDS, max_bytes: int = MAX_BYTES
     ) -> None:
-        """Keep at most ``most`` records and ``most_bytes`` of them."""
-        self._most = most
-        self._most_bytes = most_bytes
+        """Keep at most ``max_records`` records and ``max_bytes`` bytes."""
+        self._max_records = max_records
+        self._max_bytes = max_bytes
         self._records: deque[control_pb2.AuditRecord] = deque()
         self._bytes = 0
 
@@ -33,10 +32,10 @@
         return len(self._records)
 
     def add(self, record: control_pb2.AuditRecord) -> None:
-        """Append a record and drop the oldest beyond the bounds."""
+        """Append a record and drop the oldest ones over the limits."""
         self._records.append(record)
         self._bytes += record.ByteSize()
-        while len(self._records) > self._most or self._over_bytes():
+        while len(self._records) > self._max_records or self._over_bytes():
             self._bytes -= self._records.popleft().ByteSize()
 
     def after(
@@ -44,7 +43,7 @@
     ) -> list[control_pb2.AuditRecord]:
         """Return up to ``limit`` records after ``index``, oldest first.
 
-        Index 0 asks for the newest ones.
+        Index 0 returns the newest ones.
         """
         if not index:
             return self._newest(limit, path)
@@ -52,7 +51,7 @@
         for record in self._records:
             if len(found) >= limit:
                 break
-            if record.index <= index or not _concerns(record, path):
+            if record.index <= index or not _is_under(record, path):
                 continue
             found.append(record)
         return found
@@ -72,12 +71,12 @@
         yield from self._records
 
     def load(self, images: Iterable[control_pb2.AuditRecord]) -> None:
-        """Replace the records by what a snapshot holds."""
+        """Replace the records by the content of a snapshot."""
         self._records = deque(images)
         self._bytes = sum(record.ByteSize() for record in self._records)
 
     def _over_bytes(self) -> bool:
-        return self._bytes > self._most_bytes and len(self._records) > 1
+        return self._bytes > self._max_bytes and len(self._records) > 1
 
     def _newest(self, limit: int, path: str) -> list[control_pb2.AuditRecord]:
         """Return the last ``limit`` records, oldest first."""
@@ -85,11 +84,11 @@
         for record in reversed(self._records):
             if len(found) >= limit:
                 break
-            if _concerns(record, path):
+            if _is_under(record, path):
                 found.append(record)
         found.reverse()
         return found
 
 
-def _concerns(record: control_pb2.AuditRecord, path: str) -> bool:
+def _is_under(record: control_pb2.AuditRecord, path: str) -> bool:
     return not path or covers(path, record.subject)
--- a/verbenathread/control/daemon.py
+++ b/verbenathread/control/daemon.py
@@ -1,4 +1,4 @@
-"""One control process: a replica of the log, its service and its duties."""
+"""A control process: a log replica, its service and background tasks."""
 
 import asyncio
 import socket
@@ -12,12 +12,12 @@
 from verbenathread.consensus.rpc import ConsensusService, RpcTransport
 from verbenathread.consensus.settings import ReplicaSettings
 from verbenathread.control.machine import ControlMachine
-from verbenathread.control.node_reports import REPORT_EVERY, NodeReporter
+from verbenathread.control.node_reports import REPORT_INTERVAL, NodeReporter
 from verbenathread.control.nodes import NodeTable
 from verbenathread.control.operator_calls import OperatorCalls
-from verbenathread.control.order_http import HttpUpstreams
+from verbenathread.control.order_http import HttpOrderTransport
 from verbenathread.control.orders import OrderSender
-from verbenathread.control.proposals import Proposals
+from verbenathread.control.proposals import Proposer
 from verbenathread.control.service import ControlService
 from verbenathread.control.sessions import Sessions
 from verbenathread.control.sweeper import ClaimSweeper
@@ -27,11 +27,11 @@
 from verbenathread.settings.node import parse_address, parse_peers
 from verbenathread.types import Millis, Peer
 
-_ORDER_STEP: Millis = 200
-_SWEEP_STEP: Millis = 500
-_WAKE_STEP: Millis = 1000
-# Time for the last answers to leave before connections close, in ms.
-_LAST_ANSWERS: Millis = 100
+_ORDER_INTERVAL: Millis = 200
+_SWEEP_INTERVAL: Millis = 500
+_APPLY_TIMEOUT: Millis = 1000
+# Time to send the last replies before connections close, in ms.
+_DRAIN_DELAY: Millis = 100
 
 _log = get_logger('control')
 
@@ -40,7 +40,7 @@
     """A control process that other programs can embed."""
 
     def __init__(self, settings: settings_pb2.NodeSettings) -> None:
-        """Wire the parts; nothing runs before :meth:`start`."""
+        """Create the components; nothing runs before :meth:`start`."""
         node = settings.node
         control = settings.control
         clock = SystemClock()
@@ -58,12 +58,12 @@
         )
         self.sessions = Sessions(self.machine.tree, self.nodes)
         self._reporter = NodeReporter(node.cluster, node.node_key, self.nodes)
-        proposals = Proposals(self.replica, self.machine, clock)
-        self._sweeper = ClaimSweeper(self.machine, self.nodes, proposals, clock)
+        proposer = Proposer(self.replica, self.machine, clock)
+        self._sweeper = ClaimSweeper(self.machine, self.nodes, proposer, clock)
         self.orders = OrderSender(
             log=self.replica,
             machine=self.machine,
-            upstreams=HttpUpstreams(),
+            transport=HttpOrderTransport(),
             clock=clock,
             lease=control.election_timeout,
         )
@@ -73,12 +73,12 @@
             operators=OperatorCalls(
                 log=self.replica,
                 machine=self.machine,
-                proposals=proposals,
+                proposer=proposer,
                 nodes=self.nodes,
                 orders=self.orders.statuses,
                 root_key_sha256=control.root_key_sha256,
             ),
-            proposals=proposals,
+            proposer=proposer,
             sessions=self.sessions,
             nodes=self.nodes,
         )
@@ -91,76 +91,83 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self, sock: socket.socket | None = None) -> None:
-        """Load the data folder, listen and take part in the group.
+        """Load the data folder, listen and join the group.
 
         ``sock`` is a bound socket to use instead of the address in the
-        settings. Raises StorageError for a folder that can't be trusted.
+        settings. Raises StorageError if the data folder can't be trusted.
         """
         if sock is None:
             await self._server.start(self._listen.host, self._listen.port)
         else:
             await self._server.start(sock=sock)
         await self.replica.start()
-        for duty in (self._wake, self._lead, self._order, self._report):
-            self._tasks.append(asyncio.create_task(duty()))
-        _log.info('Control runs.', listen=str(self._listen))
+        for task in (
+            self._notify_sessions,
+            self._sweep_while_leading,
+            self._send_orders,
+            self._report_nodes,
+        ):
+            self._tasks.append(asyncio.create_task(task()))
+        _log.info('Control started.', listen=str(self._listen))
 
     async def stop(self) -> None:
-        """Hand leadership over, answer what is in progress, and end."""
+        """Transfer leadership, finish the calls in progress and stop."""
         await self.orders.stop()
         await self.replica.stop()
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        await asyncio.sleep(seconds(_LAST_ANSWERS))
+        await asyncio.sleep(seconds(_DRAIN_DELAY))
         self._reporter.close()
         self._transport.close()
         self._server.close()
         await self._server.wait_closed()
         _log.info('Control stopped.')
 
-    async def failed(self) -> str:
-        """Return why the replica stopped by itself, once it did."""
+    async def wait_failed(self) -> str:
+        """Wait until the replica stops on its own, and return the reason."""
         while not self.replica.status().failure:
-            await asyncio.sleep(seconds(_SWEEP_STEP))
+            await asyncio.sleep(seconds(_SWEEP_INTERVAL))
         return self.replica.status().failure
 
-    async def _wake(self) -> None:
-        """Let sessions look for what is newer after each command."""
+    async def _notify_sessions(self) -> None:
+        """Notify the sessions after each applied command."""
         applied = 0
         while True:
-            applied = await self.replica.wait_applied(applied, _WAKE_STEP)
+            applied = await self.replica.wait_applied(applied, _APPLY_TIMEOUT)
             self.sessions.wake(self.replica.status().leader_address)
 
-    async def _lead(self) -> None:
-        led = False
+    async def _sweep_while_leading(self) -> None:
+        was_leading = False
         while True:
-            leads = self.replica.status().is_leader
-            if leads and not led:
+            leading = self.replica.status().is_leader
+            if leading and not was_leading:
                 self._sweeper.reset()
-            led = leads
-            if leads:
+            was_leading = leading
+            if leading:
                 await self._sweep()
-            await asyncio.sleep(seconds(_SWEEP_STEP))
+            await asyncio.sleep(seconds(_SWEEP_INTERVAL))
 
     async def _sweep(self) -> None:
         try:
             await self._sweeper.sweep()
         except VerbenathreadError as error:
-            _log.warning('Claims of a gone owner wait.', reason=str(error))
+            _log.warning(
+                'Could not mark an owner of claims as gone.', reason=str(error)
+            )
 
-    async def _order(self) -> None:
+    async def _send_orders(self) -> None:
         while True:
             self.orders.step()
-            await asyncio.sleep(seconds(_ORDER_STEP))
+            await asyncio.sleep(seconds(_ORDER_INTERVAL))
 
-    async def _report(self) -> None:
-        """Tell the leader of this process's sessions, each second."""
+    async def _report_nodes(self) -> None:
+        """Report this process's sessions to the leader, each second."""
         while True:
             status = self.replica.status()
             if status.leader_address and not status.is_leader:
                 await self._reporter.report(status.leader_address)
-            await asyncio.sleep(seconds(REPORT_EVERY))
+            await asyncio.sleep(seconds(REPORT_INTERVAL))
 
 
 def _replica_settings(settings: settings_pb2.NodeSettings) -> ReplicaSettings:
--- a/verbenathread/control/node_service.py
+++ b/verbenathread/control/node_service.py
@@ -1,4 +1,4 @@
-"""The part of the Control service that nodes call, over grpclib."""
+"""The calls of the Control service for nodes, over grpclib."""
 
 import hmac
 from collections.abc import Awaitable, Callable
@@ -10,7 +10,7 @@
 
 from verbenathread.control.answers import ok
 from verbenathread.control.nodes import NodeTable
-from verbenathread.control.proposals import Proposals
+from verbenathread.control.proposals import Proposer
 from verbenathread.control.sessions import Sessions
 from verbenathread.schema import control_pb2 as messages
 
@@ -25,21 +25,21 @@
 
 
 class NodeService:
-    """Answers nodes of this cluster that hold its key."""
+    """Answers nodes of this cluster that present its key."""
 
     def __init__(
         self,
         *,
         cluster: str,
         node_key: str,
-        proposals: Proposals,
+        proposer: Proposer,
         sessions: Sessions,
         nodes: NodeTable,
     ) -> None:
-        """Refuse nodes that do not hold ``node_key`` of ``cluster``."""
+        """Refuse nodes without the ``node_key`` of ``cluster``."""
         self._cluster = cluster
         self._node_key = node_key
-        self._proposals = proposals
+        self._proposer = proposer
         self._sessions = sessions
         self._nodes = nodes
 
@@ -68,26 +68,26 @@
     async def ReportNodes(  # noqa: N802  the generated base sets the name
         self, stream: Stream[messages.NodesReport, messages.NodesReply]
     ) -> None:
-        """Take the nodes that a follower heard."""
+        """Record the nodes that a follower reports."""
         await answer_call(stream, self._report_nodes)
 
     async def _claim(
         self, request: messages.ClaimRequest
     ) -> messages.ClaimReply:
         self._check_node(request)
-        return await self._proposals.claim(request)
+        return await self._proposer.claim(request)
 
     async def _settle(
         self, request: messages.SettleRequest
     ) -> messages.SettleReply:
         self._check_node(request)
-        return await self._proposals.settle(request)
+        return await self._proposer.settle(request)
 
     async def _report_nodes(
         self, request: messages.NodesReport
     ) -> messages.NodesReply:
         self._check_node(request)
-        self._nodes.take_nodes(request)
+        self._nodes.record_peer_report(request)
         return messages.NodesReply(answer=ok())
 
     def _check_node(self, call: _NodeCall) -> None:
@@ -101,7 +101,7 @@
         ):
             raise GRPCError(
                 Status.UNAUTHENTICATED,
-                'the node key is another one; set [node] node_key',
+                'the node key is wrong; set [node] node_key',
             )
 
 
--- a/verbenathread/control/orders.py
+++ b/verbenathread/control/orders.py
@@ -1,10 +1,11 @@
-"""Brings upstreams to their wanted state; only the leader sends orders.
+"""Reconciles upstreams with their wanted state; only the leader sends orders.
 
-An upstream that checks fencing numbers refuses the orders of an earlier
-leader by itself. For one that ignores them a new leader first waits until no
-order of the old one can still be sent or be in flight. Orders are the wanted
-state, one at a time for each upstream, read back and repeated, so that even an
-order which a frozen process let slip after all is put right.
+An upstream that checks fencing numbers rejects the orders of a previous
+leader by itself. For one that ignores them, a new leader first waits until
+the old leader can no longer send an order or have one in flight. Orders
+describe the wanted state. They are sent one at a time to each upstream, read
+back and repeated, so that a stale order that a suspended process still sent
+is corrected.
 """
 
 import asyncio
@@ -13,89 +14,91 @@
 from typing import NamedTuple
 
 from verbenathread.clock import Clock
-from verbenathread.control.load_limit import LoadLimit
+from verbenathread.control.interfaces import ControlLog
+from verbenathread.control.load_limit import WeightLoadLimiter
 from verbenathread.control.machine import ControlMachine
 from verbenathread.control.order_http import (
     LeadershipLostError,
     Order,
     OrderRefusedError,
-    Shown,
-    Upstreams,
+    OrderTransport,
+    ReportedState,
 )
-from verbenathread.control.ports import ControlLog
 from verbenathread.exceptions import UnavailableError
 from verbenathread.observability.logs import get_logger
 from verbenathread.schema import commands_pb2, control_pb2
 from verbenathread.types import Millis
 
-# Longest time that one order may take, from its connect to its answer.
+# Limit for one order, from the connect to the response.
 ORDER_TIMEOUT: Millis = 2000
-# Clocks of two machines may differ in rate by this share.
-DRIFT_SHARE = 0.05
-FIRST_RECHECK: Millis = 1000
-LONGEST_RETRY: Millis = 30_000
-LONGEST_RECHECK: Millis = 600_000
-MOST_AT_ONCE = 16
+# Largest relative difference between the clock rates of two machines.
+MAX_CLOCK_DRIFT = 0.05
+MIN_RECHECK_DELAY: Millis = 1000
+MAX_RETRY_DELAY: Millis = 30_000
+MAX_RECHECK_DELAY: Millis = 600_000
+MAX_CONCURRENT_UPSTREAMS = 16
 _CHECKED = 'checked'
 
 _log = get_logger('orders')
 
 
-class _Follow(NamedTuple):
-    """When one upstream is looked at next, and what was seen last."""
+class _Progress(NamedTuple):
+    """When one upstream is checked next, and the result of the last check."""
 
     fencing: int
-    due: Millis
-    wait: Millis
+    next_check: Millis
+    delay: Millis
     state: str = 'waiting'
     message: str = ''
 
 
 class OrderSender:
-    """Looks after the wanted state of every upstream while it leads."""
+    """Reconciles every upstream with its wanted state while it leads."""
 
     def __init__(
         self,
         *,
         log: ControlLog,
         machine: ControlMachine,
-        upstreams: Upstreams,
+        transport: OrderTransport,
         clock: Clock,
         lease: Millis,
     ) -> None:
-        """Send over ``upstreams``; a leader's lease lasts ``lease`` ms."""
+        """Send over ``transport``; a leader's lease lasts ``lease`` ms."""
         self._log = log
         self._machine = machine
-        self._upstreams = upstreams
+        self._transport = transport
         self._clock = clock
-        self._quiet_for = int(lease * (1 + DRIFT_SHARE)) + ORDER_TIMEOUT
-        self._loads = LoadLimit(self._most_loads, clock)
+        self._takeover_delay = (
+            int(lease * (1 + MAX_CLOCK_DRIFT)) + ORDER_TIMEOUT
+        )
+        self._load_limiter = WeightLoadLimiter(self._load_limit, clock)
         self._term = 0
         self._stopped = False
-        self._quiet_until = 0
-        self._follow_by_upstream: dict[str, _Follow] = {}
+        self._takeover_ends = 0
+        self._progress_by_upstream: dict[str, _Progress] = {}
         self._task_by_upstream: dict[str, asyncio.Task[None]] = {}
 
     def step(self) -> None:
-        """Start what is due; called several times a second."""
+        """Start the checks that are due; called several times a second."""
         status = self._log.status()
         if self._stopped or not status.is_leader:
             self._term = 0
-            self._follow_by_upstream.clear()
+            self._progress_by_upstream.clear()
             return
         now = self._clock.now()
         if status.term != self._term:
             self._term = status.term
-            self._quiet_until = now + self._quiet_for
-            self._follow_by_upstream.clear()
+            self._takeover_ends = now + self._takeover_delay
+            self._progress_by_upstream.clear()
         for wanted in self._machine.wanted.images():
             self._start_due(wanted, now)
 
     def statuses(self) -> Sequence[control_pb2.OrderStatus]:
-        """Return how far each order has come, as this process saw it."""
+        """Return the state of each order as this process last saw it."""
         statuses = []
         for wanted in self._machine.wanted.images():
-            follow = self._follow_by_upstream.get(wanted.upstream_id)
+            progress = self._progress_by_upstream.get(wanted.upstream_id)
             for wanted_item in wanted.items:
                 statuses.append(
                     control_pb2.OrderStatus(
@@ -103,14 +106,14 @@
                         action=wanted_item.action,
                         subject=wanted_item.subject,
                         fencing=wanted_item.fencing,
-                        state=follow.state if follow else 'waiting',
-                        message=follow.message if follow else '',
+                        state=progress.state if progress else 'waiting',
+                        message=progress.message if progress else '',
                     )
                 )
         return statuses
 
     async def stop(self) -> None:
-        """Send nothing more, and wait for what is in flight."""
+        """Stop sending and wait for the orders in flight."""
         self._stopped = True
         self._term = 0
         await self.idle()
@@ -121,77 +124,82 @@
             await asyncio.wait(self._task_by_upstream.values())
 
     def may_send(self, term: int, *, checked: bool) -> bool:
-        """Tell whether an order of ``term`` may go out at this moment.
+        """Return whether an order of ``term`` may be sent now.
 
-        Asked from worker threads right before the first byte.
+        Called from worker threads right before the first byte is sent.
         """
-        if not checked and self._clock.now() < self._quiet_until:
+        if not checked and self._clock.now() < self._takeover_ends:
             return False
         try:
             status = self._log.status()
         except RuntimeError:
-            # The group changed while it was read from this thread.
+            # The membership changed while this thread was reading it.
             return False
         return status.is_leader and status.term == term == self._term
 
     def reconcile(
         self, wanted: commands_pb2.WantedImage, term: int, *, checked: bool
     ) -> str:
-        """Bring one upstream to its wanted state; return what is missing.
+        """Send one upstream its missing orders; return the slots still missing.
 
         Blocks; runs in a worker thread.
         """
-        shown = self._upstreams.read(wanted.address, ORDER_TIMEOUT)
-        self._loads.shown(wanted.upstream_id, tuple(shown.models))
+        reported = self._transport.read(wanted.address, ORDER_TIMEOUT)
+        self._load_limiter.record_models(
+            wanted.upstream_id, tuple(reported.models)
+        )
         fencing = newest_fencing(wanted)
         missing = []
         may_send = partial(self.may_send, term, checked=checked)
         for wanted_item in wanted.items:
-            if shows(shown, wanted_item, fencing):
+            if satisfies(reported, wanted_item, fencing):
                 continue
             if not self._may_order(wanted.upstream_id, wanted_item):
                 missing.append(wanted_item.slot)
                 continue
-            # Every order names the newest number: it stands for the whole
-            # wanted state, and an upstream that checks refuses older ones.
+            # Every order carries the newest fencing number: it is valid for
+            # the whole wanted state, and an upstream that checks fencing
+            # rejects older numbers.
             order = Order(
                 order_id=wanted_item.order_id,
                 fencing=fencing,
                 action=wanted_item.action,
                 subject=wanted_item.subject,
             )
-            shown = self._upstreams.send(
+            reported = self._transport.send(
                 wanted.address, order, ORDER_TIMEOUT, may_send
             )
-            if not shows(shown, wanted_item, fencing):
+            if not satisfies(reported, wanted_item, fencing):
                 missing.append(wanted_item.slot)
         return ', '.join(missing)
 
     def _start_due(self, wanted: commands_pb2.WantedImage, now: Millis) -> None:
         name = wanted.upstream_id
         fencing = newest_fencing(wanted)
-        follow = self._follow_by_upstream.get(name)
-        if follow is None or follow.fencing != fencing:
-            follow = _Follow(fencing, now, FIRST_RECHECK)
-            self._follow_by_upstream[name] = follow
+        progress = self._progress_by_upstream.get(name)
+        if progress is None or progress.fencing != fencing:
+            progress = _Progress(fencing, now, MIN_RECHECK_DELAY)
+            self._progress_by_upstream[name] = progress
         busy = name in self._task_by_upstream
-        if busy or follow.due > now:
+        if busy or progress.next_check > now:
             return
-        if len(self._task_by_upstream) >= MOST_AT_ONCE:
+        if len(self._task_by_upstream) >= MAX_CONCURRENT_UPSTREAMS:
             return
-        checked = self._is_checked(wanted.service)
-        if not checked and now < self._quiet_until:
+        checked = self._checks_fencing(wanted.service)
+        if not checked and now < self._takeover_ends:
             return
         image = commands_pb2.WantedImage()
         image.CopyFrom(wanted)
-        task = asyncio.create_task(self._follow(image, follow, checked=checked))
+        task = asyncio.create_task(
+            self._reconcile_upstream(image, progress, checked=checked)
+        )
         self._task_by_upstream[name] = task
         task.add_done_callback(lambda _: self._task_by_upstream.pop(name))
 
-    async def _follow(
+    async def _reconcile_upstream(
         self,
         wanted: commands_pb2.WantedImage,
-        follow: _Follow,
+        progress: _Progress,
         *,
         checked: bool,
     ) -> None:
@@ -203,32 +211,32 @@
         except LeadershipLostError:
             return
         except OrderRefusedError as refusal:
-            self._loads.forget(wanted.upstream_id)
-            self._note(wanted, follow, 'refused', str(refusal))
+            self._load_limiter.forget(wanted.upstream_id)
+            self._record_progress(wanted, progress, 'refused', str(refusal))
         except UnavailableError as error:
-            self._loads.forget(wanted.upstream_id)
-            self._note(wanted, follow, 'waiting', str(error))
+            self._load_limiter.forget(wanted.upstream_id)
+            self._record_progress(wanted, progress, 'waiting', str(error))
         else:
             state = 'waiting' if missing else 'shown'
-            self._note(wanted, follow, state, missing)
+            self._record_progress(wanted, progress, state, missing)
 
-    def _note(
+    def _record_progress(
         self,
         wanted: commands_pb2.WantedImage,
-        follow: _Follow,
+        progress: _Progress,
         state: str,
         message: str,
     ) -> None:
         name = wanted.upstream_id
-        if self._follow_by_upstream.get(name) is not follow:
+        if self._progress_by_upstream.get(name) is not progress:
             return
-        if state != follow.state:
-            _log.info('An order moved on.', upstream=name, state=state)
-        longest = LONGEST_RECHECK if state == 'shown' else LONGEST_RETRY
-        self._follow_by_upstream[name] = _Follow(
-            follow.fencing,
-            self._clock.now() + follow.wait,
-            min(2 * follow.wait, longest),
+        if state != progress.state:
+            _log.info('Order state changed.', upstream=name, state=state)
+        max_delay = MAX_RECHECK_DELAY if state == 'shown' else MAX_RETRY_DELAY
+        self._progress_by_upstream[name] = _Progress(
+            progress.fencing,
+            self._clock.now() + progress.delay,
+            min(2 * progress.delay, max_delay),
             state,
             message,
         )
@@ -238,33 +246,33 @@
     ) -> bool:
         if wanted_item.action != 'load':
             return True
-        return self._loads.may_load(upstream_id, wanted_item.subject)
+        return self._load_limiter.may_load(upstream_id, wanted_item.subject)
 
-    def _most_loads(self) -> int:
-        # The weight store is one for the fleet: the root's policy counts.
+    def _load_limit(self) -> int:
+        # The fleet shares one weight store, so the root's policy applies.
         return self._machine.tree.effective().policy('').weight_loads
 
-    def _is_checked(self, service: str) -> bool:
+    def _checks_fencing(self, service: str) -> bool:
         settings = self._machine.tree.effective().service(service)
         return settings is not None and settings.fencing == _CHECKED
 
 
 def newest_fencing(wanted: commands_pb2.WantedImage) -> int:
-    """Return the number that stands for the whole wanted state."""
+    """Return the fencing number that is valid for the whole wanted state."""
     return max((entry.fencing for entry in wanted.items), default=0)
 
 
-def shows(
-    shown: Shown, wanted_item: commands_pb2.WantedItem, fencing: int
+def satisfies(
+    reported: ReportedState, wanted_item: commands_pb2.WantedItem, fencing: int
 ) -> bool:
-    """Tell whether the upstream shows what one order wants."""
+    """Return whether the reported state fulfils one order."""
     if wanted_item.action == 'load':
-        return wanted_item.subject in shown.models
+        return wanted_item.subject in reported.models
     if wanted_item.action == 'unload':
-        return wanted_item.subject not in shown.models
+        return wanted_item.subject not in reported.models
     if wanted_item.action == 'role':
-        return shown.role == wanted_item.subject
-    if shown.drain:
-        return shown.drain == wanted_item.subject
-    # An upstream that shows no draining shows at least the number.
-    return shown.fencing >= fencing
+        return reported.role == wanted_item.subject
+    if reported.drain:
+        return reported.drain == wanted_item.subject
+    # An upstream without a drain state reports at least the fencing number.
+    return reported.fencing >= fencing
--- a/verbenathread/daemons.py
+++ b/verbenathread/daemons.py
@@ -1,4 +1,4 @@
-"""Run a role of the program until it is told to stop."""
+"""Run the daemon of a role until it receives a stop signal."""
 
 import argparse
 import asyncio
@@ -6,7 +6,7 @@
 import signal
 import sys
 
-from verbenathread.command import Rendered
+from verbenathread.command import CommandOutput
 from verbenathread.exceptions import SettingsError, StorageError
 from verbenathread.observability import logs
 from verbenathread.observability.bounded_output import BoundedOutput
@@ -16,30 +16,30 @@
 _STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
-def run_entry(options: argparse.Namespace) -> Rendered:
-    """Run an entry until SIGTERM or SIGINT, then stop as planned."""
-    # Only this role needs the HTTP libraries.
+def run_entry(options: argparse.Namespace) -> CommandOutput:
+    """Run an entry until SIGTERM or SIGINT, then shut down cleanly."""
+    # Imported here because only this role needs the HTTP libraries.
     from verbenathread.entry.daemon import EntryDaemon
 
-    settings = _settings_for('entry', options.settings)
-    # Blocked before any thread starts, so that only sigwait takes them.
+    settings = _load_settings('entry', options.settings)
+    # Blocked before any thread starts, so that only sigwait receives them.
     signal.pthread_sigmask(signal.SIG_BLOCK, _STOP_SIGNALS)
     daemon = EntryDaemon(settings)
     daemon.start()
     signal.sigwait(_STOP_SIGNALS)
     daemon.stop()
-    return Rendered('', None)
+    return CommandOutput('', None)
 
 
-def run_control(options: argparse.Namespace) -> Rendered:
-    """Run a control process until SIGTERM or SIGINT, then stop as planned."""
-    settings = _settings_for('control', options.settings)
+def run_control(options: argparse.Namespace) -> CommandOutput:
+    """Run a control process until SIGTERM or SIGINT, then shut down."""
+    settings = _load_settings('control', options.settings)
     asyncio.run(_serve_control(settings))
-    return Rendered('', None)
+    return CommandOutput('', None)
 
 
 async def _serve_control(settings: settings_pb2.NodeSettings) -> None:
-    # Only this role needs the replicated log.
+    # Imported here because only this role needs the replicated log.
     from verbenathread.control.daemon import ControlDaemon
     from verbenathread.control.status import status_server
 
@@ -56,10 +56,10 @@
         status.start()
     except OSError as error:
         raise SettingsError(
-            f'[control] listen or metrics_listen: {error.strerror}; end what'
-            ' uses the address or write another'
+            f'[control] listen or metrics_listen: {error.strerror}; free the'
+            ' address or set another'
         )
-    failed = asyncio.create_task(daemon.failed())
+    failed = asyncio.create_task(daemon.wait_failed())
     await asyncio.wait(
         (failed, asyncio.create_task(stopping.wait())),
         return_when=asyncio.FIRST_COMPLETED,
@@ -70,24 +70,25 @@
         raise StorageError(failed.result())
 
 
-def run_gateway(options: argparse.Namespace) -> Rendered:
-    """Run a gateway until SIGTERM or SIGINT, then stop as planned."""
-    settings = _settings_for('gateway', options.settings, to_stdout=True)
+def run_gateway(options: argparse.Namespace) -> CommandOutput:
+    """Run a gateway until SIGTERM or SIGINT, then shut down cleanly."""
+    settings = _load_settings('gateway', options.settings, to_stdout=True)
     asyncio.run(_serve_gateway(settings, options.settings))
-    return Rendered('', None)
+    return CommandOutput('', None)
 
 
-def run_directory(options: argparse.Namespace) -> Rendered:
-    """Run a directory process until SIGTERM or SIGINT."""
-    settings = _settings_for('directory', options.settings, to_stdout=True)
+def run_directory(options: argparse.Namespace) -> CommandOutput:
+    """Run a directory process until SIGTERM or SIGINT, then shut down."""
+    settings = _load_settings('directory', options.settings, to_stdout=True)
     asyncio.run(_serve_directory(settings, options.settings))
-    return Rendered('', None)
+    return CommandOutput('', None)
 
 
 async def _serve_gateway(
     settings: settings_pb2.NodeSettings, path: str
 ) -> None:
-    # Only this role needs the HTTP parser and the platform's language.
+    # Imported here because only this role needs the HTTP parser and the
+    # platform's dialect.
     from verbenathread.gateway.daemon import GatewayDaemon
     from verbenathread.platform.bodies import decode_config
     from verbenathread.platform.headers import PlatformDialect
@@ -99,10 +100,10 @@
         await daemon.start()
     except OSError as error:
         raise SettingsError(
-            f'[gateway] an address can not be used: {error.strerror}; end'
-            ' what uses it or write another'
+            f'[gateway] cannot listen on an address: {error.strerror}; free'
+            ' the address or set another'
         )
-    _freeze_startup()
+    _freeze_startup_objects()
     await stopping.wait()
     await daemon.stop()
 
@@ -125,11 +126,11 @@
         await daemon.start()
     except OSError as error:
         raise SettingsError(
-            f'[directory] an address can not be used: {error.strerror}; end'
-            ' what uses it or write another'
+            f'[directory] cannot listen on an address: {error.strerror};'
+            ' free the address or set another'
         )
     asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, daemon.reload)
-    _freeze_startup()
+    _freeze_startup_objects()
     failed = asyncio.create_task(daemon.wait_failed())
     await asyncio.wait(
         (failed, asyncio.create_task(stopping.wait())),
@@ -140,8 +141,11 @@
         raise StorageError(failed.result())
 
 
-def _freeze_startup() -> None:
-    """Spare the collector what lives as long as the process."""
+def _freeze_startup_objects() -> None:
+    """Exempt objects created at startup from garbage collection.
+
+    They live as long as the process, so scanning them again is wasted work.
+    """
     gc.collect()
     gc.freeze()
 
@@ -154,14 +158,14 @@
     return stopping
 
 
-def _settings_for(
+def _load_settings(
     role: str, path: str, *, to_stdout: bool = False
 ) -> settings_pb2.NodeSettings:
     settings = load_node_settings(path)
     if not settings.HasField(role):
         raise SettingsError(
-            f'{path}: there is no [{role}] section; add one or run the other'
-            ' role'
+            f'{path}: there is no [{role}] section; add one or run the role'
+            ' that the file configures'
         )
     stream = BoundedOutput(sys.stdout.fileno()) if to_stdout else None
     logs.configure(settings.log.level, settings.log.format, stream)
--- a/verbenathread/replay/command.py
+++ b/verbenathread/replay/command.py
@@ -1,9 +1,9 @@
-"""The command that replays a trace and checks the stated outcomes."""
+"""The command that replays a trace and checks the invariants."""
 
 import argparse
 from pathlib import Path
 
-from verbenathread.command import Command, Rendered, argument
+from verbenathread.command import Command, CommandOutput, argument
 from verbenathread.exceptions import UsageError
 from verbenathread.replay.deployment import DEPLOYMENT_BY_NAME, Faults
 from verbenathread.replay.measures import Measures, measure
@@ -12,30 +12,30 @@
 from verbenathread.replay.results import Violations
 from verbenathread.replay.trace import read_trace
 
-_BROKEN = 1
-# Limits of each account, as a multiple of its mean rate in the trace.
-_LIMIT_TIMES = 3
+_EXIT_BROKEN = 1
+# Account limits as a multiple of the mean rate in the trace.
+_LIMIT_MULTIPLE = 3
 _MS = 1000
 
 
-def run_replay(options: argparse.Namespace) -> Rendered:
-    """Replay the trace that the options name."""
+def run_replay(options: argparse.Namespace) -> CommandOutput:
+    """Replay a trace and report its results and violations."""
     trace = read_trace(Path(options.trace))
     deployment = DEPLOYMENT_BY_NAME[options.deployment]
     replay = Replay(
         deployment,
         POLICY_BY_NAME[options.policy],
-        limits_for(trace, _LIMIT_TIMES),
+        limits_for(trace, _LIMIT_MULTIPLE),
         options.seed,
     )
     result = replay.run(
         trace,
         Faults(
-            engine_deaths=tuple(_pairs(options.engine_dies)),
-            entry_deaths=tuple(_pairs(options.entry_dies)),
+            engine_deaths=tuple(_parse_deaths(options.engine_dies)),
+            entry_deaths=tuple(_parse_deaths(options.entry_dies)),
         ),
     )
-    measures = measure(result, deployment.to_clients)
+    measures = measure(result, deployment.client_latency_ms)
     is_broken = any(result.violations) or measures.missed
     data = {
         **measures._asdict(),
@@ -43,16 +43,18 @@
         'violations': result.violations._asdict(),
     }
     text = _text(measures, result.violations)
-    return Rendered(text, data, _BROKEN if is_broken else 0)
+    return CommandOutput(text, data, _EXIT_BROKEN if is_broken else 0)
 
 
-def _pairs(words: list[str]) -> list[tuple[int, int]]:
-    """Return positions and moments in ms out of POSITION@SECONDS."""
+def _parse_deaths(words: list[str]) -> list[tuple[int, int]]:
+    """Parse POSITION@SECONDS into positions and times in ms."""
     pairs = []
     for word in words:
         position, _, seconds = word.partition('@')
         if not (position.isdecimal() and seconds.isdecimal()):
-            raise UsageError(f'{word} names no death; write 3@30, say.')
+            raise UsageError(
+                f'{word} is not POSITION@SECONDS, for example 3@30.'
+            )
         pairs.append((int(position), int(seconds) * _MS))
     return pairs
 
@@ -76,35 +78,35 @@
 
 COMMAND = Command(
     name='replay',
-    summary='replay a trace over the decision parts and check its outcomes',
+    summary='replay a trace in virtual time and check its invariants',
     arguments=(
-        argument('trace', help='trace file, JSON lines, packed if .gz'),
+        argument('trace', help='trace file in JSON lines, compressed if .gz'),
         argument(
             '--deployment',
             default='tillery-night',
             choices=sorted(DEPLOYMENT_BY_NAME),
-            help='engines, entries and latencies',
+            help='deployment to simulate',
         ),
         argument(
             '--policy',
             default='current',
             choices=sorted(POLICY_BY_NAME),
-            help='policy to replay',
+            help='scheduling policy',
         ),
-        argument('--seed', type=int, default=1, help='seed of every draw'),
+        argument('--seed', type=int, default=1, help='random seed'),
         argument(
             '--engine-dies',
             action='append',
             default=[],
             metavar='POSITION@SECONDS',
-            help='lose an engine; may be given again',
+            help='kill an engine; may be repeated',
         ),
         argument(
             '--entry-dies',
             action='append',
             default=[],
             metavar='POSITION@SECONDS',
-            help='lose an entry; may be given again',
+            help='kill an entry; may be repeated',
         ),
     ),
     example='verbenathread replay traces/fbis-day.jsonl.gz '
--- a/verbenathread/replay/deployment.py
+++ b/verbenathread/replay/deployment.py
@@ -1,4 +1,4 @@
-"""The sizes of a deployment, and the faults that come over it."""
+"""Sizes of the simulated deployments, and the faults to inject."""
 
 from types import MappingProxyType
 from typing import NamedTuple
@@ -15,16 +15,16 @@
 
 
 class Deployment(NamedTuple):
-    """Engines, entries and one-way latencies in ms."""
+    """Number of engines and entries, and one-way latencies in ms."""
 
     name: str
     service: str
     engines: int
     entries: int
     data_centres: tuple[str, ...]
-    between_centres: float
-    within_centre: float
-    to_clients: float
+    inter_centre_ms: float
+    intra_centre_ms: float
+    client_latency_ms: float
     rates: EngineRates = EngineRates()
 
 
@@ -38,9 +38,9 @@
     engines=_TILLERY_ENGINES,
     entries=9,
     data_centres=('jackson-ms', 'mobile-al', 'shreveport-la'),
-    between_centres=0.5,
-    within_centre=_WITHIN_CENTRE_MS,
-    to_clients=3,
+    inter_centre_ms=0.5,
+    intra_centre_ms=_WITHIN_CENTRE_MS,
+    client_latency_ms=3,
 )
 FBIS = Deployment(
     name='fbis-day',
@@ -48,9 +48,9 @@
     engines=_FBIS_ENGINES,
     entries=9,
     data_centres=('be-central-a', 'be-central-b', 'be-central-c'),
-    between_centres=1,
-    within_centre=_WITHIN_CENTRE_MS,
-    to_clients=1,
+    inter_centre_ms=1,
+    intra_centre_ms=_WITHIN_CENTRE_MS,
+    client_latency_ms=1,
 )
 DEPLOYMENT_BY_NAME = MappingProxyType(
     {deployment.name: deployment for deployment in (TILLERY, FBIS)}
@@ -58,25 +58,25 @@
 
 
 class Faults(NamedTuple):
-    """What fails in a replay; moments in ms since its start."""
+    """Faults to inject into a replay; times in ms since its start."""
 
-    # Position of the engine or entry, and when it dies.
+    # Position of the engine or entry, and the time of its death.
     engine_deaths: tuple[tuple[int, Millis], ...] = ()
     entry_deaths: tuple[tuple[int, Millis], ...] = ()
-    # From and to: no load report arrives.
+    # Start and end of a period in which no gossip arrives.
     reports_missing: tuple[Millis, Millis] = (0, 0)
 
 
 NO_FAULTS = Faults()
 
 
-def entry_name(position: int) -> NodeId:
+def entry_id_at(position: int) -> NodeId:
     """Return the identifier of the entry at a position."""
     return f'n{position:03d}'
 
 
 def engine_records(deployment: Deployment) -> tuple[UpstreamRecord, ...]:
-    """Return the engines as entries know them, in order."""
+    """Return the upstream records of the engines, in order."""
     centres = deployment.data_centres
     return tuple(
         UpstreamRecord(
--- a/verbenathread/replay/measures.py
+++ b/verbenathread/replay/measures.py
@@ -1,43 +1,47 @@
-"""Figures of a replay: first token by length, slowdown, goodput."""
+"""Results of a replay: first-token latency by length, and goodput."""
 
 from collections.abc import Callable, Iterable, Sequence
 from typing import NamedTuple
 
-from verbenathread.replay.results import Ending, ReplayResult, RequestResult
+from verbenathread.replay.results import (
+    ReplayResult,
+    RequestOutcome,
+    RequestResult,
+)
 
-SHORT_EDGE = 4096
-_MIDDLE_EDGE = 32768
-_LONGER_EDGE = 131072
-_LONGEST_EDGE = 1048576
+SHORT_PROMPT_TOKENS = 4096
+_MIDDLE_PROMPT_TOKENS = 32768
+_LONGER_PROMPT_TOKENS = 131072
+_LONGEST_PROMPT_TOKENS = 1048576
 _MS = 1000
-_MEDIAN = 0.5
-_HIGH = 0.95
-_HIGHEST = 0.99
-_LONG_EDGE = 100000
+_P50 = 0.5
+_P95 = 0.95
+_P99 = 0.99
+_LONG_PROMPT_TOKENS = 100000
 
 
 class Bucket(NamedTuple):
-    """A range of prompt lengths, above ``over`` and up to ``most``."""
+    """A range of prompt lengths: over ``above``, at most ``up_to``."""
 
     name: str
-    over: int
-    most: int
+    above: int
+    up_to: int
 
-    def holds(self, ended: RequestResult) -> bool:
-        """Tell whether a request's prompt is in the range."""
-        return self.over < ended.request.prompt_tokens <= self.most
+    def contains(self, ended: RequestResult) -> bool:
+        """Return whether a request's prompt length is in the range."""
+        return self.above < ended.request.prompt_tokens <= self.up_to
 
 
 BUCKETS = (
-    Bucket('4k', 0, SHORT_EDGE),
-    Bucket('32k', SHORT_EDGE, _MIDDLE_EDGE),
-    Bucket('128k', _MIDDLE_EDGE, _LONGER_EDGE),
-    Bucket('1M', _LONGER_EDGE, _LONGEST_EDGE),
+    Bucket('4k', 0, SHORT_PROMPT_TOKENS),
+    Bucket('32k', SHORT_PROMPT_TOKENS, _MIDDLE_PROMPT_TOKENS),
+    Bucket('128k', _MIDDLE_PROMPT_TOKENS, _LONGER_PROMPT_TOKENS),
+    Bucket('1M', _LONGER_PROMPT_TOKENS, _LONGEST_PROMPT_TOKENS),
 )
 
 
 class FirstToken(NamedTuple):
-    """First token of one bucket, in ms as the caller sees it."""
+    """First-token latency of one bucket, in ms as seen by the client."""
 
     bucket: str
     requests: int
@@ -47,7 +51,7 @@
 
 
 class Measures(NamedTuple):
-    """Figures of one replay."""
+    """Aggregated results of one replay."""
 
     first_tokens: tuple[FirstToken, ...]
     requests: int
@@ -60,49 +64,54 @@
     long_requests: int
     long_refused: int
     long_unfinished: int
-    # Requests that completed in time while the trace lasted, by its second;
-    # what completes after the last arrival had the engines to itself.
+    # Requests per second that met their deadline before the last arrival.
+    # Later ones are left out, since the load drops once the trace ends.
     good_rate: float
     attempts: int
 
 
-def measure(result: ReplayResult, to_clients: float) -> Measures:
-    """Return the figures of a replay; ``to_clients`` is one way, in ms."""
-    ended = result.results
-    long = [one for one in ended if one.request.prompt_tokens > _LONG_EDGE]
-    completed = _count(ended, Ending.COMPLETED)
+def measure(result: ReplayResult, client_latency_ms: float) -> Measures:
+    """Aggregate a replay; ``client_latency_ms`` is the one-way latency."""
+    results = result.results
+    long = [
+        ended
+        for ended in results
+        if ended.request.prompt_tokens > _LONG_PROMPT_TOKENS
+    ]
+    completed = _count(results, RequestOutcome.COMPLETED)
     return Measures(
         first_tokens=tuple(
-            _first_token(bucket, ended, to_clients) for bucket in BUCKETS
+            _first_token(bucket, results, client_latency_ms)
+            for bucket in BUCKETS
         ),
-        requests=len(ended),
+        requests=len(results),
         completed=completed,
-        refused=_count(ended, Ending.REFUSED),
-        failed=_count(ended, Ending.FAILED),
-        missed=_count(ended, Ending.MISSED),
-        lost=_count(ended, Ending.LOST),
+        refused=_count(results, RequestOutcome.REFUSED),
+        failed=_count(results, RequestOutcome.FAILED),
+        missed=_count(results, RequestOutcome.MISSED),
+        lost=_count(results, RequestOutcome.LOST),
         long_requests=len(long),
-        long_refused=_count(long, Ending.REFUSED),
+        long_refused=_count(long, RequestOutcome.REFUSED),
         long_unfinished=len(long)
-        - _count(long, Ending.REFUSED)
-        - _count(long, Ending.COMPLETED),
+        - _count(long, RequestOutcome.REFUSED)
+        - _count(long, RequestOutcome.COMPLETED),
         good_rate=_completed_during(result) * _MS / max(1, result.duration),
         attempts=result.attempts,
     )
 
 
 def _completed_during(result: ReplayResult) -> int:
-    """Return how many requests completed before the trace ended."""
+    """Return the number of requests that completed before the last arrival."""
     count = 0
-    for one in result.results:
-        if one.ending is not Ending.COMPLETED:
+    for ended in result.results:
+        if ended.outcome is not RequestOutcome.COMPLETED:
             continue
-        count += one.request.arrival + one.ended_after <= result.duration
+        count += ended.request.arrival + ended.ended_after <= result.duration
     return count
 
 
 def percentile(times: Iterable[float], share: float) -> float:
-    """Return the time that ``share`` of the times do not exceed."""
+    """Return the time that a share of the times does not exceed."""
     ordered = sorted(times)
     if not ordered:
         return 0
@@ -110,45 +119,58 @@
     return ordered[min(len(ordered) - 1, position)]
 
 
-def high_first_token(
+def p95_first_token(
     result: ReplayResult,
-    wanted: Callable[[RequestResult], bool],
-    to_clients: float,
+    is_wanted: Callable[[RequestResult], bool],
+    client_latency_ms: float,
 ) -> float:
-    """Return the p95 first token in ms of the requests that are wanted."""
-    return percentile(_times(filter(wanted, result.results), to_clients), _HIGH)
+    """Return the p95 first-token latency in ms of the selected requests."""
+    return percentile(
+        _first_token_times(
+            filter(is_wanted, result.results), client_latency_ms
+        ),
+        _P95,
+    )
 
 
 def is_short(ended: RequestResult) -> bool:
-    """Tell whether a request is in the shortest bucket."""
-    return ended.request.prompt_tokens <= SHORT_EDGE
+    """Return whether a request is in the shortest bucket."""
+    return ended.request.prompt_tokens <= SHORT_PROMPT_TOKENS
 
 
 def slowdown(
-    beside: ReplayResult, alone: ReplayResult, to_clients: float
+    mixed: ReplayResult, alone: ReplayResult, client_latency_ms: float
 ) -> float:
-    """Return the p95 first token of short requests over that alone."""
-    high = high_first_token(beside, is_short, to_clients)
-    return high / max(1, high_first_token(alone, is_short, to_clients))
+    """Return the slowdown of short requests among others.
 
+    It is the ratio of their p95 first-token latency in mixed traffic to that
+    without any longer requests.
+    """
+    p95 = p95_first_token(mixed, is_short, client_latency_ms)
+    return p95 / max(1, p95_first_token(alone, is_short, client_latency_ms))
 
-def _times(ended: Iterable[RequestResult], to_clients: float) -> list[float]:
+
+def _first_token_times(
+    results: Iterable[RequestResult], client_latency_ms: float
+) -> list[float]:
     times = []
-    for one in ended:
-        if one.first_token_after is not None:
-            times.append(one.first_token_after + 2 * to_clients)
+    for ended in results:
+        if ended.first_token_after is not None:
+            times.append(ended.first_token_after + 2 * client_latency_ms)
     return times
 
 
 def _first_token(
-    bucket: Bucket, ended: Sequence[RequestResult], to_clients: float
+    bucket: Bucket, results: Sequence[RequestResult], client_latency_ms: float
 ) -> FirstToken:
-    times = _times(filter(bucket.holds, ended), to_clients)
-    median = percentile(times, _MEDIAN)
-    high = percentile(times, _HIGH)
-    highest = percentile(times, _HIGHEST)
-    return FirstToken(bucket.name, len(times), median, high, highest)
+    times = _first_token_times(
+        filter(bucket.contains, results), client_latency_ms
+    )
+    p50 = percentile(times, _P50)
+    p95 = percentile(times, _P95)
+    p99 = percentile(times, _P99)
+    return FirstToken(bucket.name, len(times), p50, p95, p99)
 
 
-def _count(ended: Iterable[RequestResult], ending: Ending) -> int:
-    return len([one for one in ended if one.ending is ending])
+def _count(results: Iterable[RequestResult], outcome: RequestOutcome) -> int:
+    return len([ended for ended in results if ended.outcome is outcome])
