--- a/tests/control_processes.py
+++ b/tests/control_processes.py
@@ -12,7 +12,7 @@
 from grpclib.exceptions import GRPCError, StreamTerminatedError
 
 from tests.control_commands import ROOT_KEY, ROOT_SHA
-from tools.processes import Processes, Started
+from tools.processes import ManagedProcess, Processes
 from verbenathread.admin.client import ControlClient
 from verbenathread.schema import control_pb2
 from verbenathread.schema.control_grpc import ControlStub
@@ -63,7 +63,7 @@
             )
             self.start(name)
 
-    def start(self, name: str) -> Started:
+    def start(self, name: str) -> ManagedProcess:
         """Start one process; its name can be reused after it ended."""
         return self.processes.start(
             name,
@@ -76,7 +76,7 @@
     def lose_disk(self, name: str) -> None:
         """Kill a process and restart it with an empty folder, set to join."""
         started = self.processes.by_name[name]
-        started.send(signal.SIGKILL)
+        started.send_signal(signal.SIGKILL)
         started.wait(20)
         shutil.rmtree(self.processes.folder / f'{name}-data')
         path = self._path(name)
--- a/tests/test_admin_commands.py
+++ b/tests/test_admin_commands.py
@@ -15,7 +15,7 @@
     ROOT_SHA,
 )
 from tests.control_processes import ControlGroup
-from tools.processes import running
+from tools.processes import running_processes
 from verbenathread import cmdline
 from verbenathread.admin.commands import COMMANDS
 from verbenathread.commands import CORE_COMMANDS
@@ -42,7 +42,7 @@
 class CommandsTest(unittest.TestCase):
     def setUp(self):
         self.folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
-        processes = self.enterContext(running(self.folder))
+        processes = self.enterContext(running_processes(self.folder))
         group = ControlGroup(processes, count=1)
         addresses = ','.join(map(str, group.address_by_name.values()))
         self.files = {
--- a/tests/test_binary.py
+++ b/tests/test_binary.py
@@ -12,7 +12,7 @@
 from urllib.request import urlopen
 
 from tools.build_binary import build
-from tools.processes import Started, wait_for
+from tools.processes import ManagedProcess, wait_for
 from verbenathread import __version__
 
 START_TIMEOUT_SECONDS = 60
@@ -80,8 +80,8 @@
             )
         self.addCleanup(process.wait)
         self.addCleanup(process.kill)
-        started = Started('binary', process, log)
+        started = ManagedProcess('binary', process, log)
         wait_for('control', lambda: is_ready(metrics), START_TIMEOUT_SECONDS)
         self.assertEqual(started.children(), 0)
-        started.send(signal.SIGTERM)
+        started.send_signal(signal.SIGTERM)
         self.assertEqual(started.wait(START_TIMEOUT_SECONDS), 0)
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -21,7 +21,7 @@
     NodeSession,
 )
 from tests.standins.processes import LocalStandIn
-from tools.processes import running
+from tools.processes import running_processes
 from verbenathread.admin.client import BranchConflictError
 from verbenathread.schema import control_pb2
 from verbenathread.schema.control_grpc import ControlStub
@@ -108,7 +108,7 @@
 class ProcessesTest(unittest.TestCase):
     def run_scenario(self, scenario, **options):
         with tempfile.TemporaryDirectory() as name:
-            with running(Path(name)) as processes:
+            with running_processes(Path(name)) as processes:
                 group = ControlGroup(processes, **options)
                 asyncio.run(scenario(group, processes, group.client()))
 
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -68,7 +68,7 @@
         return f'{self.cluster.entry_ip(number)}:18080'
 
     def signal(self, name, number):
-        self.processes.by_name[name].send(number)
+        self.processes.by_name[name].send_signal(number)
 
     def ask(self, entry, answers=None):
         try:
--- a/tests/test_platform_processes.py
+++ b/tests/test_platform_processes.py
@@ -101,7 +101,7 @@
 
     async def asyncTearDown(self):
         for started in self.processes.by_name.values():
-            started.send(signal.SIGKILL)
+            started.send_signal(signal.SIGKILL)
             started.wait(5)
         await self.worker.stop()
         self.holder.cleanup()
@@ -183,7 +183,7 @@
 
     async def test_the_gateway_serves_without_the_directory(self):
         directory = self.processes.by_name['directory']
-        directory.send(signal.SIGKILL)
+        directory.send_signal(signal.SIGKILL)
         directory.wait(5)
         await self.until(
             self.logged('gateway', 'Lost the connection to the directory')
@@ -207,7 +207,7 @@
         for name in ('gateway', 'directory'):
             with self.subTest(name):
                 started = self.processes.by_name[name]
-                started.send(signal.SIGKILL)
+                started.send_signal(signal.SIGKILL)
                 started.wait(5)
                 started = self.start(name)
                 ignored = functools.partial(ignores_sighup, started)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -9,10 +9,10 @@
 
 from tests.gateway_harness import Response
 from tools.local_cluster import LOOPBACK_NET
-from tools.soak.callers import ASKS, Caller
+from tools.soak.callers import REQUEST_KINDS, Caller
 from tools.soak.findings import Findings
 from tools.soak.loopback_proxy import Direction, LoopbackProxy
-from tools.soak.play import Size, play
+from tools.soak.runner import Size, run_soak
 from verbenathread.clock import ManualClock
 from verbenathread.types import Address
 
@@ -26,7 +26,7 @@
 )
 STAMP = MappingProxyType({'attempt-id': 'c-1', 'response-stamp': 'stamp-c-1'})
 EVENT = b'id: %d\ndata: c-1-%d\n\n'
-SHORT, _, HOLD, _ = ASKS
+SHORT, _, HOLD, _ = REQUEST_KINDS
 
 
 def events(*numbers):
@@ -46,8 +46,8 @@
             with self.subTest(seed=seed):
                 with tempfile.TemporaryDirectory() as folder:
                     size = Size(series=1, callers=4)
-                    findings = asyncio.run(play(seed, Path(folder), size))
-                    self.assertEqual(findings.breaches, [])
+                    findings = asyncio.run(run_soak(seed, Path(folder), size))
+                    self.assertEqual(findings.violations, [])
                     self.assertGreater(findings.outcomes['short 200'], 0)
 
 
@@ -72,16 +72,16 @@
             with self.subTest(rule=rule, answered=answered):
                 findings = Findings(ManualClock(0))
                 caller = Caller('c', [], findings, ManualClock(0))
-                caller._check(ask, 'c-1', answered)
+                caller._check_response(ask, 'c-1', answered)
                 self.assertEqual(rules(findings), [rule] if rule else [])
 
     def test_a_run_after_a_promise_and_a_second_run(self):
         findings = Findings(ManualClock(0))
-        findings.answered('c-1', 503)
-        findings.ran('c-1')
-        findings.ran('c-2')
-        findings.ran('c-2')
-        findings.close()
+        findings.record_answer('c-1', 503)
+        findings.record_run('c-1')
+        findings.record_run('c-2')
+        findings.record_run('c-2')
+        findings.finish()
         self.assertEqual(rules(findings), ['TWICE', 'REFUSED'])
 
     def test_late_answers(self):
@@ -93,21 +93,21 @@
             with self.subTest(late=late, in_time=in_time):
                 findings = Findings(ManualClock(0))
                 for number in range(late + in_time):
-                    findings.timed(late=number < late)
-                findings.close()
-                self.assertEqual(bool(findings.breaches), broken)
+                    findings.record_timed_out(late=number < late)
+                findings.finish()
+                self.assertEqual(bool(findings.violations), broken)
 
     def test_calm_is_judged_over_the_span(self):
         clock = ManualClock(100)
         findings = Findings(clock)
-        harm_id = findings.begin('d1', planned=True)
+        harm_id = findings.begin_fault('d1', planned=True)
         cases = ((0, 99, True), (0, 100, False), (150, 160, False))
         for since, until, calm in cases:
-            self.assertIs(findings.is_calm(since, until), calm)
-        self.assertTrue(findings.is_calm(0, 200, but_planned=True))
+            self.assertIs(findings.is_fault_free(since, until), calm)
+        self.assertTrue(findings.is_fault_free(0, 200, ignore_planned=True))
         clock.advance(50)
-        findings.end(harm_id)
-        self.assertTrue(findings.is_calm(151, 160))
+        findings.end_fault(harm_id)
+        self.assertTrue(findings.is_fault_free(151, 160))
 
 
 class ProxyTest(unittest.IsolatedAsyncioTestCase):
@@ -138,7 +138,7 @@
         for way in Direction:
             self.proxy.hold(way)
             self.assertIsNone(await self.echoed())
-            self.proxy.let_through()
+            self.proxy.release()
             self.assertEqual(await self.reader.readexactly(1), b'x')
         self.proxy.silence()
         self.assertIsNone(await self.echoed())
@@ -152,4 +152,4 @@
 
 def rules(findings):
     """Return the rules of the breaches, in order."""
-    return [breach.split()[1].rstrip(':') for breach in findings.breaches]
+    return [breach.split()[1].rstrip(':') for breach in findings.violations]
--- a/tools/bench.py
+++ b/tools/bench.py
@@ -18,7 +18,7 @@
 
 from tests.entry_fakes import CALLER_KEY
 from tests.standins.processes import StandIn
-from tools.processes import Started
+from tools.processes import ManagedProcess
 from verbenathread.settings.node import parse_address
 from verbenathread.types import Address
 
@@ -59,7 +59,7 @@
         """Start the processes."""
         self._entry = StandIn('entry', '--streams', str(_STREAMS + 56))
         self._address = parse_address(self._entry.address)
-        self._started = Started('entry', self._entry.process, Path())
+        self._started = ManagedProcess('entry', self._entry.process, Path())
         self._engines: list[StandIn] = []
 
     def close(self) -> None:
--- a/tools/bench_consensus.py
+++ b/tools/bench_consensus.py
@@ -38,7 +38,7 @@
 _ERROR_LEVEL = 50
 
 
-def say(name: str, figure: object) -> None:
+def print_figure(name: str, figure: object) -> None:
     """Print one figure."""
     sys.stdout.write(f'{name}: {figure}\n')
 
@@ -69,7 +69,7 @@
         return (leader.status().sync_count - before) / _CHANGES
 
 
-async def leaderless(seed: int) -> float:
+async def leaderless_time(seed: int) -> float:
     """Return election timeouts from a kill until the next leader's commit."""
     async with Group(seed=seed) as group:
         await group.wait_applied(await group.propose_all(['first']))
@@ -140,7 +140,7 @@
     return replica
 
 
-async def on_sockets(folder: Path) -> None:
+async def measure_on_sockets(folder: Path) -> None:
     """Measure three replicas with real files and sockets."""
     relays = (Relay(), Relay(), Relay())
     addresses = await asyncio.gather(*(relay.start() for relay in relays))
@@ -152,26 +152,26 @@
         nodes.append(start_node(me, tuple(peers), relay, folder))
     replicas = await asyncio.gather(*nodes)
     leader = await find_leader(replicas)
-    await throughput(1, leader)
-    await throughput(_MANY, leader)
-    await idle(relays)
+    await measure_throughput(1, leader)
+    await measure_throughput(_MANY, leader)
+    await measure_idle(relays)
     await asyncio.gather(*(replica.stop() for replica in replicas))
 
 
-async def throughput(proposers: int, leader: Replica) -> None:
+async def measure_throughput(proposers: int, leader: Replica) -> None:
     """Print how fast changes are made."""
     before = leader.status().sync_count
     began = time.perf_counter()
     await propose_in(proposers, leader)
     took = time.perf_counter() - began
     syncs = (leader.status().sync_count - before) / _CHANGES
-    say(
+    print_figure(
         f'{proposers} proposers, files and sockets',
         f'{_CHANGES / took:.0f} changes/s, {syncs:.2f} syncs per change',
     )
 
 
-async def idle(relays: tuple[Relay, ...]) -> None:
+async def measure_idle(relays: tuple[Relay, ...]) -> None:
     """Print what a group costs that nobody uses."""
     await asyncio.sleep(1)
     sent = -sum(relay.bytes for relay in relays)
@@ -179,7 +179,7 @@
     await asyncio.sleep(_IDLE_SECONDS)
     sent += sum(relay.bytes for relay in relays)
     used = time.process_time() - used
-    say(
+    print_figure(
         'idle group of 3 on sockets',
         f'{sent / _IDLE_SECONDS:.0f} bytes/s in all, '
         f'{used / _IDLE_SECONDS * 1000:.1f} ms/s of processor for all three '
@@ -202,21 +202,23 @@
         wrapper_class=structlog.make_filtering_bound_logger(_ERROR_LEVEL)
     )
     for proposers in (1, _MANY):
-        say(
+        print_figure(
             f'leader syncs per change, {proposers} proposers',
             f'{run_virtual(count_syncs(proposers)):.2f}',
         )
     gaps = []
     for seed in range(_SEEDS):
-        gaps.append(run_virtual(leaderless(seed)))
-    say(
+        gaps.append(run_virtual(leaderless_time(seed)))
+    print_figure(
         f'election timeouts without a commit after a kill, {_SEEDS} seeds',
         f'median {statistics.median(gaps):.2f}, most {max(gaps):.2f}',
     )
-    say('idle payload', f'{run_virtual(idle_payload()):.0f} bytes/s in all')
+    print_figure(
+        'idle payload', f'{run_virtual(idle_payload()):.0f} bytes/s in all'
+    )
     with tempfile.TemporaryDirectory() as folder:
         with contextlib.suppress(asyncio.CancelledError):
-            asyncio.run(on_sockets(Path(folder)))
+            asyncio.run(measure_on_sockets(Path(folder)))
     return 0
 
 
--- a/tools/bench_decisions.py
+++ b/tools/bench_decisions.py
@@ -104,14 +104,14 @@
         'e1', TILLERY.rates.memory_tokens, default_policy(), clock
     )
     for number in range(-40, 0):
-        answer = ledger.reserve(_ask(number))
+        answer = ledger.reserve(_reservation_request(number))
         if isinstance(answer, Reservation):
             ledger.mark_started(answer.reservation_id)
             ledger.record_progress(answer.reservation_id, 1)
 
     def reserve(number: int) -> None:  # noqa: WPS430 - the call to be timed.
         clock.advance(1)
-        answer = ledger.reserve(_ask(number))
+        answer = ledger.reserve(_reservation_request(number))
         if isinstance(answer, Reservation):
             ledger.mark_started(answer.reservation_id)
             ledger.record_progress(answer.reservation_id, 1)
@@ -121,7 +121,7 @@
     return reserve
 
 
-def _ask(number: int) -> ReservationRequest:
+def _reservation_request(number: int) -> ReservationRequest:
     work = _work(number, 1)._replace(deadline=_LIMIT * _ROUNDS)
     return ReservationRequest(work, work.request_id, 'n1', _PROMPT + _OUTPUT)
 
--- a/tools/bounds.py
+++ b/tools/bounds.py
@@ -29,11 +29,11 @@
 _PROCESSES = max(1, (os.cpu_count() or 2) // 2)
 _KNOWN_RED = Path(__file__).resolve().parent.parent / 'KNOWN-RED.txt'
 _BOUND_KEY = 'bound:'
-_OURS = 'current'
+_CURRENT = 'current'
 _BASELINES = ('previous', 'fifo', 'least')
-_STEADY = 'load-'
-_USUAL = 'load-80'
-_FLOODING = 6
+_LOAD_PREFIX = 'load-'
+_USUAL_LOAD = 'load-80'
+_FLOODING_ACCOUNT = 6
 # The bounds of issue 5.
 _SHORT_FIRST_TOKEN_MS = 630
 _SHORT_SLOWDOWN = 1.25
@@ -64,23 +64,23 @@
     limit: float
     figure: float
     # The figure must not be below the limit, in place of not above.
-    is_least: bool = False
+    is_minimum: bool = False
 
     @property
     def holds(self) -> bool:
         """Tell whether the figure is within the bound."""
-        if self.is_least:
+        if self.is_minimum:
             return self.figure >= self.limit
         return self.figure <= self.limit
 
 
-def _line(scenario: Scenario, policy_name: str) -> Line:
+def _measure_line(scenario: Scenario, policy_name: str) -> Line:
     policy = POLICY_BY_NAME[policy_name]
     result = scenario.run(policy)
     deployment = scenario.deployment
     measures = measure(result, deployment.client_latency_ms)
     ratio = None
-    if scenario.name == _USUAL:
+    if scenario.name == _USUAL_LOAD:
         alone = scenario.run_short_alone(policy)
         ratio = slowdown(result, alone, deployment.client_latency_ms)
     mix = MIX_BY_DEPLOYMENT[deployment.name]
@@ -92,17 +92,17 @@
         goodput=measures.good_rate / capacity(deployment, mix),
         violations=result.violations._asdict(),
         short_slowdown=ratio,
-        others_short=_others(scenario, result, short_only=True),
-        others_all=_others(scenario, result, short_only=False),
+        others_short=_others_first_token(scenario, result, short_only=True),
+        others_all=_others_first_token(scenario, result, short_only=False),
     )
 
 
-def _others(
+def _others_first_token(
     scenario: Scenario, result: ReplayResult, *, short_only: bool
 ) -> float:
     """Return the p95 first token of every account but the one that floods."""
     mix = MIX_BY_DEPLOYMENT[scenario.deployment.name]
-    flooding = list(mix.share_by_account)[_FLOODING]
+    flooding = list(mix.share_by_account)[_FLOODING_ACCOUNT]
 
     def wanted(ended: RequestResult) -> bool:  # noqa: WPS430 - a filter.
         if short_only and not is_short(ended):
@@ -114,7 +114,7 @@
     )
 
 
-def _text(line: Line) -> str:
+def _format_line(line: Line) -> str:
     times = ' '.join(
         f'{first.bucket} {first.p50:.0f}/{first.p95:.0f}/{first.p99:.0f}'
         for first in line.measures.first_tokens
@@ -136,32 +136,32 @@
     )
 
 
-def _bounds(lines: Sequence[Line]) -> list[Bound]:
+def _all_bounds(lines: Sequence[Line]) -> list[Bound]:
     by_key = {
         (line.deployment, line.scenario): line
         for line in lines
-        if line.policy == _OURS
+        if line.policy == _CURRENT
     }
     found = []
     for ours in by_key.values():
-        found.extend(_always(ours))
-        if ours.scenario == _USUAL:
-            found.extend(_usual(ours))
+        found.extend(_invariant_bounds(ours))
+        if ours.scenario == _USUAL_LOAD:
+            found.extend(_usual_load_bounds(ours))
     for deployment in sorted({deployment for deployment, _ in by_key}):
-        usual = by_key.get((deployment, _USUAL))
+        usual = by_key.get((deployment, _USUAL_LOAD))
         flood = by_key.get((deployment, 'flood'))
         if usual is not None and flood is not None:
-            found.extend(_flood(usual, flood))
+            found.extend(_flood_bounds(usual, flood))
         below = by_key.get((deployment, 'load-95'))
         above = by_key.get((deployment, 'load-120'))
         if below is not None and above is not None:
             kept = above.goodput / max(below.goodput, 1e-9)
             name = f'{deployment}/goodput-at-120'
-            found.append(Bound(name, _GOODPUT_KEPT, kept, is_least=True))
+            found.append(Bound(name, _GOODPUT_KEPT, kept, is_minimum=True))
     return found
 
 
-def _always(line: Line) -> list[Bound]:
+def _invariant_bounds(line: Line) -> list[Bound]:
     """Return what must hold at any load, with any failure."""
     start = f'{line.deployment}/{line.scenario}'
     broken = sum(line.violations.values())
@@ -171,7 +171,7 @@
     ]
 
 
-def _usual(line: Line) -> list[Bound]:
+def _usual_load_bounds(line: Line) -> list[Bound]:
     start = f'{line.deployment}/{line.scenario}'
     measures = line.measures
     long_refused = measures.long_refused / max(1, measures.long_requests)
@@ -191,7 +191,7 @@
     ]
 
 
-def _flood(usual: Line, flood: Line) -> list[Bound]:
+def _flood_bounds(usual: Line, flood: Line) -> list[Bound]:
     start = f'{usual.deployment}/flood'
     return [
         Bound(
@@ -218,7 +218,7 @@
     )
 
 
-def _verdict(bounds: Sequence[Bound]) -> int:
+def _report_failures(bounds: Sequence[Bound]) -> int:
     """Print every bound that fails; return how many are not known."""
     red = _known_red()
     surprises = 0
@@ -243,7 +243,7 @@
     names = sorted({each.deployment for each in lines})
     for place, deployment in zip(axes, names, strict=False):
         for line in lines:
-            if (line.deployment, line.scenario) != (deployment, _USUAL):
+            if (line.deployment, line.scenario) != (deployment, _USUAL_LOAD):
                 continue
             place.plot(
                 [first.bucket for first in line.measures.first_tokens],
@@ -275,11 +275,11 @@
     options = parser.parse_args()
     lines = list(_chosen_lines(options))
     if options.json:
-        plain = [_plain(each) for each in lines]
+        plain = [_json_members(each) for each in lines]
         sys.stdout.write(f'{json.dumps(plain, indent=1)}\n')
     if options.plot:
         _plot(lines, options.plot)
-    return 1 if _verdict(_bounds(lines)) else 0
+    return 1 if _report_failures(_all_bounds(lines)) else 0
 
 
 def _chosen_lines(options: argparse.Namespace) -> Iterator[Line]:
@@ -292,21 +292,21 @@
     for scenario in scenarios():
         if options.only not in f'{scenario.deployment.name}/{scenario.name}':
             continue
-        is_compared = scenario.name.startswith(_STEADY)
-        names = [_OURS]
+        is_compared = scenario.name.startswith(_LOAD_PREFIX)
+        names = [_CURRENT]
         if is_compared or options.every_baseline:
             names.extend(_BASELINES)
         chosen.extend(scenario for _ in names)
         policies.extend(names)
     with futures.ProcessPoolExecutor(options.processes) as pool:
-        for line in pool.map(_line, chosen, policies):
+        for line in pool.map(_measure_line, chosen, policies):
             if not options.json:
-                sys.stdout.write(f'{_text(line)}\n')
+                sys.stdout.write(f'{_format_line(line)}\n')
                 sys.stdout.flush()
             yield line
 
 
-def _plain(line: Line) -> dict[str, object]:
+def _json_members(line: Line) -> dict[str, object]:
     """Return a line as JSON takes it."""
     measures = line.measures._asdict()
     measures['first_tokens'] = [
--- a/tools/control_cost.py
+++ b/tools/control_cost.py
@@ -28,7 +28,7 @@
     NodeSession,
 )
 from tests.virtual_loop import run_virtual
-from tools.processes import Processes, running
+from tools.processes import Processes, running_processes
 from verbenathread.clock import MS_PER_SECOND, SystemClock
 from verbenathread.control.machine import ControlMachine
 from verbenathread.control.proposals import Proposer
@@ -197,7 +197,7 @@
 
 async def run_group(folder: Path) -> None:
     """Measure one group with more and more sessions."""
-    with running(folder) as processes:
+    with running_processes(folder) as processes:
         bench = Bench(ControlGroup(processes, records=1000))
         await bench.client.change('/other', '', 0)
         counts = list(_SESSIONS)
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -15,9 +15,9 @@
 from pathlib import Path
 
 from tools import demo_control
-from tools.demo_calls import Answer, ask, book_twice, ready
+from tools.demo_calls import CallResult, book_twice, is_ready, send_prompt
 from tools.demo_deployments import DEPLOYMENTS, Deployment
-from tools.processes import Processes, running, wait_for
+from tools.processes import Processes, running_processes, wait_for
 
 _START_LIMIT_SECONDS = 20
 _STOP_LIMIT_SECONDS = 15
@@ -41,8 +41,8 @@
             settings = str(deployment.folder / f'{name}.ini')
             processes.start(name, 'verbenathread', role, '--settings', settings)
     for number in _VM_NUMBERS:
-        processes.start(f'engine-{number}', *deployment.engine_words(number))
-    processes.start('service-1', *deployment.service_words(1))
+        processes.start(f'engine-{number}', *deployment.engine_command(number))
+    processes.start('service-1', *deployment.service_command(1))
     wait_for(
         'leader of control',
         lambda: demo_control.has_leader(deployment),
@@ -61,20 +61,20 @@
     )
 
 
-def calls(deployment: Deployment) -> Iterator[Answer]:
+def run_calls(deployment: Deployment) -> Iterator[CallResult]:
     """Do what the demo shows, one answer after another."""
-    yield ask(deployment, 1, 'short', _SHORT_TOKENS, stream=False)
+    yield send_prompt(deployment, 1, 'short', _SHORT_TOKENS, stream=False)
     for number in _VM_NUMBERS:
-        yield ask(
+        yield send_prompt(
             deployment,
             number,
             f'short, streamed, entry-{number}',
             _SHORT_TOKENS,
             stream=True,
         )
-    yield ask(deployment, 2, 'middle', _MIDDLE_TOKENS, stream=True)
+    yield send_prompt(deployment, 2, 'middle', _MIDDLE_TOKENS, stream=True)
     yield from _short_beside_long(deployment)
-    yield ask(
+    yield send_prompt(
         deployment,
         3,
         'longer than one engine holds',
@@ -85,21 +85,21 @@
     yield demo_control.change_settings(deployment, _VM_NUMBERS)
 
 
-def run_deployment(deployment: Deployment) -> list[Answer]:
+def run_deployment(deployment: Deployment) -> list[CallResult]:
     """Run one deployment from its start to its planned stop."""
     answers = []
     with tempfile.TemporaryDirectory() as folder:
-        with running(Path(folder)) as processes:
+        with running_processes(Path(folder)) as processes:
             started = time.monotonic()
             try:
                 start(deployment, processes)
             except TimeoutError as error:
                 _print_logs(processes)
-                return [Answer('start', 0, 0, 0, False, str(error))]
+                return [CallResult('start', 0, 0, 0, False, str(error))]
             answers.append(_timed('start of 10 processes', started, True, ''))
-            answers.extend(calls(deployment))
+            answers.extend(run_calls(deployment))
             answers.append(_stop(processes))
-            if _count_held(answers) < len(answers):
+            if _count_succeeded(answers) < len(answers):
                 _print_logs(processes)
     return answers
 
@@ -109,7 +109,7 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--only', choices=[each.name for each in DEPLOYMENTS])
     options = parser.parse_args()
-    answers: list[Answer] = []
+    answers: list[CallResult] = []
     heads = ('where', 'what', 'tokens', 'first token', 'whole', 'held', 'seen')
     sys.stdout.write(f'{_ROW.format(*heads)}\n')
     for deployment in DEPLOYMENTS:
@@ -119,31 +119,33 @@
         for answer in found:
             sys.stdout.write(f'{_row(deployment, answer)}\n')
         answers.extend(found)
-    held = _count_held(answers)
+    held = _count_succeeded(answers)
     sys.stdout.write(f'demo: {held} of {len(answers)} answered\n')
     return 0 if held == len(answers) else 1
 
 
 def _all_ready(deployment: Deployment) -> bool:
-    return all(ready(deployment.metrics(vm)) for vm in _VM_NUMBERS)
+    return all(is_ready(deployment.metrics(vm)) for vm in _VM_NUMBERS)
 
 
 def _all_answer(deployment: Deployment) -> bool:
     return all(
-        ask(deployment, vm, 'first', _FEW_TOKENS, stream=False).held
+        send_prompt(
+            deployment, vm, 'first', _FEW_TOKENS, stream=False
+        ).succeeded
         for vm in _VM_NUMBERS
     )
 
 
-def _count_held(answers: list[Answer]) -> int:
-    return sum(answer.held for answer in answers)
+def _count_succeeded(answers: list[CallResult]) -> int:
+    return sum(answer.succeeded for answer in answers)
 
 
-def _short_beside_long(deployment: Deployment) -> list[Answer]:
+def _short_beside_long(deployment: Deployment) -> list[CallResult]:
     with futures.ThreadPoolExecutor(_SHORT_BESIDE_LONG + 1) as pool:
         sent = [
             pool.submit(
-                ask,
+                send_prompt,
                 deployment,
                 1,
                 'long, beside short ones',
@@ -154,7 +156,7 @@
         for count in range(_SHORT_BESIDE_LONG):
             sent.append(
                 pool.submit(
-                    ask,
+                    send_prompt,
                     deployment,
                     count % len(_VM_NUMBERS) + 1,
                     'short, beside a long one',
@@ -165,7 +167,7 @@
         return [each.result() for each in sent]
 
 
-def _stop(processes: Processes) -> Answer:
+def _stop(processes: Processes) -> CallResult:
     started = time.monotonic()
     code_by_name = processes.stop_all(_STOP_LIMIT_SECONDS)
     # The stand-ins are no part of the system; SIGTERM simply ends them.
@@ -179,21 +181,21 @@
     return _timed('planned stop of 6 processes', started, held, seen)
 
 
-def _timed(what: str, started: float, held: bool, seen: str) -> Answer:
+def _timed(what: str, started: float, held: bool, seen: str) -> CallResult:
     total = (time.monotonic() - started) * _MS_PER_SECOND
-    return Answer(what, 0, 0, total, held, seen)
+    return CallResult(what, 0, 0, total, held, seen)
 
 
-def _row(deployment: Deployment, answer: Answer) -> str:
+def _row(deployment: Deployment, answer: CallResult) -> str:
     first = f'{answer.first_token_ms:.0f} ms' if answer.first_token_ms else ''
     return _ROW.format(
         deployment.name,
-        answer.what,
+        answer.label,
         answer.prompt_tokens or '',
         first,
         f'{answer.total_ms:.0f} ms',
-        'yes' if answer.held else 'NO',
-        answer.seen,
+        'yes' if answer.succeeded else 'NO',
+        answer.detail,
     )
 
 
--- a/tools/demo_calls.py
+++ b/tools/demo_calls.py
@@ -23,18 +23,18 @@
 _http = urllib3.PoolManager(retries=False, timeout=_CALL_LIMIT)
 
 
-class Answer(NamedTuple):
+class CallResult(NamedTuple):
     """What came back of one call."""
 
-    what: str
+    label: str
     prompt_tokens: int
     first_token_ms: float
     total_ms: float
-    held: bool
-    seen: str
+    succeeded: bool
+    detail: str
 
 
-def ready(address: str) -> bool:
+def is_ready(address: str) -> bool:
     """Tell whether an entry says that it is ready."""
     try:
         return _http.request('GET', f'http://{address}/readyz').status == _OK
@@ -42,9 +42,9 @@
         return False
 
 
-def ask(
+def send_prompt(
     deployment: Deployment, entry: int, what: str, tokens: int, *, stream: bool
-) -> Answer:
+) -> CallResult:
     """Send one prompt and read the whole answer."""
     prompt = f'{what} {time.monotonic_ns()} '
     prompt += 'bed ' * (tokens - len(prompt) // _BYTES_PER_TOKEN)
@@ -67,17 +67,17 @@
     )
     if answer.status != _OK:
         seen = answer.read().decode()
-        return Answer(what, tokens, 0, _ms_since(started), False, seen)
+        return CallResult(what, tokens, 0, _ms_since(started), False, seen)
     if not stream:
         choice = answer.json()['choices'][0]
         total = _ms_since(started)
         words = len(choice['message']['content'].split())
         held = choice['finish_reason'] == 'stop'
-        return Answer(what, tokens, total, total, held, f'{words} tokens')
+        return CallResult(what, tokens, total, total, held, f'{words} tokens')
     return _read_stream(answer, what, tokens, started)
 
 
-def book_twice(deployment: Deployment) -> Answer:
+def book_twice(deployment: Deployment) -> CallResult:
     """Send one booking to two entries at the same time."""
     key = f'demo-{time.monotonic_ns()}'
     started = time.monotonic()
@@ -89,7 +89,7 @@
     again, second = _book(deployment, 2, key)
     held = status == again == _CREATED and first == second
     held = held and set(statuses) <= {_CREATED, _CONFLICT}
-    return Answer(
+    return CallResult(
         'booking sent to two entries',
         0,
         0,
@@ -114,7 +114,7 @@
 
 def _read_stream(
     answer: urllib3.BaseHTTPResponse, what: str, tokens: int, started: float
-) -> Answer:
+) -> CallResult:
     first: float | None = None
     words = 0
     done = False
@@ -129,7 +129,7 @@
     answer.release_conn()
     total = _ms_since(started)
     seen = f'{words} tokens streamed'
-    return Answer(what, tokens, first or 0, total, done and words > 0, seen)
+    return CallResult(what, tokens, first or 0, total, done and words > 0, seen)
 
 
 def _events(answer: urllib3.BaseHTTPResponse) -> Iterator[str]:
--- a/tools/demo_control.py
+++ b/tools/demo_control.py
@@ -6,7 +6,7 @@
 from collections.abc import Awaitable, Callable, Sequence
 from typing import TypeVar
 
-from tools.demo_calls import Answer
+from tools.demo_calls import CallResult
 from tools.demo_deployments import Deployment
 from verbenathread.admin.client import ControlClient
 from verbenathread.exceptions import VerbenathreadError
@@ -34,7 +34,9 @@
         _call(deployment, _Change(path, text))
 
 
-def change_settings(deployment: Deployment, entries: Sequence[int]) -> Answer:
+def change_settings(
+    deployment: Deployment, entries: Sequence[int]
+) -> CallResult:
     """Change the root branch and wait until every entry runs it."""
     text = '# Changed by the demo.\n[policy]\nattempts = 5\n'
     started = time.monotonic()
@@ -45,7 +47,7 @@
         running = _call(deployment, _CountRunning(revision))
         time.sleep(_POLL_SECONDS)
     total = (time.monotonic() - started) * _MS_PER_SECOND
-    return Answer(
+    return CallResult(
         'change of settings in force',
         0,
         0,
--- a/tools/demo_deployments.py
+++ b/tools/demo_deployments.py
@@ -11,7 +11,7 @@
 _ENGINE_PORT = 18100
 _SERVICE_PORT = 18200
 # Rates of the engine stand-in, in tokens and tokens a second.
-_ENGINE_WORDS = (
+_ENGINE_OPTIONS = (
     '--memory-tokens', '400000',
     '--prefill-rate', '1000000',
     '--decode-rate', '400',
@@ -55,22 +55,24 @@
         """Return the sample key of the root operator."""
         return f'{self.name}-sample-root-key'
 
-    def engine_words(self, number: int) -> tuple[str, ...]:
+    def engine_command(self, number: int) -> tuple[str, ...]:
         """Return the command of one engine stand-in, from 1."""
         return (
             'tests.standins.engine',
-            *self._upstream_words(number, _ENGINE_PORT, self.model),
-            *_ENGINE_WORDS,
+            *self._upstream_options(number, _ENGINE_PORT, self.model),
+            *_ENGINE_OPTIONS,
         )
 
-    def service_words(self, number: int) -> tuple[str, ...]:
+    def service_command(self, number: int) -> tuple[str, ...]:
         """Return the command of one booking stand-in, from 1."""
         return (
             'tests.standins.service',
-            *self._upstream_words(number, _SERVICE_PORT, self.booking_service),
+            *self._upstream_options(
+                number, _SERVICE_PORT, self.booking_service
+            ),
         )
 
-    def _upstream_words(
+    def _upstream_options(
         self, number: int, port: int, service: str
     ) -> tuple[str, ...]:
         entries = ','.join(self.entry(count) for count in (1, 2, 3))
--- a/tools/local_cluster.py
+++ b/tools/local_cluster.py
@@ -10,7 +10,7 @@
 
 import urllib3
 
-from tools.processes import Processes, running, wait_for
+from tools.processes import Processes, running_processes, wait_for
 from verbenathread.admin.client import ControlClient
 from verbenathread.exceptions import VerbenathreadError
 from verbenathread.settings.node import parse_addresses
@@ -90,9 +90,11 @@
         self.processes = processes
         self.size = size
         for number in range(1, size.control + 1):
-            self._write(self.control_name(number), self._control(number))
+            self._write(
+                self.control_name(number), self._control_settings(number)
+            )
         for number in range(1, size.entries + 1):
-            self._write(self.entry_name(number), self._entry(number))
+            self._write(self.entry_name(number), self._entry_settings(number))
 
     def control_name(self, number: int) -> str:
         """Return the name of one control process, from 1."""
@@ -115,7 +117,7 @@
         for number in range(1, self.size.control + 1):
             self.start_node('control', self.control_name(number))
         wait_for('leader of control', self.has_leader, _START_LIMIT_SECONDS)
-        asyncio.run(self._make_root())
+        asyncio.run(self._create_root_branch())
         for entry in range(1, self.size.entries + 1):
             self.start_node('entry', self.entry_name(entry))
         wait_for('ready entries', self.all_ready, _START_LIMIT_SECONDS)
@@ -148,14 +150,14 @@
             except VerbenathreadError:
                 return False
 
-    async def _make_root(self) -> None:
+    async def _create_root_branch(self) -> None:
         text = _ROOT_BRANCH.format(
-            account=_hashed(ACCOUNT_KEY), announce=_hashed(ANNOUNCE_KEY)
+            account=_key_hash(ACCOUNT_KEY), announce=_key_hash(ANNOUNCE_KEY)
         )
         with contextlib.closing(self.client()) as client:
             await client.change('/', text, 0)
 
-    def _control(self, number: int) -> str:
+    def _control_settings(self, number: int) -> str:
         voters = ', '.join(
             f'{self.control_name(voter)}@{self.control_ip(voter)}:18090'
             for voter in range(1, self.size.control + 1)
@@ -164,10 +166,10 @@
             ip=self.control_ip(number),
             name=self.control_name(number),
             voters=voters,
-            root_key=_hashed(ROOT_KEY),
+            root_key=_key_hash(ROOT_KEY),
         )
 
-    def _entry(self, number: int) -> str:
+    def _entry_settings(self, number: int) -> str:
         cell = ', '.join(
             f'{self.entry_name(entry)}@{self.entry_ip(entry)}:18081'
             for entry in range(1, self.size.entries + 1)
@@ -192,13 +194,13 @@
 @contextlib.contextmanager
 def local_cluster(folder: Path, size: Size) -> Iterator[LocalCluster]:
     """Run a cluster and end all of it afterwards."""
-    with running(folder) as processes:
+    with running_processes(folder) as processes:
         cluster = LocalCluster(processes, size)
         cluster.start()
         yield cluster
 
 
-def _hashed(key: str) -> str:
+def _key_hash(key: str) -> str:
     return hashlib.sha256(key.encode()).hexdigest()
 
 
--- a/tools/processes.py
+++ b/tools/processes.py
@@ -23,7 +23,7 @@
 _SENT_BYTES = 9
 
 
-class Started(NamedTuple):
+class ManagedProcess(NamedTuple):
     """One process that this run started."""
 
     name: str
@@ -49,7 +49,7 @@
             len((task / 'children').read_text().split()) for task in tasks
         )
 
-    def send(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         """Send a signal, unless the process has ended."""
         if self.process.poll() is None:
             self.process.send_signal(number)
@@ -68,9 +68,9 @@
     def __init__(self, folder: Path) -> None:
         """Keep logs and data below ``folder``."""
         self.folder = folder
-        self.by_name: dict[str, Started] = {}
+        self.by_name: dict[str, ManagedProcess] = {}
 
-    def start(self, name: str, *words: str) -> Started:
+    def start(self, name: str, *words: str) -> ManagedProcess:
         """Start ``python -m WORDS`` in the folder of the run."""
         log = self.folder / f'{name}.log'
         environment = {**os.environ, 'PYTHONPATH': str(ROOT)}
@@ -83,14 +83,14 @@
                 stdout=output,
                 stderr=output,
             )
-        started = Started(name, process, log)
+        started = ManagedProcess(name, process, log)
         self.by_name[name] = started
         return started
 
     def stop_all(self, limit: float) -> dict[str, int | None]:
         """Send SIGTERM to all and return each exit code, None if killed."""
         for started in self.by_name.values():
-            started.send(signal.SIGTERM)
+            started.send_signal(signal.SIGTERM)
         code_by_name = {}
         for name, started in self.by_name.items():
             code_by_name[name] = started.wait(limit)
@@ -101,12 +101,12 @@
         """End whatever still runs."""
         for started in self.by_name.values():
             # A stopped process takes SIGKILL too.
-            started.send(signal.SIGKILL)
+            started.send_signal(signal.SIGKILL)
             started.process.wait()
 
 
 @contextlib.contextmanager
-def running(folder: Path) -> Iterator[Processes]:
+def running_processes(folder: Path) -> Iterator[Processes]:
     """Yield the processes of one run and end them all afterwards."""
     processes = Processes(folder)
     try:
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -16,7 +16,7 @@
 _TEST_KEY = 'test:'
 
 
-def known_red(page: Path) -> frozenset[str]:
+def known_failures(page: Path) -> frozenset[str]:
     """Return the dotted names that ``page`` lists as known to fail."""
     if not page.exists():
         return frozenset()
@@ -51,7 +51,7 @@
     logs.configure('critical', 'text')
     runner = unittest.TextTestRunner(verbosity=2 if options.verbose else 1)
     outcome = runner.run(suite)
-    red = known_red(_KNOWN_RED)
+    red = known_failures(_KNOWN_RED)
     failed = failed_names(outcome)
     for name in sorted(failed & red):
         sys.stdout.write(f'known red: {name}\n')
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -67,7 +67,7 @@
         return f'| {" | ".join(cells)} |'
 
 
-def slope(
+def fit_slope(
     what: str,
     by: str,
     unit: str,
@@ -83,14 +83,14 @@
     by_entries = [measure(entries, _FEW_ENGINES) for entries in _ENTRIES]
     by_engines = [measure(_FEW_ENTRIES, engines) for engines in _ENGINES]
     for what, unit, read in _CELL_FIGURES:
-        yield slope(
+        yield fit_slope(
             what,
             f'entries, {_FEW_ENGINES} engines',
             unit,
             [(cost.entries, read(cost)) for cost in by_entries],
             TARGET.cell_entries,
         )
-        yield slope(
+        yield fit_slope(
             what,
             f'engines, {_FEW_ENTRIES} entries',
             unit,
@@ -108,10 +108,12 @@
         points_ms.append((accounts, _time_of(text_by_path)))
         points_mb.append((accounts, _memory_of(text_by_path)))
     by = f'client accounts, {_BRANCHES} branches'
-    yield slope(
+    yield fit_slope(
         'entry: settings put in force', by, 'ms', points_ms, TARGET.accounts
     )
-    yield slope('entry: settings held', by, 'KB', points_mb, TARGET.accounts)
+    yield fit_slope(
+        'entry: settings held', by, 'KB', points_mb, TARGET.accounts
+    )
 
 
 def _entry_cpu(cost: CellCost) -> float:
--- a/tools/slopes_cell.py
+++ b/tools/slopes_cell.py
@@ -59,10 +59,10 @@
         verb = 'announce'
         while not self._ended.wait(_RENEW_SECONDS):
             for engine in range(self._engines):
-                self._tell(engine, verb)
+                self._announce(engine, verb)
             verb = 'renew'
 
-    def _tell(self, engine: int, verb: str) -> None:
+    def _announce(self, engine: int, verb: str) -> None:
         entry = engine % self._cluster.size.entries + 1
         members = {
             'upstream_id': f'engine-{engine}',
--- a/tools/soak/__main__.py
+++ b/tools/soak/__main__.py
@@ -8,7 +8,7 @@
 import tempfile
 from pathlib import Path
 
-from tools.soak.play import Size, play
+from tools.soak.runner import Size, run_soak
 
 
 def main() -> int:
@@ -31,24 +31,24 @@
     )
     broken = 0
     for seed in range(first, first + options.count):
-        if _play_one(seed, size, Path(options.keep)):
+        if _run_seed(seed, size, Path(options.keep)):
             broken += 1
     sys.stdout.write(f'{options.count} seeds, {broken} broken\n')
     return 1 if broken else 0
 
 
-def _play_one(seed: int, size: Size, keep: Path) -> bool:
+def _run_seed(seed: int, size: Size, keep: Path) -> bool:
     folder = Path(tempfile.mkdtemp(prefix=f'soak-{seed}-'))
-    findings = asyncio.run(play(seed, folder, size))
+    findings = asyncio.run(run_soak(seed, folder, size))
     sys.stdout.write(f'seed {seed}: {dict(findings.outcomes)}\n')
-    for breach in findings.breaches:
+    for breach in findings.violations:
         sys.stdout.write(f'seed {seed}: {breach}\n')
-    if findings.breaches:
+    if findings.violations:
         kept = keep / f'soak-{seed}'
         shutil.copytree(folder, kept, dirs_exist_ok=True)
         sys.stdout.write(f'seed {seed}: logs are in {kept}\n')
     shutil.rmtree(folder)
-    return bool(findings.breaches)
+    return bool(findings.violations)
 
 
 if __name__ == '__main__':
--- a/tools/soak/faults.py
+++ b/tools/soak/faults.py
@@ -6,7 +6,7 @@
 from collections.abc import Awaitable, Callable
 
 from tools.soak.findings import Findings
-from tools.soak.fleet import GRACE, Fleet, Node
+from tools.soak.fleet import STOP_LIMIT, Fleet, Node
 from tools.soak.loopback_proxy import Direction
 from tools.soak.worker_pool import WorkerPool
 from verbenathread.clock import Clock, seconds
@@ -14,13 +14,13 @@
 
 Fault = Callable[[], Awaitable[None]]
 
-_BETWEEN: tuple[Millis, Millis] = (100, 1500)
-_LASTS: tuple[Millis, Millis] = (300, 3000)
-_DELAYS: tuple[Millis, Millis] = (20, 300)
+_PAUSE_RANGE: tuple[Millis, Millis] = (100, 1500)
+_DURATION_RANGE: tuple[Millis, Millis] = (300, 3000)
+_DELAY_RANGE: tuple[Millis, Millis] = (20, 300)
 # A directory process that lost its disk counts as lost for so long after.
-_CATCH_UP: Millis = 6000
+_CATCH_UP_TIME: Millis = 6000
 _STOP_SLACK_SECONDS = 2
-_SPOILED_SHARE = 0.3
+_FAILURE_SHARE = 0.3
 # Weights of the faults; a fault on a directory process is as likely as one
 # on a gateway, though there are as many of each.
 _WEIGHTS = (4, 3, 3, 4, 4, 3, 2, 3, 1, 2, 1)
@@ -44,7 +44,7 @@
         self._clock = clock
         self._random = random.Random(seed)
         self._tasks: set[asyncio.Task[None]] = set()
-        self._disk_lost_at: Millis = -_CATCH_UP
+        self._disk_lost_at: Millis = -_CATCH_UP_TIME
         self._kinds: tuple[Fault, ...] = (
             self._kill,
             self._stop,
@@ -59,81 +59,81 @@
             self._kill_all,
         )
 
-    async def series(self, length: Millis) -> None:
+    async def run_series(self, length: Millis) -> None:
         """Begin faults for ``length`` ms and wait until all have ended."""
         until = self._clock.now() + length
         while self._clock.now() < until:
             fault = self._random.choices(self._kinds, _WEIGHTS)[0]
-            task = asyncio.create_task(self._play(fault))
+            task = asyncio.create_task(self._inject(fault))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
-            pause = self._random.randint(*_BETWEEN)
+            pause = self._random.randint(*_PAUSE_RANGE)
             await asyncio.sleep(seconds(pause))
         await asyncio.gather(*self._tasks)
 
-    async def plan(self) -> None:
+    async def run_planned_work(self) -> None:
         """Do planned work only: stops, a leave, other seeds."""
         node = self._random.choice(self._fleet.gateways)
         await asyncio.gather(
             self._terminate(node), self._pool.replace(self._random)
         )
-        self._fleet.move_seeds(self._random.randrange(3))
+        self._fleet.change_seeds(self._random.randrange(3))
 
-    async def _play(self, fault: Fault) -> None:
-        harm_id = self._findings.begin(fault.__name__)
+    async def _inject(self, fault: Fault) -> None:
+        harm_id = self._findings.begin_fault(fault.__name__)
         await fault()
-        self._findings.end(harm_id)
+        self._findings.end_fault(harm_id)
 
-    def _node(self) -> Node | None:
+    def _pick_node(self) -> Node | None:
         """Return a node that no other fault has in hand."""
-        free = [node for node in self._fleet.nodes if not node.is_taken]
+        free = [node for node in self._fleet.nodes if not node.is_faulted]
         return self._random.choice(free) if free else None
 
-    async def _last(self) -> None:
-        await asyncio.sleep(seconds(self._random.randint(*_LASTS)))
+    async def _wait_duration(self) -> None:
+        await asyncio.sleep(seconds(self._random.randint(*_DURATION_RANGE)))
 
     async def _kill(self) -> None:
-        node = self._node()
+        node = self._pick_node()
         if node is None:
             return
-        node.is_taken = True
+        node.is_faulted = True
         self._fleet.kill(node)
         if node.program == 'directory' and self._random.choice((True, False)):
-            self._fleet.tear(node)
-        await self._last()
+            self._fleet.append_torn_write(node)
+        await self._wait_duration()
         self._restart(node)
 
     async def _stop(self) -> None:
-        node = self._node()
+        node = self._pick_node()
         if node is not None:
             await self._terminate(node)
 
     async def _terminate(self, node: Node) -> None:
         """Stop a node as the platform does, and start it again."""
-        if node.is_taken:
+        if node.is_faulted:
             return
-        node.is_taken = True
-        harm_id = self._findings.begin(node.name, planned=True)
+        node.is_faulted = True
+        harm_id = self._findings.begin_fault(node.name, planned=True)
         started = self._fleet.process(node)
-        started.send(signal.SIGTERM)
-        limit = seconds(GRACE) + _STOP_SLACK_SECONDS
+        started.send_signal(signal.SIGTERM)
+        limit = seconds(STOP_LIMIT) + _STOP_SLACK_SECONDS
         code = await asyncio.to_thread(started.wait, limit)
         if code is None:
-            self._findings.breach('STOP', f'{node.name} did not end')
+            self._findings.report_violation('STOP', f'{node.name} did not end')
             self._fleet.kill(node)
         self._restart(node)
-        self._findings.end(harm_id)
+        self._findings.end_fault(harm_id)
 
     async def _pause(self) -> None:
-        node = self._node()
+        node = self._pick_node()
         if node is None:
             return
-        node.is_taken = True
+        node.is_faulted = True
         started = self._fleet.process(node)
-        started.send(signal.SIGSTOP)
-        await self._last()
-        started.send(signal.SIGCONT)
-        node.is_taken = False
+        started.send_signal(signal.SIGSTOP)
+        await self._wait_duration()
+        started.send_signal(signal.SIGCONT)
+        node.is_faulted = False
 
     async def _cut(self) -> None:
         node = self._random.choice(self._fleet.nodes)
@@ -141,15 +141,15 @@
         ways = self._random.choice((both, both[:1], both[1:]))
         for proxy in node.proxies:
             proxy.hold(*ways)
-        await self._last()
+        await self._wait_duration()
         for proxy in node.proxies:
-            proxy.let_through()
+            proxy.release()
 
     async def _delay(self) -> None:
         node = self._random.choice(self._fleet.nodes)
         for proxy in node.proxies:
-            proxy.delay = self._random.randint(*_DELAYS)
-        await self._last()
+            proxy.delay = self._random.randint(*_DELAY_RANGE)
+        await self._wait_duration()
         for proxy in node.proxies:
             proxy.delay = 0
 
@@ -167,9 +167,9 @@
 
     async def _fail_worker(self) -> None:
         worker = self._random.choice(self._pool.workers)
-        worker.fault_share = _SPOILED_SHARE
-        await self._last()
-        worker.fault_share = 0
+        worker.failure_share = _FAILURE_SHARE
+        await self._wait_duration()
+        worker.failure_share = 0
 
     async def _crash_worker(self) -> None:
         await self._pool.crash(self._random)
@@ -177,25 +177,25 @@
     async def _lose_disk(self) -> None:
         """Take the disk of one directory process; one may be lost at once."""
         now = self._clock.now()
-        taken = any(node.is_taken for node in self._fleet.directories)
-        if taken or now < self._disk_lost_at + _CATCH_UP:
+        taken = any(node.is_faulted for node in self._fleet.directories)
+        if taken or now < self._disk_lost_at + _CATCH_UP_TIME:
             return
         node = self._random.choice(self._fleet.directories)
-        node.is_taken = True
+        node.is_faulted = True
         self._fleet.kill(node)
-        self._fleet.wipe(node)
-        await self._last()
+        self._fleet.wipe_disk(node)
+        await self._wait_duration()
         self._restart(node)
         self._disk_lost_at = self._clock.now()
 
     async def _kill_all(self) -> None:
-        nodes = [node for node in self._fleet.nodes if not node.is_taken]
+        nodes = [node for node in self._fleet.nodes if not node.is_faulted]
         for node in nodes:
-            node.is_taken = True
+            node.is_faulted = True
             self._fleet.kill(node)
         for node in nodes:
             self._restart(node)
 
     def _restart(self, node: Node) -> None:
         self._fleet.start_node(node)
-        node.is_taken = False
+        node.is_faulted = False
--- a/tools/soak/fleet.py
+++ b/tools/soak/fleet.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from tools.local_cluster import LOOPBACK_NET
-from tools.processes import Processes, Started
+from tools.processes import ManagedProcess, Processes
 from tools.soak.findings import Findings
 from tools.soak.loopback_proxy import LoopbackProxy
 from verbenathread.types import Address, Millis
@@ -21,7 +21,7 @@
 _FIRST_GATEWAY = 40
 _PROXY_OFFSET = 100
 # How long a planned stop may last.
-GRACE: Millis = 8000
+STOP_LIMIT: Millis = 8000
 WORKER_HEARTBEAT: Millis = 400
 _KILL_WAIT_SECONDS = 10
 _TORN_BYTES = 9
@@ -75,9 +75,9 @@
             for port in ports
         ]
         # Counts the lives of the process.
-        self.life = 0
+        self.start_count = 0
         # A fault has the process in hand; others leave it alone.
-        self.is_taken = False
+        self.is_faulted = False
 
     @property
     def address(self) -> Address:
@@ -102,7 +102,7 @@
         self.gateways = [Node('gateway', n) for n in range(gateways)]
         self._seeds = [node.proxy_ip for node in self.directories]
         for node in self.nodes:
-            self.write(node, bootstrap=True)
+            self.write_settings(node, bootstrap=True)
 
     @property
     def nodes(self) -> list[Node]:
@@ -125,43 +125,43 @@
 
     def start_node(self, node: Node) -> None:
         """Start the process of a node that has none."""
-        node.life += 1
+        node.start_count += 1
         words = ('verbenathread', node.program, '--settings')
         self._processes.start(node.name, *words, f'{node.name}.ini')
 
-    def process(self, node: Node) -> Started:
+    def process(self, node: Node) -> ManagedProcess:
         """Return the process of a node."""
         return self._processes.by_name[node.name]
 
     def kill(self, node: Node) -> None:
         """Kill a process and wait for its end."""
         started = self.process(node)
-        started.send(signal.SIGKILL)
+        started.send_signal(signal.SIGKILL)
         started.wait(_KILL_WAIT_SECONDS)
-        self.write(node, bootstrap=False)
+        self.write_settings(node, bootstrap=False)
 
-    def wipe(self, node: Node) -> None:
+    def wipe_disk(self, node: Node) -> None:
         """Take the disk of a killed directory process."""
-        shutil.rmtree(self._data(node), ignore_errors=True)
+        shutil.rmtree(self._data_folder(node), ignore_errors=True)
 
-    def tear(self, node: Node) -> None:
+    def append_torn_write(self, node: Node) -> None:
         """Leave bytes of a write that never ended at the log's end."""
-        segments = sorted(self._data(node).glob('segment-*'))
+        segments = sorted(self._data_folder(node).glob('segment-*'))
         if segments:
             with segments[-1].open('ab') as segment:
                 segment.write(os.urandom(_TORN_BYTES))
 
-    def move_seeds(self, first: int) -> None:
+    def change_seeds(self, first: int) -> None:
         """Name other seeds in every settings file, and signal half of them."""
         count = len(self.directories)
         chosen = [self.directories[(first + n) % count] for n in range(2)]
         self._seeds = [node.proxy_ip for node in chosen]
         for number, node in enumerate(self.nodes):
-            self.write(node, bootstrap=False)
+            self.write_settings(node, bootstrap=False)
             if number % 2:
-                self.process(node).send(signal.SIGHUP)
+                self.process(node).send_signal(signal.SIGHUP)
 
-    def write(self, node: Node, *, bootstrap: bool) -> None:
+    def write_settings(self, node: Node, *, bootstrap: bool) -> None:
         """Write the settings file of a node."""
         template = _DIRECTORY if node.program == 'directory' else _GATEWAY
         text = (_NODE + template).format(
@@ -176,7 +176,7 @@
             notice_port=NOTICE_PORT,
             bootstrap='yes' if bootstrap else 'no',
             heartbeat=WORKER_HEARTBEAT,
-            grace=GRACE,
+            grace=STOP_LIMIT,
         )
         path = self._processes.folder / f'{node.name}.ini'
         path.write_text(text)
@@ -185,8 +185,10 @@
         """Note processes that ended by themselves."""
         for node in self.nodes:
             code = self.process(node).process.poll()
-            if code is not None and not node.is_taken:
-                self.findings.breach('ENDED', f'{node.name} code {code}')
+            if code is not None and not node.is_faulted:
+                self.findings.report_violation(
+                    'ENDED', f'{node.name} code {code}'
+                )
                 self.start_node(node)
 
     def check_logs(self) -> None:
@@ -195,8 +197,10 @@
             log = self._processes.folder / f'{node.name}.log'
             for line in log.read_text().splitlines():
                 if not line.startswith('{') or 'unexpected' in line:
-                    self.findings.breach('LOG', f'{node.name}: {line}')
+                    self.findings.report_violation(
+                        'LOG', f'{node.name}: {line}'
+                    )
                     break
 
-    def _data(self, node: Node) -> Path:
+    def _data_folder(self, node: Node) -> Path:
         return self._processes.folder / f'{node.name}-data'
--- a/tools/soak/loopback_proxy.py
+++ b/tools/soak/loopback_proxy.py
@@ -17,7 +17,7 @@
     RECEIVED = 'received'
 
 
-class _Link:
+class _Connection:
     """One connection through the proxy."""
 
     def __init__(
@@ -44,7 +44,7 @@
         self._held: frozenset[Direction] = frozenset()
         self._passing = asyncio.Event()
         self._passing.set()
-        self._links: set[_Link] = set()
+        self._connections: set[_Connection] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._server: asyncio.Server | None = None
 
@@ -66,19 +66,19 @@
         self._held = frozenset(directions)
         self._passing.clear()
 
-    def let_through(self) -> None:
+    def release(self) -> None:
         """Deliver what was held, and hold nothing more."""
         self._held = frozenset()
         self._passing.set()
 
     def silence(self) -> None:
         """Let the connections of now say nothing for good."""
-        for link in self._links:
+        for link in self._connections:
             link.is_silent = True
 
     def reset(self) -> None:
         """Reset the connections of now."""
-        for link in tuple(self._links):
+        for link in tuple(self._connections):
             link.reset()
 
     async def _accept(
@@ -93,8 +93,8 @@
         except (OSError, asyncio.CancelledError):
             reset(writer)
             return
-        link = _Link(writer, there[1])
-        self._links.add(link)
+        link = _Connection(writer, there[1])
+        self._connections.add(link)
         try:
             await asyncio.gather(
                 self._pump(link, Direction.SENT, reader, there[1]),
@@ -103,20 +103,20 @@
         except (OSError, asyncio.CancelledError):
             link.reset()
         finally:
-            self._links.discard(link)
+            self._connections.discard(link)
             for one in link.writers:
                 one.close()
 
     async def _pump(
         self,
-        link: _Link,
+        link: _Connection,
         direction: Direction,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
         while True:
             content = await reader.read(_CHUNK_BYTES)
-            await self._let_pass(link, direction)
+            await self._apply_faults(link, direction)
             if not content:
                 if writer.can_write_eof():
                     writer.write_eof()
@@ -124,7 +124,9 @@
             writer.write(content)
             await writer.drain()
 
-    async def _let_pass(self, link: _Link, direction: Direction) -> None:
+    async def _apply_faults(
+        self, link: _Connection, direction: Direction
+    ) -> None:
         if self.delay:
             await asyncio.sleep(seconds(self.delay))
         while direction in self._held:
--- a/tools/soak/operator.py
+++ b/tools/soak/operator.py
@@ -10,8 +10,8 @@
     HOST,
     KEY,
     TIME_LIMIT,
-    ask_any,
-    ask_once,
+    call_any,
+    call_once,
 )
 from tools.soak.findings import Findings
 from tools.soak.fleet import Fleet, Node
@@ -26,24 +26,24 @@
 
 # A change is in force everywhere within this of its acknowledgement.
 _APPLY_LIMIT: Millis = 2000
-_CONTACT: Millis = 3000
+_RECOVERY_TIME: Millis = 3000
 _BETWEEN_CHANGES = (300, 2500)
 _RESEND: Millis = 200
-_MOST_STEP = 9
+_MAX_VERSION_STEP = 9
 _SERVED = 200
 _NOT_FOUND = 404
-_READS = 10
-_NONSENSE_SHARE = 0.2
+_READ_ATTEMPTS = 10
+_INVALID_SHARE = 0.2
 
 # Of a route for prompts that several engines read.
-_LONG = MappingProxyType(
+_LONG_PROMPT_OPTIONS = MappingProxyType(
     {
         'resumable': True,
         'target-latency-ms': 3000,
         'target-gap-ms': 1000,
     }
 )
-_ENGINE = MappingProxyType(
+_ENGINE_SETTINGS = MappingProxyType(
     {
         'slots': 8,
         'kv-capacity-tokens': MEMORY_TOKENS,
@@ -62,13 +62,13 @@
     marker = _route(f'v{version}', 'idempotent', LEDGER_SERVICE)
     routes = [
         _route('note', 'streaming', ENGINE_SERVICE, resumable=True),
-        _route('file', 'streaming', ENGINE_SERVICE, **_LONG),
+        _route('file', 'streaming', ENGINE_SERVICE, **_LONG_PROMPT_OPTIONS),
         _route('hold', 'non_idempotent', LEDGER_SERVICE, attempts=1),
         _route('check', 'idempotent', LEDGER_SERVICE),
         marker | {'public': True},
     ]
     services = [
-        {'name': ENGINE_SERVICE, 'engine': dict(_ENGINE)},
+        {'name': ENGINE_SERVICE, 'engine': dict(_ENGINE_SETTINGS)},
         {'name': LEDGER_SERVICE},
     ]
     accounts = [{'name': ACCOUNT, 'api-keys': [KEY], 'priority': 1}]
@@ -113,10 +113,10 @@
         self._random = random.Random(seed)
         self._sent = 0
         # The newest version that was acknowledged, and when.
-        self.acked = 0
-        self._acked_at: Millis = 0
+        self.acknowledged = 0
+        self._acknowledged_at: Millis = 0
         # The highest version that served a probe, by node and life.
-        self._seen_by_life: dict[tuple[str, int], int] = {}
+        self._seen_by_start: dict[tuple[str, int], int] = {}
 
     async def run(self) -> None:
         """Make one change after the other."""
@@ -127,14 +127,14 @@
 
     async def change(self) -> None:
         """Send a change again and again until it is acknowledged."""
-        self._sent += self._random.randint(1, _MOST_STEP)
+        self._sent += self._random.randint(1, _MAX_VERSION_STEP)
         version = self._sent
         while await self._put(config_body(version)) != _SERVED:
             await asyncio.sleep(seconds(_RESEND))
-        self.acked = version
-        self._acked_at = self._clock.now()
-        if self._random.random() < _NONSENSE_SHARE:
-            await self._send_nonsense(version)
+        self.acknowledged = version
+        self._acknowledged_at = self._clock.now()
+        if self._random.random() < _INVALID_SHARE:
+            await self._send_invalid_changes(version)
 
     async def probe(self) -> None:
         """Ask gateways which versions are in force, again and again."""
@@ -146,33 +146,36 @@
 
     async def read_back(self) -> None:
         """Check that the newest acknowledged change is still there."""
-        for _ in range(_READS):
-            answered = await ask_any(
+        for _ in range(_READ_ATTEMPTS):
+            answered = await call_any(
                 self._addresses(), 'GET', '/Config.Get', b''
             )
             if answered is not None:
                 break
             await asyncio.sleep(seconds(_APPLY_LIMIT // 2))
         if answered is None:
-            self._findings.breach('CONFIG', 'it can not be read back')
+            self._findings.report_violation('CONFIG', 'it can not be read back')
             return
         version = json.loads(answered.body)['version']
-        if version < self.acked or answered.body != config_body(version):
-            self._findings.breach(
-                'CONFIG', f'{version} is read back, {self.acked} was accepted'
+        if version < self.acknowledged or answered.body != config_body(version):
+            self._findings.report_violation(
+                'CONFIG',
+                f'{version} is read back, {self.acknowledged} was accepted',
             )
 
     async def _put(self, content: bytes) -> int:
-        answered = await ask_any(
+        answered = await call_any(
             self._addresses(), 'POST', '/Config.Put', content
         )
         return 0 if answered is None else answered.status
 
-    async def _send_nonsense(self, version: int) -> None:
+    async def _send_invalid_changes(self, version: int) -> None:
         """Send what must change nothing: invalid, and another content."""
         status = await self._put(config_body(version + 1)[:-9])
         if status == _SERVED:
-            self._findings.breach('CONFIG', 'an invalid one is acknowledged')
+            self._findings.report_violation(
+                'CONFIG', 'an invalid one is acknowledged'
+            )
         other = json.loads(config_body(version))
         other['routes'] = other['routes'][:2]
         await self._put(json.dumps(other).encode())
@@ -183,33 +186,35 @@
         return addresses
 
     async def _probe_newest(self, node: Node) -> None:
-        wanted = self.acked
+        wanted = self.acknowledged
         asked_at = self._clock.now()
-        is_due = asked_at > self._acked_at + _APPLY_LIMIT
-        life = (node.name, node.life)
-        status = await self._ask_marker(node, wanted)
+        is_due = asked_at > self._acknowledged_at + _APPLY_LIMIT
+        life = (node.name, node.start_count)
+        status = await self._request_marker(node, wanted)
         if status == _SERVED:
-            seen = self._seen_by_life.get(life, 0)
-            self._seen_by_life[life] = max(seen, wanted)
+            seen = self._seen_by_start.get(life, 0)
+            self._seen_by_start[life] = max(seen, wanted)
             return
-        calm = self._findings.is_calm(
-            self._acked_at - _CONTACT, self._clock.now()
+        calm = self._findings.is_fault_free(
+            self._acknowledged_at - _RECOVERY_TIME, self._clock.now()
         )
         if status == _NOT_FOUND and is_due and calm and self._sent == wanted:
-            self._findings.breach('CONFIG', f'{node.name} lacks {wanted}')
+            self._findings.report_violation(
+                'CONFIG', f'{node.name} lacks {wanted}'
+            )
 
     async def _probe_older(self, node: Node) -> None:
-        life = (node.name, node.life)
-        seen = self._seen_by_life.get(life, 0)
+        life = (node.name, node.start_count)
+        seen = self._seen_by_start.get(life, 0)
         if seen < 2:
             return
-        older = self._random.randint(max(1, seen - _MOST_STEP), seen - 1)
-        status = await self._ask_marker(node, older)
+        older = self._random.randint(max(1, seen - _MAX_VERSION_STEP), seen - 1)
+        status = await self._request_marker(node, older)
         if status == _SERVED:
-            self._findings.breach(
+            self._findings.report_violation(
                 'CONFIG', f'{node.name} served {older} after {seen}'
             )
 
-    async def _ask_marker(self, node: Node, version: int) -> int:
-        answered = await ask_once(node.address, 'GET', f'/v{version}/')
+    async def _request_marker(self, node: Node, version: int) -> int:
+        answered = await call_once(node.address, 'GET', f'/v{version}/')
         return 0 if answered is None else answered.status
--- a/tools/soak/play.py
+++ b/tools/soak/runner.py
@@ -7,8 +7,8 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from tools.processes import running
-from tools.soak.callers import ASKS, Caller
+from tools.processes import running_processes
+from tools.soak.callers import REQUEST_KINDS, Caller
 from tools.soak.faults import Faults
 from tools.soak.findings import Findings
 from tools.soak.fleet import Fleet
@@ -18,15 +18,15 @@
 from verbenathread.types import Address, Millis
 
 _START_LIMIT: Millis = 15_000
-_SERIES: Millis = 4000
+_SERIES_LENGTH: Millis = 4000
 # Longer than a fault counts after its end.
-_CALM: Millis = 4000
+_QUIET_TIME: Millis = 4000
 # Memory is free this long after the last request that used it.
-_FREE: Millis = 4000
-_LOOK_EVERY: Millis = 200
-_LEAVE: Millis = 500
+_RELEASE_TIME: Millis = 4000
+_POLL_INTERVAL: Millis = 200
+_DISCONNECT_TIME: Millis = 500
 # A soak takes about a minute; one that takes longer hangs.
-_LONGEST: Millis = 150_000
+_RUN_LIMIT: Millis = 150_000
 
 
 class Size(NamedTuple):
@@ -56,31 +56,31 @@
         )
         self._tasks: list[asyncio.Task[None]] = []
 
-    async def play(self) -> None:
+    async def run(self) -> None:
         """Play the faults and check what can be told at the end."""
         await self._fleet.start()
         await self._pool.start()
-        self._spawn(self._pool.beat())
+        self._spawn(self._pool.send_heartbeats())
         await asyncio.wait_for(self._operator.change(), seconds(_START_LIMIT))
-        await self._until_served()
+        await self._wait_until_served()
         self._spawn(self._operator.run())
         self._spawn(self._operator.probe())
         for number in range(self._size.callers):
             self._spawn(self._caller(f's{self._seed}-c{number}').run())
         for _ in range(self._size.series):
-            await self._faults.series(_SERIES)
+            await self._faults.run_series(_SERIES_LENGTH)
             self._fleet.check_running()
-            await asyncio.sleep(seconds(_CALM))
-            await self._faults.plan()
+            await asyncio.sleep(seconds(_QUIET_TIME))
+            await self._faults.run_planned_work()
         await self._finish()
 
-    async def play_within(self, limit: Millis) -> None:
+    async def run_within(self, limit: Millis) -> None:
         """Play, and tell where it hangs if it takes longer."""
         try:
             async with asyncio.timeout(seconds(limit)):
-                await self.play()
+                await self.run()
         except TimeoutError as error:
-            self.findings.breach('SOAK', f'it hangs: {error!r}')
+            self.findings.report_violation('SOAK', f'it hangs: {error!r}')
             for task in asyncio.all_tasks():
                 task.print_stack(limit=3)
 
@@ -91,41 +91,45 @@
         await self._pool.stop()
 
     async def _finish(self) -> None:
-        await asyncio.sleep(seconds(_CALM))
+        await asyncio.sleep(seconds(_QUIET_TIME))
         await self._cancel(keep=1)
         # Gateways notice within this that the callers left.
-        await asyncio.sleep(seconds(_LEAVE))
+        await asyncio.sleep(seconds(_DISCONNECT_TIME))
         await self._check_served()
         await self._operator.read_back()
-        await asyncio.sleep(seconds(_FREE))
+        await asyncio.sleep(seconds(_RELEASE_TIME))
         for worker in self._pool.workers:
-            if worker.tickets():
-                held = worker.tickets()
-                self.findings.breach('LEAK', f'{worker.worker_id} {held}')
+            if worker.reservations():
+                held = worker.reservations()
+                self.findings.report_violation(
+                    'LEAK', f'{worker.worker_id} {held}'
+                )
         self._fleet.check_running()
         self._fleet.check_logs()
-        self.findings.close()
+        self.findings.finish()
 
     async def _check_served(self) -> None:
         """Without faults every gateway serves every kind of request."""
         for node in self._fleet.gateways:
             caller = self._caller(f's{self._seed}-{node.name}', node.address)
-            for ask in ASKS:
-                if not await caller.ask(ask):
-                    self.findings.breach('RECOVER', f'{node.name} {ask.name}')
+            for ask in REQUEST_KINDS:
+                if not await caller.send(ask):
+                    self.findings.report_violation(
+                        'RECOVER', f'{node.name} {ask.name}'
+                    )
             caller.close()
 
-    async def _until_served(self) -> None:
+    async def _wait_until_served(self) -> None:
         """Wait until every gateway serves for the first time."""
         until = self._clock.now() + _START_LIMIT
         for node in self._fleet.gateways:
             caller = self._caller(
                 f's{self._seed}-first-{node.name}', node.address
             )
-            while not await caller.ask(ASKS[-1]):
+            while not await caller.send(REQUEST_KINDS[-1]):
                 if self._clock.now() > until:
                     raise TimeoutError(f'{node.name} serves nothing')
-                await asyncio.sleep(seconds(_LOOK_EVERY))
+                await asyncio.sleep(seconds(_POLL_INTERVAL))
             caller.close()
 
     def _caller(self, name: str, *gateways: Address) -> Caller:
@@ -134,13 +138,13 @@
 
     def _spawn(self, duty: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(duty)
-        task.add_done_callback(self._note_end)
+        task.add_done_callback(self._report_task_error)
         self._tasks.append(task)
 
-    def _note_end(self, task: asyncio.Task[None]) -> None:
+    def _report_task_error(self, task: asyncio.Task[None]) -> None:
         """Note a caller or operator that ended by an error."""
         if not task.cancelled() and task.exception() is not None:
-            self.findings.breach('SOAK', repr(task.exception()))
+            self.findings.report_violation('SOAK', repr(task.exception()))
             task.print_stack()
 
     async def _cancel(self, keep: int = 0) -> None:
@@ -155,7 +159,7 @@
         self._tasks = self._tasks[:keep]
 
 
-async def play(seed: int, folder: Path, size: Size) -> Findings:
+async def run_soak(seed: int, folder: Path, size: Size) -> Findings:
     """Play the soak of one seed with its processes below ``folder``.
 
     SIGTERM ends it early, with all that it started.
@@ -164,11 +168,11 @@
     if playing is not None:
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, playing.cancel)
-    with running(folder) as processes:
+    with running_processes(folder) as processes:
         findings = Findings(SystemClock())
         fleet = Fleet(processes, size.directories, size.gateways, findings)
         soak = Soak(fleet, size, seed)
         async with contextlib.AsyncExitStack() as stack:
             stack.push_async_callback(soak.stop)
-            await soak.play_within(_LONGEST)
+            await soak.run_within(_RUN_LIMIT)
     return findings
--- a/tools/soak/worker_pool.py
+++ b/tools/soak/worker_pool.py
@@ -6,7 +6,7 @@
 import random
 
 from tools.local_cluster import LOOPBACK_NET
-from tools.soak.callers import ask_any
+from tools.soak.callers import call_any
 from tools.soak.findings import Findings
 from tools.soak.fleet import WORKER_HEARTBEAT, Fleet
 from tools.soak.loopback_proxy import LoopbackProxy
@@ -20,8 +20,8 @@
 _LEDGERS = 2
 _OK = 200
 # A worker serves on for this long after its leave was acknowledged.
-_SERVES_ON: Millis = 3500
-_NOBODY = Address('127.0.0.1', 9)
+_DRAIN_TIME: Millis = 3500
+_UNUSED_ADDRESS = Address('127.0.0.1', 9)
 
 
 class WorkerPool:
@@ -42,7 +42,7 @@
         self.proxies = [
             LoopbackProxy(
                 Address(f'{LOOPBACK_NET}.{_FIRST_WORKER + n}', _WORKER_PORT),
-                _NOBODY,
+                _UNUSED_ADDRESS,
             )
             for n in range(len(self._services))
         ]
@@ -61,10 +61,12 @@
             await worker.crash()
             await proxy.stop()
 
-    async def beat(self) -> None:
+    async def send_heartbeats(self) -> None:
         """Let each worker say that it lives, again and again."""
         while True:
-            await asyncio.gather(*(self._say(one) for one in self.workers))
+            await asyncio.gather(
+                *(self._send_heartbeat(one) for one in self.workers)
+            )
             await asyncio.sleep(seconds(WORKER_HEARTBEAT))
 
     async def crash(self, chance: random.Random) -> None:
@@ -75,14 +77,14 @@
         """Drain a worker, wait, and let another one take its address."""
         number = chance.randrange(len(self.workers))
         worker = self.workers[number]
-        harm_id = self._findings.begin(worker.worker_id, planned=True)
+        harm_id = self._findings.begin_fault(worker.worker_id, planned=True)
         worker.is_draining = True
-        while not await self._say(worker):
+        while not await self._send_heartbeat(worker):
             await asyncio.sleep(seconds(WORKER_HEARTBEAT))
-        self._findings.end(harm_id)
+        self._findings.end_fault(harm_id)
         worker.drained_at = self._clock.now()
-        await asyncio.sleep(seconds(_SERVES_ON))
-        await self._tell(worker, 'Deregister', {'born': worker.born})
+        await asyncio.sleep(seconds(_DRAIN_TIME))
+        await self._call_directory(worker, 'Deregister', {'born': worker.born})
         if self.workers[number] is worker:
             await self._replace_at(number)
 
@@ -107,7 +109,7 @@
             worker.peer_by_address[str(other.address)] = other
         return worker
 
-    async def _say(self, worker: SoakWorker) -> bool:
+    async def _send_heartbeat(self, worker: SoakWorker) -> bool:
         worker.sequence += 1
         said = {
             'service': worker.service,
@@ -119,15 +121,15 @@
             'sequence': worker.sequence,
             'born': worker.born,
         }
-        return await self._tell(worker, 'Heartbeat', said)
+        return await self._call_directory(worker, 'Heartbeat', said)
 
-    async def _tell(
+    async def _call_directory(
         self, worker: SoakWorker, call: str, said: dict[str, object]
     ) -> bool:
         addresses = [node.address for node in self._fleet.directories]
         chance = random.Random(f'{worker.worker_id} {worker.sequence}')
         chance.shuffle(addresses)
-        answered = await ask_any(
+        answered = await call_any(
             addresses,
             'POST',
             f'/Instances.{call}/{worker.worker_id}',
--- a/tools/soak/workers.py
+++ b/tools/soak/workers.py
@@ -18,16 +18,16 @@
 LEDGER_SERVICE = 'ledger'
 MEMORY_TOKENS = 232_000
 # Between two events of a stream, and the work of a plain call.
-_EVENT_STEP: Millis = 30
-_WORK: Millis = 20
+_EVENT_INTERVAL: Millis = 30
+_PLAIN_CALL_TIME: Millis = 20
 # A gateway may pass on what it chose just before it heard of the leave.
 _DRAIN_LIMIT: Millis = 2000
 # A gateway that was harmed may hear of a leave this much later.
-_CONTACT: Millis = 3000
-_LONGEST_HANG = 30.0
+_RECOVERY_TIME: Millis = 3000
+_HANG_SECONDS = 30.0
 
 
-class _Ticket(NamedTuple):
+class _Reservation(NamedTuple):
     """Memory that is set aside."""
 
     tokens: int
@@ -57,11 +57,11 @@
         self.sequence = 0
         self.born = clock.wall()
         # Share of the requests that this worker spoils.
-        self.fault_share: float = 0
+        self.failure_share: float = 0
         self.is_draining = False
         # When its leave was acknowledged.
         self.drained_at: Millis | None = None
-        self._ticket_by_id: dict[str, _Ticket] = {}
+        self._reservation_by_id: dict[str, _Reservation] = {}
         self._used: set[str] = set()
         # Other engines by their address, for the tickets that helpers hold.
         self.peer_by_address: dict[str, SoakWorker] = {}
@@ -75,24 +75,26 @@
         self._proxy.reset()
         await self._standin.stop()
 
-    def tickets(self) -> list[str]:
+    def reservations(self) -> list[str]:
         """Return the reservations that hold memory now."""
         now = self._clock.now()
-        for ticket_id, ticket in tuple(self._ticket_by_id.items()):
+        for ticket_id, ticket in tuple(self._reservation_by_id.items()):
             if ticket.until <= now:
-                self._ticket_by_id.pop(ticket_id)
-        return list(self._ticket_by_id)
+                self._reservation_by_id.pop(ticket_id)
+        return list(self._reservation_by_id)
 
-    def use(self, ticket_id: str) -> bool:
+    def begin_use(self, ticket_id: str) -> bool:
         """Take a ticket into use; False when it is not there."""
-        if ticket_id not in self.tickets():
+        if ticket_id not in self.reservations():
             return False
         if ticket_id in self._used:
-            self._findings.breach('LIMIT', f'{ticket_id} is used twice')
+            self._findings.report_violation(
+                'LIMIT', f'{ticket_id} is used twice'
+            )
         self._used.add(ticket_id)
         return True
 
-    def leave(self, ticket_id: str) -> None:
+    def end_use(self, ticket_id: str) -> None:
         """Note that a ticket is used no more."""
         self._used.discard(ticket_id)
 
@@ -100,7 +102,7 @@
         self, seen: ReceivedRequest, writer: asyncio.StreamWriter
     ) -> None:
         if seen.request_line.startswith('POST /order '):
-            writer.write(self._order(json.loads(seen.body)))
+            writer.write(self._handle_order(json.loads(seen.body)))
             return
         if seen.header_by_name.get('expect-instance') != self.worker_id:
             writer.write(
@@ -108,13 +110,13 @@
             )
             return
         self._check(seen)
-        if self._random.random() < self.fault_share:
-            if await self._spoil(seen, writer):
+        if self._random.random() < self.failure_share:
+            if await self._fail(seen, writer):
                 return
         if self.service == ENGINE_SERVICE:
             await self._generate(seen, writer)
         else:
-            await self._book(seen, writer)
+            await self._answer_plain(seen, writer)
 
     def _check(self, seen: ReceivedRequest) -> None:
         headers = seen.header_by_name
@@ -122,18 +124,26 @@
         # Probes of versions use public routes.
         account = '' if 'GET /v' in seen.request_line else ACCOUNT
         if headers.get('tenant', '') != account:
-            self._findings.breach('UNASKED', f'account of {seen.attempt_id}')
+            self._findings.report_violation(
+                'UNASKED', f'account of {seen.attempt_id}'
+            )
         if 'authorization' in headers:
-            self._findings.breach('UNASKED', f'key of {seen.attempt_id}')
+            self._findings.report_violation(
+                'UNASKED', f'key of {seen.attempt_id}'
+            )
         if self.drained_at is None:
             return
         now = self._clock.now()
-        calm = self._findings.is_calm(self.drained_at - _CONTACT, now)
+        calm = self._findings.is_fault_free(
+            self.drained_at - _RECOVERY_TIME, now
+        )
         if calm and now > self.drained_at + _DRAIN_LIMIT:
             late = now - self.drained_at
-            self._findings.breach('DRAIN', f'{self.worker_id} {late} ms late')
+            self._findings.report_violation(
+                'DRAIN', f'{self.worker_id} {late} ms late'
+            )
 
-    async def _spoil(
+    async def _fail(
         self, seen: ReceivedRequest, writer: asyncio.StreamWriter
     ) -> bool:
         """Fail a request in one of several ways; False to serve it as well."""
@@ -141,13 +151,13 @@
         if fault == 'busy':
             writer.write(standin.not_executed_response())
         elif fault == 'lost':
-            self._note_run(seen)
+            self._record_run(seen)
             standin.reset(writer)
         elif fault == 'hang':
-            self._note_run(seen)
-            await asyncio.sleep(_LONGEST_HANG)
+            self._record_run(seen)
+            await asyncio.sleep(_HANG_SECONDS)
         elif fault == 'error':
-            self._note_run(seen)
+            self._record_run(seen)
             writer.write(
                 standin.signed_response(
                     seen, b'', status='500 Internal Server Error'
@@ -162,15 +172,15 @@
             return False
         return True
 
-    def _note_run(self, seen: ReceivedRequest) -> None:
+    def _record_run(self, seen: ReceivedRequest) -> None:
         if seen.request_line.startswith('POST /hold/'):
-            self._findings.ran(seen.attempt_id)
+            self._findings.record_run(seen.attempt_id)
 
-    async def _book(
+    async def _answer_plain(
         self, seen: ReceivedRequest, writer: asyncio.StreamWriter
     ) -> None:
-        self._note_run(seen)
-        await asyncio.sleep(seconds(_WORK))
+        self._record_run(seen)
+        await asyncio.sleep(seconds(_PLAIN_CALL_TIME))
         writer.write(
             standin.signed_response(seen, f'done {seen.attempt_id}'.encode())
         )
@@ -178,14 +188,14 @@
     async def _generate(
         self, seen: ReceivedRequest, writer: asyncio.StreamWriter
     ) -> None:
-        tickets = self._named_tickets(seen)
+        tickets = self._helper_reservations(seen)
         for engine, ticket_id in tickets:
-            if not engine.use(ticket_id):
+            if not engine.begin_use(ticket_id):
                 writer.write(standin.not_executed_response())
                 return
         with contextlib.ExitStack() as stack:
             for engine, ticket_id in tickets:
-                stack.callback(engine.leave, ticket_id)
+                stack.callback(engine.end_use, ticket_id)
             await self._stream(seen, writer)
 
     async def _stream(
@@ -198,10 +208,10 @@
         for number in range(first, last + 1):
             writer.write(standin.chunk(standin.event(number, seen.attempt_id)))
             await writer.drain()
-            await asyncio.sleep(seconds(_EVENT_STEP))
+            await asyncio.sleep(seconds(_EVENT_INTERVAL))
         writer.write(standin.LAST_CHUNK)
 
-    def _named_tickets(
+    def _helper_reservations(
         self, seen: ReceivedRequest
     ) -> list[tuple['SoakWorker', str]]:
         tickets = []
@@ -212,17 +222,17 @@
                 tickets.append((engine, ticket_id))
         return tickets
 
-    def _order(self, said: dict[str, object]) -> bytes:
+    def _handle_order(self, said: dict[str, object]) -> bytes:
         ticket_id = str(said['id'])
         if said['operation'] == 'release':
-            self._ticket_by_id.pop(ticket_id, None)
+            self._reservation_by_id.pop(ticket_id, None)
             return standin.unsigned_response(b'{"free":0}')
         tokens = int(str(said['tokens']))
         # Dropped first are the tickets whose lease is over.
-        others = [held for held in self.tickets() if held != ticket_id]
-        held = sum(self._ticket_by_id[other].tokens for other in others)
+        others = [held for held in self.reservations() if held != ticket_id]
+        held = sum(self._reservation_by_id[other].tokens for other in others)
         if held + tokens > MEMORY_TOKENS:
             return b'HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n'
         until = self._clock.now() + int(str(said['hold-ms']))
-        self._ticket_by_id[ticket_id] = _Ticket(tokens, until)
+        self._reservation_by_id[ticket_id] = _Reservation(tokens, until)
         return standin.unsigned_response(b'{"free":1}')
--- a/tools/soak_log.py
+++ b/tools/soak_log.py
@@ -34,7 +34,7 @@
     return steps
 
 
-def soak(first_seed: int, minutes: float) -> int:
+def run_schedules(first_seed: int, minutes: float) -> int:
     """Run schedules until the time is over; return how many broke."""
     deadline = time.monotonic() + minutes * _SECONDS_PER_MINUTE
     seed = first_seed
@@ -65,7 +65,7 @@
         wrapper_class=structlog.make_filtering_bound_logger(_ERROR_LEVEL)
     )
     sys.stdout.write(f'First seed {seed}.\n')
-    return 1 if soak(seed, options.minutes) else 0
+    return 1 if run_schedules(seed, options.minutes) else 0
 
 
 if __name__ == '__main__':
