--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak of the platform's programs, short, and what its checks notice."""
+"""Short soaks of the platform's processes, and tests of the soak's checks."""
 
 import asyncio
 import contextlib
@@ -16,12 +16,13 @@
 from verbenathread.clock import ManualClock
 from verbenathread.types import Address
 
-# Seeds that failed once, each with its cause.
+# Seeds that failed before, each with its cause.
 SEEDS = (
-    # Resets met connections that were just opening: the log of each directory
-    # process took grpclib's AttributeError for its own and stopped.
+    # Resets hit connections that were just opening: the replicated log of each
+    # directory process handled grpclib's AttributeError as its own error and
+    # stopped.
     1,
-    # A gateway that was just starting ended by the SIGHUP of other seeds.
+    # The SIGHUP after a change of seeds ended a gateway during its start.
     400,
 )
 STAMP = MappingProxyType({'attempt-id': 'c-1', 'response-stamp': 'stamp-c-1'})
@@ -41,7 +42,7 @@
 
 
 class SeedTest(unittest.TestCase):
-    def test_no_promise_breaks(self):
+    def test_no_guarantee_is_violated(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 with tempfile.TemporaryDirectory() as folder:
@@ -52,7 +53,7 @@
 
 
 class ChecksTest(unittest.TestCase):
-    def test_answers_that_break_a_promise(self):
+    def test_responses_that_violate_a_guarantee(self):
         whole = events(*range(1, 13))
         stranger = {'attempt-id': 'c-2', 'response-stamp': 'stamp-c-2'}
         cases = (
@@ -68,14 +69,14 @@
             ('DENIED', HOLD, Response(404, STAMP, b'', True)),
             ('', HOLD, Response(502, {}, b'', True)),
         )
-        for rule, ask, answered in cases:
-            with self.subTest(rule=rule, answered=answered):
+        for rule, kind, response in cases:
+            with self.subTest(rule=rule, response=response):
                 findings = Findings(ManualClock(0))
                 caller = Caller('c', [], findings, ManualClock(0))
-                caller._check_response(ask, 'c-1', answered)
+                caller._check_response(kind, 'c-1', response)
                 self.assertEqual(rules(findings), [rule] if rule else [])
 
-    def test_a_run_after_a_promise_and_a_second_run(self):
+    def test_run_after_refusal_and_second_run(self):
         findings = Findings(ManualClock(0))
         findings.record_answer('c-1', 503)
         findings.record_run('c-1')
@@ -85,28 +86,28 @@
         self.assertEqual(rules(findings), ['TWICE', 'REFUSED'])
 
     def test_late_answers(self):
-        for late, in_time, broken in (
+        for late, on_time, violated in (
             (7, 0, False),
             (8, 24, False),
             (8, 23, True),
         ):
-            with self.subTest(late=late, in_time=in_time):
+            with self.subTest(late=late, on_time=on_time):
                 findings = Findings(ManualClock(0))
-                for number in range(late + in_time):
+                for number in range(late + on_time):
                     findings.record_timed_out(late=number < late)
                 findings.finish()
-                self.assertEqual(bool(findings.violations), broken)
+                self.assertEqual(bool(findings.violations), violated)
 
-    def test_calm_is_judged_over_the_span(self):
+    def test_fault_free_spans(self):
         clock = ManualClock(100)
         findings = Findings(clock)
-        harm_id = findings.begin_fault('d1', planned=True)
+        span_id = findings.begin_fault('d1', planned=True)
         cases = ((0, 99, True), (0, 100, False), (150, 160, False))
-        for since, until, calm in cases:
-            self.assertIs(findings.is_fault_free(since, until), calm)
+        for since, until, fault_free in cases:
+            self.assertIs(findings.is_fault_free(since, until), fault_free)
         self.assertTrue(findings.is_fault_free(0, 200, ignore_planned=True))
         clock.advance(50)
-        findings.end_fault(harm_id)
+        findings.end_fault(span_id)
         self.assertTrue(findings.is_fault_free(151, 160))
 
 
@@ -133,10 +134,10 @@
         except TimeoutError:
             return None
 
-    async def test_each_fault_is_felt(self):
+    async def test_each_fault_affects_the_connection(self):
         self.assertEqual(await self.echoed(), b'x')
-        for way in Direction:
-            self.proxy.hold(way)
+        for direction in Direction:
+            self.proxy.hold(direction)
             self.assertIsNone(await self.echoed())
             self.proxy.release()
             self.assertEqual(await self.reader.readexactly(1), b'x')
@@ -151,5 +152,7 @@
 
 
 def rules(findings):
-    """Return the rules of the breaches, in order."""
-    return [breach.split()[1].rstrip(':') for breach in findings.violations]
+    """Return the rules of the violations, in order."""
+    return [
+        violation.split()[1].rstrip(':') for violation in findings.violations
+    ]
--- a/tools/soak/__main__.py
+++ b/tools/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Play the soak of one seed or of several, and tell what broke."""
+"""Run the soak for one or several seeds and print each violation."""
 
 import argparse
 import asyncio
@@ -12,14 +12,16 @@
 
 
 def main() -> int:
-    """Soak as the command line asks; 1 if a promise broke."""
+    """Run the requested seeds; return 1 if any guarantee was violated."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument('--seed', type=int, help='drawn when not given')
-    parser.add_argument('--count', type=int, default=1, help='seeds to play')
+    parser.add_argument('--seed', type=int, help='random by default')
+    parser.add_argument('--count', type=int, default=1, help='number of seeds')
     parser.add_argument('--gateways', type=int, default=Size().gateways)
     parser.add_argument('--callers', type=int, default=Size().callers)
     parser.add_argument('--series', type=int, default=Size().series)
-    parser.add_argument('--keep', default='.', help='where failed logs go')
+    parser.add_argument(
+        '--keep', default='.', help='folder for the logs of failed runs'
+    )
     options = parser.parse_args()
     first = options.seed
     if first is None:
@@ -29,12 +31,12 @@
         callers=options.callers,
         series=options.series,
     )
-    broken = 0
+    failed = 0
     for seed in range(first, first + options.count):
         if _run_seed(seed, size, Path(options.keep)):
-            broken += 1
-    sys.stdout.write(f'{options.count} seeds, {broken} broken\n')
-    return 1 if broken else 0
+            failed += 1
+    sys.stdout.write(f'{options.count} seeds, {failed} broken\n')
+    return 1 if failed else 0
 
 
 def _run_seed(seed: int, size: Size, keep: Path) -> bool:
--- a/tools/soak/callers.py
+++ b/tools/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of the soak, which check each answer that they get."""
+"""Callers of the soak, which check every response they receive."""
 
 import asyncio
 import contextlib
@@ -14,10 +14,10 @@
 
 KEY = 'k-night'
 HOST = 'desk.example'
-# The routes' time limit, and how much later a final answer may come.
+# Time limit of the routes, and how much later a final response may arrive.
 TIME_LIMIT: Millis = 3000
 _ANSWER_GRACE: Millis = 500
-# What callers say they wait: longer than the routes allow.
+# Deadline that callers send; longer than the time limit of the routes.
 _CLIENT_TIMEOUT: Millis = 6000
 _MEAN_PAUSE: Millis = 120
 _STATUS_CLASS = 100
@@ -26,30 +26,31 @@
 _SERVER_FAULT = 500
 _REDIRECT = 307
 _MAX_CALLS = 3
+# A fault may still affect requests this long after its end.
 _RECOVERY_TIME: Millis = 3000
-# A request that crosses a close ends within this.
+# A request that is sent while its connection closes fails within this time.
 _CLOSE_RACE_LIMIT: Millis = 200
-# Share of the requests whose callers leave, and after how long.
+# Share of the requests that callers abort, and how long after sending.
 _ABORT_SHARE = 0.03
 _ABORT_AFTER: Millis = 60
 
 
 class RequestKind(NamedTuple):
-    """A request of one kind."""
+    """A kind of request that callers send."""
 
     name: str
-    # Share among all requests.
+    # Relative frequency among all requests.
     weight: int
     method: str
     path: str
-    # Prompt and output tokens; none for a plain service.
+    # Prompt and output tokens; empty for a plain service.
     tokens: str = ''
     events: int = 0
 
 
 REQUEST_KINDS = (
     RequestKind('short', 10, 'POST', '/note/12/', '4000,500', 12),
-    # Larger than one engine's memory.
+    # Exceeds the memory of one engine.
     RequestKind('large', 2, 'POST', '/file/8/', '300000,400', 8),
     RequestKind('hold', 6, 'POST', '/hold/'),
     RequestKind('check', 5, 'GET', '/check/'),
@@ -57,14 +58,14 @@
 
 
 class _Connection(NamedTuple):
-    """A connection to a gateway, kept for as long as it is open."""
+    """A persistent connection to a gateway."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
 
 
 class Caller:
-    """Sends one request after the other to gateways."""
+    """Sends one request after another to random gateways."""
 
     def __init__(
         self,
@@ -73,7 +74,7 @@
         findings: Findings,
         clock: Clock,
     ) -> None:
-        """Ask any of ``gateways``; ``name`` seeds what is asked."""
+        """Call any of ``gateways``; ``name`` seeds the random requests."""
         self._name = name
         self._gateways = gateways
         self._findings = findings
@@ -83,52 +84,52 @@
         self._connection: _Connection | None = None
 
     async def run(self) -> None:
-        """Ask until cancelled."""
-        weights = [ask.weight for ask in REQUEST_KINDS]
+        """Send requests until cancelled."""
+        weights = [kind.weight for kind in REQUEST_KINDS]
         while True:
             pause = self._random.randint(1, 2 * _MEAN_PAUSE)
             await asyncio.sleep(seconds(pause))
-            ask = self._random.choices(REQUEST_KINDS, weights)[0]
-            leaves = self._random.random() < _ABORT_SHARE
-            await self.send(ask, aborts=leaves)
+            kind = self._random.choices(REQUEST_KINDS, weights)[0]
+            aborts = self._random.random() < _ABORT_SHARE
+            await self.send(kind, aborts=aborts)
 
-    async def send(self, ask: RequestKind, *, aborts: bool = False) -> bool:
-        """Send one request; tell whether it was served."""
+    async def send(self, kind: RequestKind, *, aborts: bool = False) -> bool:
+        """Send one request; return whether it was served."""
         attempt_id = f'{self._name}-{next(self._numbers)}'
         sent_at = self._clock.now()
-        answered: Response | None = None
+        response: Response | None = None
         try:
-            answered = await self._exchange(ask, attempt_id, aborts=aborts)
+            response = await self._exchange(kind, attempt_id, aborts=aborts)
         except (OSError, asyncio.IncompleteReadError, TimeoutError):
             self.close()
         took = self._clock.now() - sent_at
-        if answered is None:
+        if response is None:
             if not aborts:
                 self._check_missing_answer(attempt_id, sent_at)
             return False
         self._check_duration(attempt_id, sent_at, took)
-        if not answered.complete:
+        if not response.complete:
             self._check_missing_answer(attempt_id, sent_at)
-        says = answered.header_by_name.get('connection')
-        if says == 'close' or not answered.complete:
+        connection = response.header_by_name.get('connection')
+        if connection == 'close' or not response.complete:
             self.close()
-        return self._check_response(ask, attempt_id, answered)
+        return self._check_response(kind, attempt_id, response)
 
     def close(self) -> None:
-        """Use another connection from now on."""
+        """Close the connection; the next request opens a new one."""
         if self._connection is not None:
             self._connection.writer.close()
             self._connection = None
 
     async def _exchange(
-        self, ask: RequestKind, attempt_id: str, *, aborts: bool
+        self, kind: RequestKind, attempt_id: str, *, aborts: bool
     ) -> Response | None:
         if self._connection is None:
             gateway = self._random.choice(self._gateways)
             opened = await asyncio.open_connection(*gateway)
             self._connection = _Connection(*opened)
         reader, writer = self._connection
-        writer.write(request_bytes(ask, attempt_id))
+        writer.write(request_bytes(kind, attempt_id))
         if aborts:
             await asyncio.sleep(seconds(_ABORT_AFTER))
             self.close()
@@ -137,12 +138,12 @@
             return await read_response(reader)
 
     def _check_missing_answer(self, attempt_id: str, sent_at: Millis) -> None:
-        """Planned work alone must not cost a caller its answer."""
+        """Report a lost response that no unplanned fault explains."""
         self._findings.outcomes['no answer'] += 1
         now = self._clock.now()
-        crossed = attempt_id not in self._findings.arrived
-        if crossed and now - sent_at < _CLOSE_RACE_LIMIT:
-            # It crossed the close of its connection and was read by nobody.
+        unread = attempt_id not in self._findings.arrived
+        if unread and now - sent_at < _CLOSE_RACE_LIMIT:
+            # The connection closed before the gateway read the request.
             return
         if self._findings.is_fault_free(
             sent_at - _RECOVERY_TIME, now, ignore_planned=True
@@ -156,34 +157,34 @@
             return
         now = self._clock.now()
         if self._findings.is_fault_free(sent_at - _RECOVERY_TIME, now):
-            late = took > TIME_LIMIT + _ANSWER_GRACE
-            self._findings.record_timed_out(late=late)
+            is_late = took > TIME_LIMIT + _ANSWER_GRACE
+            self._findings.record_timed_out(late=is_late)
 
     def _check_response(
-        self, ask: RequestKind, attempt_id: str, answered: Response
+        self, kind: RequestKind, attempt_id: str, response: Response
     ) -> bool:
-        family = answered.status // _STATUS_CLASS
-        self._findings.outcomes[f'{ask.name} {answered.status}'] += 1
-        if ask.name == 'hold':
-            self._findings.record_answer(attempt_id, answered.status)
-        if family == _CLIENT_FAULT and answered.status not in NOT_RUN:
+        family = response.status // _STATUS_CLASS
+        self._findings.outcomes[f'{kind.name} {response.status}'] += 1
+        if kind.name == 'hold':
+            self._findings.record_answer(attempt_id, response.status)
+        if family == _CLIENT_FAULT and response.status not in NOT_RUN:
             self._findings.report_violation(
-                'DENIED', f'{attempt_id} {answered.status}'
+                'DENIED', f'{attempt_id} {response.status}'
             )
         if family != _SUCCESS:
             return False
-        if not self._matches_attempt(attempt_id, answered):
-            self._findings.report_violation('MIXED', f'{attempt_id} {answered}')
-        if ask.events:
-            return self._check_events(ask, attempt_id, answered)
-        if answered.body != f'done {attempt_id}'.encode():
+        if not self._matches_attempt(attempt_id, response):
+            self._findings.report_violation('MIXED', f'{attempt_id} {response}')
+        if kind.events:
+            return self._check_events(kind, attempt_id, response)
+        if response.body != f'done {attempt_id}'.encode():
             self._findings.report_violation(
-                'MIXED', f'{attempt_id} {answered.body!r}'
+                'MIXED', f'{attempt_id} {response.body!r}'
             )
         return True
 
-    def _matches_attempt(self, attempt_id: str, answered: Response) -> bool:
-        headers = answered.header_by_name
+    def _matches_attempt(self, attempt_id: str, response: Response) -> bool:
+        headers = response.header_by_name
         stamp = headers.get('response-stamp')
         return (
             headers.get('attempt-id') == attempt_id
@@ -191,27 +192,27 @@
         )
 
     def _check_events(
-        self, ask: RequestKind, attempt_id: str, answered: Response
+        self, kind: RequestKind, attempt_id: str, response: Response
     ) -> bool:
-        got = answered.body.decode().split('\n\n')[:-1]
+        events = response.body.decode().split('\n\n')[:-1]
         expected = [
             f'id: {number}\ndata: {attempt_id}-{number}'
-            for number in range(1, ask.events + 1)
+            for number in range(1, kind.events + 1)
         ]
-        if got != expected[: len(got)]:
-            self._findings.report_violation('ORDER', f'{attempt_id} {got}')
-        if answered.complete and len(got) != ask.events:
+        if events != expected[: len(events)]:
+            self._findings.report_violation('ORDER', f'{attempt_id} {events}')
+        if response.complete and len(events) != kind.events:
             self._findings.report_violation(
-                'ORDER', f'{attempt_id} ends at {len(got)}'
+                'ORDER', f'{attempt_id} ends at {len(events)}'
             )
-        return answered.complete
+        return response.complete
 
 
-def request_bytes(ask: RequestKind, attempt_id: str) -> bytes:
-    """Return a request as a caller sends it."""
-    tokens = f'Token-Usage: {ask.tokens}\r\n' if ask.tokens else ''
+def request_bytes(kind: RequestKind, attempt_id: str) -> bytes:
+    """Return the bytes of a request as a caller sends it."""
+    tokens = f'Token-Usage: {kind.tokens}\r\n' if kind.tokens else ''
     head = (
-        f'{ask.method} {ask.path}{attempt_id} HTTP/1.1\r\nHost: {HOST}\r\n'
+        f'{kind.method} {kind.path}{attempt_id} HTTP/1.1\r\nHost: {HOST}\r\n'
         f'Attempt-Id: {attempt_id}\r\nDeadline-Ms: {_CLIENT_TIMEOUT}\r\n'
         f'Authorization: Bearer {KEY}\r\n{tokens}Content-Length: 0\r\n\r\n'
     )
@@ -225,7 +226,7 @@
     content: bytes = b'',
     limit: float = 1.0,
 ) -> Response | None:
-    """Send one call on a connection of its own; None without an answer."""
+    """Send one call on a new connection; return None on no response."""
     writer: asyncio.StreamWriter | None = None
     with contextlib.ExitStack() as stack:
         try:
@@ -247,9 +248,9 @@
     return head.encode() + content
 
 
-def redirect_address(answered: Response) -> Address | None:
-    """Return where a redirect leads."""
-    location = answered.header_by_name.get('location', '')
+def redirect_address(response: Response) -> Address | None:
+    """Return the address that a redirect points to."""
+    location = response.header_by_name.get('location', '')
     parts = location.split('/')
     if len(parts) < 3:
         return None
@@ -260,24 +261,24 @@
 async def call_any(
     addresses: Iterable[Address], method: str, path: str, content: bytes
 ) -> Response | None:
-    """Ask one after the other; None when none can tell."""
+    """Return the first response below 500 of ``addresses``, or None."""
     for address in addresses:
-        answered = await _call_with_redirects(address, method, path, content)
-        if answered is not None and answered.status < _SERVER_FAULT:
-            return answered
+        response = await _call_with_redirects(address, method, path, content)
+        if response is not None and response.status < _SERVER_FAULT:
+            return response
     return None
 
 
 async def _call_with_redirects(
     address: Address, method: str, path: str, content: bytes
 ) -> Response | None:
-    """Follow redirects from ``address``, twice at most."""
-    there: Address | None = address
+    """Call ``address`` and follow at most two redirects."""
+    target: Address | None = address
     for _ in range(_MAX_CALLS):
-        if there is None:
+        if target is None:
             break
-        answered = await call_once(there, method, path, content)
-        if answered is None or answered.status != _REDIRECT:
-            return answered
-        there = redirect_address(answered)
+        response = await call_once(target, method, path, content)
+        if response is None or response.status != _REDIRECT:
+            return response
+        target = redirect_address(response)
     return None
--- a/tools/soak/faults.py
+++ b/tools/soak/faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong in one soak, drawn from its seed."""
+"""Random faults of one soak, drawn from its seed."""
 
 import asyncio
 import random
@@ -17,17 +17,19 @@
 _PAUSE_RANGE: tuple[Millis, Millis] = (100, 1500)
 _DURATION_RANGE: tuple[Millis, Millis] = (300, 3000)
 _DELAY_RANGE: tuple[Millis, Millis] = (20, 300)
-# A directory process that lost its disk counts as lost for so long after.
+# A directory process that lost its disk counts as failed until it has had
+# this long to catch up.
 _CATCH_UP_TIME: Millis = 6000
 _STOP_SLACK_SECONDS = 2
 _FAILURE_SHARE = 0.3
-# Weights of the faults; a fault on a directory process is as likely as one
-# on a gateway, though there are as many of each.
+# Weights of the faults, in the order of ``Faults._kinds``. A fault
+# hits a directory process as often as a gateway; by default there are as many
+# of each.
 _WEIGHTS = (4, 3, 3, 4, 4, 3, 2, 3, 1, 2, 1)
 
 
 class Faults:
-    """Plays faults that overlap, one series after the other."""
+    """Injects series of overlapping faults."""
 
     def __init__(
         self,
@@ -60,7 +62,7 @@
         )
 
     async def run_series(self, length: Millis) -> None:
-        """Begin faults for ``length`` ms and wait until all have ended."""
+        """Start faults for ``length`` ms, then wait until all have ended."""
         until = self._clock.now() + length
         while self._clock.now() < until:
             fault = self._random.choices(self._kinds, _WEIGHTS)[0]
@@ -72,7 +74,7 @@
         await asyncio.gather(*self._tasks)
 
     async def run_planned_work(self) -> None:
-        """Do planned work only: stops, a leave, other seeds."""
+        """Perform planned work only: a stop, a leave, a change of seeds."""
         node = self._random.choice(self._fleet.gateways)
         await asyncio.gather(
             self._terminate(node), self._pool.replace(self._random)
@@ -80,12 +82,12 @@
         self._fleet.change_seeds(self._random.randrange(3))
 
     async def _inject(self, fault: Fault) -> None:
-        harm_id = self._findings.begin_fault(fault.__name__)
+        span_id = self._findings.begin_fault(fault.__name__)
         await fault()
-        self._findings.end_fault(harm_id)
+        self._findings.end_fault(span_id)
 
     def _pick_node(self) -> Node | None:
-        """Return a node that no other fault has in hand."""
+        """Return a node that no other fault affects, or None."""
         free = [node for node in self._fleet.nodes if not node.is_faulted]
         return self._random.choice(free) if free else None
 
@@ -109,38 +111,38 @@
             await self._terminate(node)
 
     async def _terminate(self, node: Node) -> None:
-        """Stop a node as the platform does, and start it again."""
+        """Stop a node gracefully, as the platform does, and restart it."""
         if node.is_faulted:
             return
         node.is_faulted = True
-        harm_id = self._findings.begin_fault(node.name, planned=True)
-        started = self._fleet.process(node)
-        started.send_signal(signal.SIGTERM)
+        span_id = self._findings.begin_fault(node.name, planned=True)
+        process = self._fleet.process(node)
+        process.send_signal(signal.SIGTERM)
         limit = seconds(STOP_LIMIT) + _STOP_SLACK_SECONDS
-        code = await asyncio.to_thread(started.wait, limit)
+        code = await asyncio.to_thread(process.wait, limit)
         if code is None:
             self._findings.report_violation('STOP', f'{node.name} did not end')
             self._fleet.kill(node)
         self._restart(node)
-        self._findings.end_fault(harm_id)
+        self._findings.end_fault(span_id)
 
     async def _pause(self) -> None:
         node = self._pick_node()
         if node is None:
             return
         node.is_faulted = True
-        started = self._fleet.process(node)
-        started.send_signal(signal.SIGSTOP)
+        process = self._fleet.process(node)
+        process.send_signal(signal.SIGSTOP)
         await self._wait_duration()
-        started.send_signal(signal.SIGCONT)
+        process.send_signal(signal.SIGCONT)
         node.is_faulted = False
 
     async def _cut(self) -> None:
         node = self._random.choice(self._fleet.nodes)
         both = tuple(Direction)
-        ways = self._random.choice((both, both[:1], both[1:]))
+        directions = self._random.choice((both, both[:1], both[1:]))
         for proxy in node.proxies:
-            proxy.hold(*ways)
+            proxy.hold(*directions)
         await self._wait_duration()
         for proxy in node.proxies:
             proxy.release()
@@ -159,7 +161,7 @@
             proxy.reset()
 
     async def _silence(self) -> None:
-        """Let open connections of a node or a worker say nothing more."""
+        """Silence the open connections of one node or worker for good."""
         proxies = list(self._pool.proxies)
         for node in self._fleet.nodes:
             proxies.extend(node.proxies)
@@ -175,10 +177,12 @@
         await self._pool.crash(self._random)
 
     async def _lose_disk(self) -> None:
-        """Take the disk of one directory process; one may be lost at once."""
+        """Erase the disk of a directory process, of at most one at a time."""
         now = self._clock.now()
-        taken = any(node.is_faulted for node in self._fleet.directories)
-        if taken or now < self._disk_lost_at + _CATCH_UP_TIME:
+        is_unavailable = any(
+            node.is_faulted for node in self._fleet.directories
+        )
+        if is_unavailable or now < self._disk_lost_at + _CATCH_UP_TIME:
             return
         node = self._random.choice(self._fleet.directories)
         node.is_faulted = True
--- a/tools/soak/fleet.py
+++ b/tools/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The real programs of one soak, each behind a loopback proxy."""
+"""The platform processes of one soak, each behind loopback proxies."""
 
 import os
 import shutil
@@ -16,11 +16,12 @@
 CALLER_PORT = 18070
 READY_PORT = 18071
 NOTICE_PORT = 18072
-# Last number of the real address; the proxy's is by so many higher.
+# Last octet of the addresses of processes; that of their proxies is higher by
+# the offset.
 _FIRST_DIRECTORY = 10
 _FIRST_GATEWAY = 40
 _PROXY_OFFSET = 100
-# How long a planned stop may last.
+# Longest duration of a planned stop.
 STOP_LIMIT: Millis = 8000
 WORKER_HEARTBEAT: Millis = 400
 _KILL_WAIT_SECONDS = 10
@@ -57,10 +58,10 @@
 
 
 class Node:
-    """One process of the fleet and its proxies."""
+    """A process of the fleet and its proxies."""
 
     def __init__(self, program: str, number: int) -> None:
-        """Name the node and its addresses."""
+        """Set the name, the addresses and the proxies of the node."""
         self.program = program
         self.name = f'{program}-{number}'
         first = _FIRST_GATEWAY
@@ -74,19 +75,19 @@
             LoopbackProxy(Address(self.proxy_ip, port), Address(self.ip, port))
             for port in ports
         ]
-        # Counts the lives of the process.
+        # Number of times the process was started.
         self.start_count = 0
-        # A fault has the process in hand; others leave it alone.
+        # Set while a fault affects the process, which others then skip.
         self.is_faulted = False
 
     @property
     def address(self) -> Address:
-        """Return where callers or operators reach it."""
+        """Return the address that callers or operators use."""
         return self.proxies[0].listen
 
 
 class Fleet:
-    """Directory processes and gateways."""
+    """The directory processes and gateways of one soak."""
 
     def __init__(
         self,
@@ -117,42 +118,42 @@
             self.start_node(node)
 
     async def stop(self) -> None:
-        """End every process and proxy."""
+        """Kill every process and stop every proxy."""
         self._processes.kill_all()
         for node in self.nodes:
             for proxy in node.proxies:
                 await proxy.stop()
 
     def start_node(self, node: Node) -> None:
-        """Start the process of a node that has none."""
+        """Start the process of a node that is not running."""
         node.start_count += 1
-        words = ('verbenathread', node.program, '--settings')
-        self._processes.start(node.name, *words, f'{node.name}.ini')
+        arguments = ('verbenathread', node.program, '--settings')
+        self._processes.start(node.name, *arguments, f'{node.name}.ini')
 
     def process(self, node: Node) -> ManagedProcess:
         """Return the process of a node."""
         return self._processes.by_name[node.name]
 
     def kill(self, node: Node) -> None:
-        """Kill a process and wait for its end."""
-        started = self.process(node)
-        started.send_signal(signal.SIGKILL)
-        started.wait(_KILL_WAIT_SECONDS)
+        """Kill a process and wait until it has exited."""
+        process = self.process(node)
+        process.send_signal(signal.SIGKILL)
+        process.wait(_KILL_WAIT_SECONDS)
         self.write_settings(node, bootstrap=False)
 
     def wipe_disk(self, node: Node) -> None:
-        """Take the disk of a killed directory process."""
+        """Delete the data folder of a killed directory process."""
         shutil.rmtree(self._data_folder(node), ignore_errors=True)
 
     def append_torn_write(self, node: Node) -> None:
-        """Leave bytes of a write that never ended at the log's end."""
+        """Append the bytes of an incomplete write to the last log segment."""
         segments = sorted(self._data_folder(node).glob('segment-*'))
         if segments:
             with segments[-1].open('ab') as segment:
                 segment.write(os.urandom(_TORN_BYTES))
 
     def change_seeds(self, first: int) -> None:
-        """Name other seeds in every settings file, and signal half of them."""
+        """Write other seeds to every settings file; SIGHUP every other node."""
         count = len(self.directories)
         chosen = [self.directories[(first + n) % count] for n in range(2)]
         self._seeds = [node.proxy_ip for node in chosen]
@@ -182,7 +183,7 @@
         path.write_text(text)
 
     def check_running(self) -> None:
-        """Note processes that ended by themselves."""
+        """Report and restart processes that exited on their own."""
         for node in self.nodes:
             code = self.process(node).process.poll()
             if code is not None and not node.is_faulted:
@@ -192,7 +193,7 @@
                 self.start_node(node)
 
     def check_logs(self) -> None:
-        """Note tracebacks: nothing may end by an unexpected error."""
+        """Report the first traceback or unexpected error in each log."""
         for node in self.nodes:
             log = self._processes.folder / f'{node.name}.log'
             for line in log.read_text().splitlines():
--- a/tools/soak/loopback_proxy.py
+++ b/tools/soak/loopback_proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy on loopback that delays, holds, silences or resets."""
+"""A TCP proxy on loopback that injects network faults."""
 
 import asyncio
 import enum
@@ -11,14 +11,14 @@
 
 
 class Direction(enum.Enum):
-    """Which way bytes go, as the client sees it."""
+    """Direction of transfer, as the client sees it."""
 
     SENT = 'sent'
     RECEIVED = 'received'
 
 
 class _Connection:
-    """One connection through the proxy."""
+    """A proxied connection: the writers to its two ends."""
 
     def __init__(
         self, client: asyncio.StreamWriter, server: asyncio.StreamWriter
@@ -33,13 +33,13 @@
 
 
 class LoopbackProxy:
-    """Passes connections on to ``target``, as well as it is told to."""
+    """Forwards connections to ``target``, with faults on request."""
 
     def __init__(self, listen: Address, target: Address) -> None:
-        """Listen at ``listen`` once started."""
+        """Prepare to listen at ``listen``; :meth:`start` binds it."""
         self.listen = listen
         self.target = target
-        # Added to each piece, on either way.
+        # Delay of each chunk, in either direction.
         self.delay: Millis = 0
         self._held: frozenset[Direction] = frozenset()
         self._passing = asyncio.Event()
@@ -49,11 +49,11 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen."""
+        """Start to listen."""
         self._server = await asyncio.start_server(self._accept, *self.listen)
 
     async def stop(self) -> None:
-        """Break every connection and listen no more."""
+        """Stop listening and reset every connection."""
         if self._server is not None:
             self._server.close()
         self.reset()
@@ -62,24 +62,24 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def hold(self, *directions: Direction) -> None:
-        """Let nothing through these ways; nothing gets lost."""
+        """Hold back all data in these directions, without loss."""
         self._held = frozenset(directions)
         self._passing.clear()
 
     def release(self) -> None:
-        """Deliver what was held, and hold nothing more."""
+        """Deliver the data held back and forward normally again."""
         self._held = frozenset()
         self._passing.set()
 
     def silence(self) -> None:
-        """Let the connections of now say nothing for good."""
-        for link in self._connections:
-            link.is_silent = True
+        """Stop forwarding on the open connections, for good."""
+        for connection in self._connections:
+            connection.is_silent = True
 
     def reset(self) -> None:
-        """Reset the connections of now."""
-        for link in tuple(self._connections):
-            link.reset()
+        """Reset the open connections."""
+        for connection in tuple(self._connections):
+            connection.reset()
 
     async def _accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -89,34 +89,34 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         try:
-            there = await asyncio.open_connection(*self.target)
+            target = await asyncio.open_connection(*self.target)
         except (OSError, asyncio.CancelledError):
             reset(writer)
             return
-        link = _Connection(writer, there[1])
-        self._connections.add(link)
+        connection = _Connection(writer, target[1])
+        self._connections.add(connection)
         try:
             await asyncio.gather(
-                self._pump(link, Direction.SENT, reader, there[1]),
-                self._pump(link, Direction.RECEIVED, there[0], writer),
+                self._pump(connection, Direction.SENT, reader, target[1]),
+                self._pump(connection, Direction.RECEIVED, target[0], writer),
             )
         except (OSError, asyncio.CancelledError):
-            link.reset()
+            connection.reset()
         finally:
-            self._connections.discard(link)
-            for one in link.writers:
-                one.close()
+            self._connections.discard(connection)
+            for end in connection.writers:
+                end.close()
 
     async def _pump(
         self,
-        link: _Connection,
+        connection: _Connection,
         direction: Direction,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
         while True:
             content = await reader.read(_CHUNK_BYTES)
-            await self._apply_faults(link, direction)
+            await self._apply_faults(connection, direction)
             if not content:
                 if writer.can_write_eof():
                     writer.write_eof()
@@ -125,11 +125,11 @@
             await writer.drain()
 
     async def _apply_faults(
-        self, link: _Connection, direction: Direction
+        self, connection: _Connection, direction: Direction
     ) -> None:
         if self.delay:
             await asyncio.sleep(seconds(self.delay))
         while direction in self._held:
             await self._passing.wait()
-        if link.is_silent:
+        if connection.is_silent:
             await asyncio.Event().wait()
--- a/tools/soak/operator.py
+++ b/tools/soak/operator.py
@@ -1,4 +1,4 @@
-"""The operator of the soak, and the prober that sees what is in force."""
+"""The operator of the soak: changes the configuration and probes it."""
 
 import asyncio
 import json
@@ -24,8 +24,9 @@
 from verbenathread.clock import Clock, seconds
 from verbenathread.types import Address, Millis
 
-# A change is in force everywhere within this of its acknowledgement.
+# A change is in force at every gateway this long after its acknowledgement.
 _APPLY_LIMIT: Millis = 2000
+# A fault may still delay a change this long after its end.
 _RECOVERY_TIME: Millis = 3000
 _BETWEEN_CHANGES = (300, 2500)
 _RESEND: Millis = 200
@@ -35,7 +36,7 @@
 _READ_ATTEMPTS = 10
 _INVALID_SHARE = 0.2
 
-# Of a route for prompts that several engines read.
+# Options of a route whose prompts are read by several engines.
 _LONG_PROMPT_OPTIONS = MappingProxyType(
     {
         'resumable': True,
@@ -58,7 +59,7 @@
 
 
 def config_body(version: int) -> bytes:
-    """Return a configuration; one route stands in this version only."""
+    """Return a configuration with one route that only it contains."""
     marker = _route(f'v{version}', 'idempotent', LEDGER_SERVICE)
     routes = [
         _route('note', 'streaming', ENGINE_SERVICE, resumable=True),
@@ -85,7 +86,7 @@
 def _route(
     name: str, kind: str, service: str, **changes: Any
 ) -> dict[str, Any]:
-    usual = {
+    defaults = {
         'name': name,
         'host': HOST,
         'path-prefix': f'/{name}/',
@@ -97,36 +98,36 @@
         'attempts': 2,
         'priority': 1,
     }
-    return usual | changes
+    return defaults | changes
 
 
 class Operator:
-    """Changes the configuration and watches what gateways make of it."""
+    """Changes the configuration and checks that gateways apply it."""
 
     def __init__(
         self, fleet: Fleet, findings: Findings, clock: Clock, seed: int
     ) -> None:
-        """Change nothing before :meth:`run`."""
+        """Prepare the changes, drawn from ``seed``; make none yet."""
         self._fleet = fleet
         self._findings = findings
         self._clock = clock
         self._random = random.Random(seed)
         self._sent = 0
-        # The newest version that was acknowledged, and when.
+        # The newest acknowledged version and the time of its acknowledgement.
         self.acknowledged = 0
         self._acknowledged_at: Millis = 0
-        # The highest version that served a probe, by node and life.
+        # The highest version that served a probe, by node and start count.
         self._seen_by_start: dict[tuple[str, int], int] = {}
 
     async def run(self) -> None:
-        """Make one change after the other."""
+        """Make one change after another until cancelled."""
         while True:
             await self.change()
             pause = self._random.randint(*_BETWEEN_CHANGES)
             await asyncio.sleep(seconds(pause))
 
     async def change(self) -> None:
-        """Send a change again and again until it is acknowledged."""
+        """Send one change, repeatedly until it is acknowledged."""
         self._sent += self._random.randint(1, _MAX_VERSION_STEP)
         version = self._sent
         while await self._put(config_body(version)) != _SERVED:
@@ -137,7 +138,7 @@
             await self._send_invalid_changes(version)
 
     async def probe(self) -> None:
-        """Ask gateways which versions are in force, again and again."""
+        """Probe which versions gateways have in force, until cancelled."""
         while True:
             node = self._random.choice(self._fleet.gateways)
             await self._probe_older(node)
@@ -145,36 +146,41 @@
             await asyncio.sleep(seconds(_RESEND))
 
     async def read_back(self) -> None:
-        """Check that the newest acknowledged change is still there."""
+        """Check that the newest acknowledged change can be read back."""
         for _ in range(_READ_ATTEMPTS):
-            answered = await call_any(
+            response = await call_any(
                 self._addresses(), 'GET', '/Config.Get', b''
             )
-            if answered is not None:
+            if response is not None:
                 break
             await asyncio.sleep(seconds(_APPLY_LIMIT // 2))
-        if answered is None:
-            self._findings.report_violation('CONFIG', 'it can not be read back')
+        if response is None:
+            self._findings.report_violation(
+                'CONFIG', 'the configuration can not be read back'
+            )
             return
-        version = json.loads(answered.body)['version']
-        if version < self.acknowledged or answered.body != config_body(version):
+        version = json.loads(response.body)['version']
+        if version < self.acknowledged or response.body != config_body(version):
             self._findings.report_violation(
                 'CONFIG',
                 f'{version} is read back, {self.acknowledged} was accepted',
             )
 
     async def _put(self, content: bytes) -> int:
-        answered = await call_any(
+        response = await call_any(
             self._addresses(), 'POST', '/Config.Put', content
         )
-        return 0 if answered is None else answered.status
+        return 0 if response is None else response.status
 
     async def _send_invalid_changes(self, version: int) -> None:
-        """Send what must change nothing: invalid, and another content."""
+        """Send changes to reject: an invalid one, and other content.
+
+        The other content reuses the acknowledged version number.
+        """
         status = await self._put(config_body(version + 1)[:-9])
         if status == _SERVED:
             self._findings.report_violation(
-                'CONFIG', 'an invalid one is acknowledged'
+                'CONFIG', 'an invalid change was acknowledged'
             )
         other = json.loads(config_body(version))
         other['routes'] = other['routes'][:2]
@@ -186,26 +192,31 @@
         return addresses
 
     async def _probe_newest(self, node: Node) -> None:
-        wanted = self.acknowledged
+        expected = self.acknowledged
         asked_at = self._clock.now()
         is_due = asked_at > self._acknowledged_at + _APPLY_LIMIT
-        life = (node.name, node.start_count)
-        status = await self._request_marker(node, wanted)
+        start_key = (node.name, node.start_count)
+        status = await self._request_marker(node, expected)
         if status == _SERVED:
-            seen = self._seen_by_start.get(life, 0)
-            self._seen_by_start[life] = max(seen, wanted)
+            seen = self._seen_by_start.get(start_key, 0)
+            self._seen_by_start[start_key] = max(seen, expected)
             return
-        calm = self._findings.is_fault_free(
+        fault_free = self._findings.is_fault_free(
             self._acknowledged_at - _RECOVERY_TIME, self._clock.now()
         )
-        if status == _NOT_FOUND and is_due and calm and self._sent == wanted:
+        if (
+            status == _NOT_FOUND
+            and is_due
+            and fault_free
+            and self._sent == expected
+        ):
             self._findings.report_violation(
-                'CONFIG', f'{node.name} lacks {wanted}'
+                'CONFIG', f'{node.name} lacks {expected}'
             )
 
     async def _probe_older(self, node: Node) -> None:
-        life = (node.name, node.start_count)
-        seen = self._seen_by_start.get(life, 0)
+        start_key = (node.name, node.start_count)
+        seen = self._seen_by_start.get(start_key, 0)
         if seen < 2:
             return
         older = self._random.randint(max(1, seen - _MAX_VERSION_STEP), seen - 1)
@@ -216,5 +227,5 @@
             )
 
     async def _request_marker(self, node: Node, version: int) -> int:
-        answered = await call_once(node.address, 'GET', f'/v{version}/')
-        return 0 if answered is None else answered.status
+        response = await call_once(node.address, 'GET', f'/v{version}/')
+        return 0 if response is None else response.status
--- a/tools/soak/runner.py
+++ b/tools/soak/runner.py
@@ -1,4 +1,4 @@
-"""One soak from its start to its verdict."""
+"""Run one soak, from the start of its processes to its findings."""
 
 import asyncio
 import contextlib
@@ -19,18 +19,18 @@
 
 _START_LIMIT: Millis = 15_000
 _SERIES_LENGTH: Millis = 4000
-# Longer than a fault counts after its end.
+# Longer than the time for which a fault counts after its end.
 _QUIET_TIME: Millis = 4000
-# Memory is free this long after the last request that used it.
+# All memory is released this long after the last request that used it.
 _RELEASE_TIME: Millis = 4000
 _POLL_INTERVAL: Millis = 200
 _DISCONNECT_TIME: Millis = 500
-# A soak takes about a minute; one that takes longer hangs.
+# A soak takes about a minute; one that exceeds this limit hangs.
 _RUN_LIMIT: Millis = 150_000
 
 
 class Size(NamedTuple):
-    """How much runs, and how many series of faults there are."""
+    """Number of processes, workers, callers and series of faults."""
 
     directories: int = 3
     gateways: int = 3
@@ -40,7 +40,7 @@
 
 
 class Soak:
-    """The parts of one soak."""
+    """One soak: its fleet, workers, callers, operator and faults."""
 
     def __init__(self, fleet: Fleet, size: Size, seed: int) -> None:
         """Draw everything from ``seed``."""
@@ -57,7 +57,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def run(self) -> None:
-        """Play the faults and check what can be told at the end."""
+        """Inject the faults, then run the final checks."""
         await self._fleet.start()
         await self._pool.start()
         self._spawn(self._pool.send_heartbeats())
@@ -75,7 +75,7 @@
         await self._finish()
 
     async def run_within(self, limit: Millis) -> None:
-        """Play, and tell where it hangs if it takes longer."""
+        """Run; on a timeout report a violation and print all stacks."""
         try:
             async with asyncio.timeout(seconds(limit)):
                 await self.run()
@@ -85,7 +85,7 @@
                 task.print_stack(limit=3)
 
     async def stop(self) -> None:
-        """End every task, process, worker and proxy."""
+        """Stop every task, process, worker and proxy."""
         await self._cancel()
         await self._fleet.stop()
         await self._pool.stop()
@@ -93,34 +93,34 @@
     async def _finish(self) -> None:
         await asyncio.sleep(seconds(_QUIET_TIME))
         await self._cancel(keep=1)
-        # Gateways notice within this that the callers left.
+        # Gateways detect within this time that the callers disconnected.
         await asyncio.sleep(seconds(_DISCONNECT_TIME))
         await self._check_served()
         await self._operator.read_back()
         await asyncio.sleep(seconds(_RELEASE_TIME))
         for worker in self._pool.workers:
             if worker.reservations():
-                held = worker.reservations()
+                reservations = worker.reservations()
                 self.findings.report_violation(
-                    'LEAK', f'{worker.worker_id} {held}'
+                    'LEAK', f'{worker.worker_id} {reservations}'
                 )
         self._fleet.check_running()
         self._fleet.check_logs()
         self.findings.finish()
 
     async def _check_served(self) -> None:
-        """Without faults every gateway serves every kind of request."""
+        """Check that every gateway serves every kind of request again."""
         for node in self._fleet.gateways:
             caller = self._caller(f's{self._seed}-{node.name}', node.address)
-            for ask in REQUEST_KINDS:
-                if not await caller.send(ask):
+            for kind in REQUEST_KINDS:
+                if not await caller.send(kind):
                     self.findings.report_violation(
-                        'RECOVER', f'{node.name} {ask.name}'
+                        'RECOVER', f'{node.name} {kind.name}'
                     )
             caller.close()
 
     async def _wait_until_served(self) -> None:
-        """Wait until every gateway serves for the first time."""
+        """Wait until every gateway has served its first request."""
         until = self._clock.now() + _START_LIMIT
         for node in self._fleet.gateways:
             caller = self._caller(
@@ -128,46 +128,48 @@
             )
             while not await caller.send(REQUEST_KINDS[-1]):
                 if self._clock.now() > until:
-                    raise TimeoutError(f'{node.name} serves nothing')
+                    raise TimeoutError(f'{node.name} does not serve requests')
                 await asyncio.sleep(seconds(_POLL_INTERVAL))
             caller.close()
 
     def _caller(self, name: str, *gateways: Address) -> Caller:
-        known = [node.address for node in self._fleet.gateways]
-        return Caller(name, list(gateways) or known, self.findings, self._clock)
+        all_gateways = [node.address for node in self._fleet.gateways]
+        return Caller(
+            name, list(gateways) or all_gateways, self.findings, self._clock
+        )
 
-    def _spawn(self, duty: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.create_task(duty)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.create_task(coroutine)
         task.add_done_callback(self._report_task_error)
         self._tasks.append(task)
 
     def _report_task_error(self, task: asyncio.Task[None]) -> None:
-        """Note a caller or operator that ended by an error."""
+        """Report a task that ended with an exception."""
         if not task.cancelled() and task.exception() is not None:
             self.findings.report_violation('SOAK', repr(task.exception()))
             task.print_stack()
 
     async def _cancel(self, keep: int = 0) -> None:
-        ending = self._tasks[keep:]
-        while ending:
-            # Until Python 3.12 a cancel is lost that meets the end of what
-            # asyncio.wait_for waits for.
-            for task in ending:
+        tasks = self._tasks[keep:]
+        while tasks:
+            # Before Python 3.12 a cancellation is lost if it coincides with the
+            # end of what asyncio.wait_for awaits.
+            for task in tasks:
                 task.cancel()
-            _, running_on = await asyncio.wait(ending, timeout=1)
-            ending = list(running_on)
+            _, pending = await asyncio.wait(tasks, timeout=1)
+            tasks = list(pending)
         self._tasks = self._tasks[:keep]
 
 
 async def run_soak(seed: int, folder: Path, size: Size) -> Findings:
-    """Play the soak of one seed with its processes below ``folder``.
+    """Run the soak of one seed with its processes below ``folder``.
 
-    SIGTERM ends it early, with all that it started.
+    SIGTERM ends it early and stops all that it started.
     """
-    playing = asyncio.current_task()
-    if playing is not None:
+    task = asyncio.current_task()
+    if task is not None:
         loop = asyncio.get_running_loop()
-        loop.add_signal_handler(signal.SIGTERM, playing.cancel)
+        loop.add_signal_handler(signal.SIGTERM, task.cancel)
     with running_processes(folder) as processes:
         findings = Findings(SystemClock())
         fleet = Fleet(processes, size.directories, size.gateways, findings)
--- a/tools/soak/worker_pool.py
+++ b/tools/soak/worker_pool.py
@@ -1,4 +1,4 @@
-"""The workers of one soak: they announce themselves, leave and crash."""
+"""The workers of one soak, which announce themselves, leave and crash."""
 
 import asyncio
 import itertools
@@ -19,18 +19,18 @@
 _SLOTS = 8
 _LEDGERS = 2
 _OK = 200
-# A worker serves on for this long after its leave was acknowledged.
+# A worker goes on serving this long after its leave was acknowledged.
 _DRAIN_TIME: Millis = 3500
 _UNUSED_ADDRESS = Address('127.0.0.1', 9)
 
 
 class WorkerPool:
-    """Engines and ledgers behind their proxies."""
+    """Engine and ledger workers behind their proxies."""
 
     def __init__(
         self, fleet: Fleet, findings: Findings, clock: Clock, engines: int
     ) -> None:
-        """Prepare ``engines`` engines and two ledgers."""
+        """Prepare ``engines`` engines and two ledgers; start none yet."""
         self._fleet = fleet
         self._findings = findings
         self._clock = clock
@@ -49,39 +49,39 @@
         self.workers: list[SoakWorker] = []
 
     async def start(self) -> None:
-        """Start a worker at each address."""
+        """Start a proxy and a worker at each address."""
         for service, proxy in zip(self._services, self.proxies, strict=True):
             await proxy.start()
             worker = await self._start_worker(service, proxy)
             self.workers.append(worker)
 
     async def stop(self) -> None:
-        """End every worker and proxy."""
+        """Stop every worker and proxy."""
         for worker, proxy in zip(self.workers, self.proxies, strict=True):
             await worker.crash()
             await proxy.stop()
 
     async def send_heartbeats(self) -> None:
-        """Let each worker say that it lives, again and again."""
+        """Send periodic heartbeats of all workers, until cancelled."""
         while True:
             await asyncio.gather(
-                *(self._send_heartbeat(one) for one in self.workers)
+                *(self._send_heartbeat(worker) for worker in self.workers)
             )
             await asyncio.sleep(seconds(WORKER_HEARTBEAT))
 
-    async def crash(self, chance: random.Random) -> None:
-        """Crash a worker; another one starts at its address."""
-        await self._replace_at(chance.randrange(len(self.workers)))
+    async def crash(self, rng: random.Random) -> None:
+        """Crash a random worker and start another at its address."""
+        await self._replace_at(rng.randrange(len(self.workers)))
 
-    async def replace(self, chance: random.Random) -> None:
-        """Drain a worker, wait, and let another one take its address."""
-        number = chance.randrange(len(self.workers))
+    async def replace(self, rng: random.Random) -> None:
+        """Drain and deregister a random worker; start another in its place."""
+        number = rng.randrange(len(self.workers))
         worker = self.workers[number]
-        harm_id = self._findings.begin_fault(worker.worker_id, planned=True)
+        span_id = self._findings.begin_fault(worker.worker_id, planned=True)
         worker.is_draining = True
         while not await self._send_heartbeat(worker):
             await asyncio.sleep(seconds(WORKER_HEARTBEAT))
-        self._findings.end_fault(harm_id)
+        self._findings.end_fault(span_id)
         worker.drained_at = self._clock.now()
         await asyncio.sleep(seconds(_DRAIN_TIME))
         await self._call_directory(worker, 'Deregister', {'born': worker.born})
@@ -89,7 +89,7 @@
             await self._replace_at(number)
 
     async def _replace_at(self, number: int) -> None:
-        """End the worker at one address and start another."""
+        """Crash the worker at one address and start another there."""
         worker = self.workers[number]
         await worker.crash()
         self.workers[number] = await self._start_worker(
@@ -111,7 +111,7 @@
 
     async def _send_heartbeat(self, worker: SoakWorker) -> bool:
         worker.sequence += 1
-        said = {
+        body = {
             'service': worker.service,
             'address': str(worker.address),
             'zone': 'a',
@@ -121,18 +121,18 @@
             'sequence': worker.sequence,
             'born': worker.born,
         }
-        return await self._call_directory(worker, 'Heartbeat', said)
+        return await self._call_directory(worker, 'Heartbeat', body)
 
     async def _call_directory(
-        self, worker: SoakWorker, call: str, said: dict[str, object]
+        self, worker: SoakWorker, call: str, body: dict[str, object]
     ) -> bool:
         addresses = [node.address for node in self._fleet.directories]
-        chance = random.Random(f'{worker.worker_id} {worker.sequence}')
-        chance.shuffle(addresses)
-        answered = await call_any(
+        rng = random.Random(f'{worker.worker_id} {worker.sequence}')
+        rng.shuffle(addresses)
+        response = await call_any(
             addresses,
             'POST',
             f'/Instances.{call}/{worker.worker_id}',
-            json.dumps(said).encode(),
+            json.dumps(body).encode(),
         )
-        return answered is not None and answered.status == _OK
+        return response is not None and response.status == _OK
--- a/tools/soak/workers.py
+++ b/tools/soak/workers.py
@@ -1,4 +1,4 @@
-"""Workers of the soak: engines with memory to set aside, and a plain ledger."""
+"""Workers of the soak: engines that reserve memory, and a plain ledger."""
 
 import asyncio
 import contextlib
@@ -17,25 +17,26 @@
 ENGINE_SERVICE = 'desk'
 LEDGER_SERVICE = 'ledger'
 MEMORY_TOKENS = 232_000
-# Between two events of a stream, and the work of a plain call.
+# Time between two events of a stream, and duration of a plain call.
 _EVENT_INTERVAL: Millis = 30
 _PLAIN_CALL_TIME: Millis = 20
-# A gateway may pass on what it chose just before it heard of the leave.
+# A gateway may still forward requests that it routed just before it received
+# the leave.
 _DRAIN_LIMIT: Millis = 2000
-# A gateway that was harmed may hear of a leave this much later.
+# A gateway that a fault affected may receive a leave this much later.
 _RECOVERY_TIME: Millis = 3000
 _HANG_SECONDS = 30.0
 
 
 class _Reservation(NamedTuple):
-    """Memory that is set aside."""
+    """Reserved memory and the end of its lease."""
 
     tokens: int
     until: Millis
 
 
 class SoakWorker:
-    """One worker process at an address that others may have had before."""
+    """One worker, at an address that earlier workers may have used."""
 
     def __init__(
         self,
@@ -45,7 +46,7 @@
         findings: Findings,
         clock: Clock,
     ) -> None:
-        """Serve at ``proxy`` once started."""
+        """Prepare to serve at ``proxy``; :meth:`start` begins."""
         self.service = service
         self.worker_id = worker_id
         self.address = proxy.listen
@@ -56,115 +57,117 @@
         self._standin = PlatformWorker(worker_id, self._answer)
         self.sequence = 0
         self.born = clock.wall()
-        # Share of the requests that this worker spoils.
+        # Share of the requests that this worker fails.
         self.failure_share: float = 0
         self.is_draining = False
-        # When its leave was acknowledged.
+        # Time at which its leave was acknowledged.
         self.drained_at: Millis | None = None
         self._reservation_by_id: dict[str, _Reservation] = {}
         self._used: set[str] = set()
-        # Other engines by their address, for the tickets that helpers hold.
+        # Other engines by address, for the reservations at helpers.
         self.peer_by_address: dict[str, SoakWorker] = {}
 
     async def start(self) -> None:
-        """Listen, and take what comes through the proxy."""
+        """Listen, and make this worker the target of the proxy."""
         self._proxy.target = await self._standin.start()
 
     async def crash(self) -> None:
-        """End with everything that is in progress."""
+        """Reset all connections and stop at once."""
         self._proxy.reset()
         await self._standin.stop()
 
     def reservations(self) -> list[str]:
-        """Return the reservations that hold memory now."""
+        """Return the ids of the unexpired reservations."""
         now = self._clock.now()
-        for ticket_id, ticket in tuple(self._reservation_by_id.items()):
-            if ticket.until <= now:
-                self._reservation_by_id.pop(ticket_id)
+        for reservation_id, reservation in tuple(
+            self._reservation_by_id.items()
+        ):
+            if reservation.until <= now:
+                self._reservation_by_id.pop(reservation_id)
         return list(self._reservation_by_id)
 
-    def begin_use(self, ticket_id: str) -> bool:
-        """Take a ticket into use; False when it is not there."""
-        if ticket_id not in self.reservations():
+    def begin_use(self, reservation_id: str) -> bool:
+        """Mark a reservation as in use; return False if it does not exist."""
+        if reservation_id not in self.reservations():
             return False
-        if ticket_id in self._used:
+        if reservation_id in self._used:
             self._findings.report_violation(
-                'LIMIT', f'{ticket_id} is used twice'
+                'LIMIT', f'{reservation_id} is used twice'
             )
-        self._used.add(ticket_id)
+        self._used.add(reservation_id)
         return True
 
-    def end_use(self, ticket_id: str) -> None:
-        """Note that a ticket is used no more."""
-        self._used.discard(ticket_id)
+    def end_use(self, reservation_id: str) -> None:
+        """Mark a reservation as no longer in use."""
+        self._used.discard(reservation_id)
 
     async def _answer(
-        self, seen: ReceivedRequest, writer: asyncio.StreamWriter
+        self, request: ReceivedRequest, writer: asyncio.StreamWriter
     ) -> None:
-        if seen.request_line.startswith('POST /order '):
-            writer.write(self._handle_order(json.loads(seen.body)))
+        if request.request_line.startswith('POST /order '):
+            writer.write(self._handle_order(json.loads(request.body)))
             return
-        if seen.header_by_name.get('expect-instance') != self.worker_id:
+        if request.header_by_name.get('expect-instance') != self.worker_id:
             writer.write(
                 standin.not_executed_response('421 Misdirected Request')
             )
             return
-        self._check(seen)
+        self._check(request)
         if self._random.random() < self.failure_share:
-            if await self._fail(seen, writer):
+            if await self._fail(request, writer):
                 return
         if self.service == ENGINE_SERVICE:
-            await self._generate(seen, writer)
+            await self._generate(request, writer)
         else:
-            await self._answer_plain(seen, writer)
+            await self._answer_plain(request, writer)
 
-    def _check(self, seen: ReceivedRequest) -> None:
-        headers = seen.header_by_name
-        self._findings.arrived.add(seen.attempt_id)
-        # Probes of versions use public routes.
-        account = '' if 'GET /v' in seen.request_line else ACCOUNT
+    def _check(self, request: ReceivedRequest) -> None:
+        headers = request.header_by_name
+        self._findings.arrived.add(request.attempt_id)
+        # Probes of configuration versions use public routes, without account.
+        account = '' if 'GET /v' in request.request_line else ACCOUNT
         if headers.get('tenant', '') != account:
             self._findings.report_violation(
-                'UNASKED', f'account of {seen.attempt_id}'
+                'UNASKED', f'account of {request.attempt_id}'
             )
         if 'authorization' in headers:
             self._findings.report_violation(
-                'UNASKED', f'key of {seen.attempt_id}'
+                'UNASKED', f'key of {request.attempt_id}'
             )
         if self.drained_at is None:
             return
         now = self._clock.now()
-        calm = self._findings.is_fault_free(
+        fault_free = self._findings.is_fault_free(
             self.drained_at - _RECOVERY_TIME, now
         )
-        if calm and now > self.drained_at + _DRAIN_LIMIT:
+        if fault_free and now > self.drained_at + _DRAIN_LIMIT:
             late = now - self.drained_at
             self._findings.report_violation(
                 'DRAIN', f'{self.worker_id} {late} ms late'
             )
 
     async def _fail(
-        self, seen: ReceivedRequest, writer: asyncio.StreamWriter
+        self, request: ReceivedRequest, writer: asyncio.StreamWriter
     ) -> bool:
-        """Fail a request in one of several ways; False to serve it as well."""
+        """Fail a request in a random way; return False to serve it as well."""
         fault = self._random.choice(('busy', 'lost', 'hang', 'extra', 'error'))
         if fault == 'busy':
             writer.write(standin.not_executed_response())
         elif fault == 'lost':
-            self._record_run(seen)
+            self._record_run(request)
             standin.reset(writer)
         elif fault == 'hang':
-            self._record_run(seen)
+            self._record_run(request)
             await asyncio.sleep(_HANG_SECONDS)
         elif fault == 'error':
-            self._record_run(seen)
+            self._record_run(request)
             writer.write(
                 standin.signed_response(
-                    seen, b'', status='500 Internal Server Error'
+                    request, b'', status='500 Internal Server Error'
                 )
             )
         else:
-            # The late answer to a request that nobody waits for any more.
+            # A late response to a request that no client waits for any more.
             other = ReceivedRequest(
                 b'GET / HTTP/1.1\r\nAttempt-Id: nobody\r\n', b''
             )
@@ -172,67 +175,73 @@
             return False
         return True
 
-    def _record_run(self, seen: ReceivedRequest) -> None:
-        if seen.request_line.startswith('POST /hold/'):
-            self._findings.record_run(seen.attempt_id)
+    def _record_run(self, request: ReceivedRequest) -> None:
+        if request.request_line.startswith('POST /hold/'):
+            self._findings.record_run(request.attempt_id)
 
     async def _answer_plain(
-        self, seen: ReceivedRequest, writer: asyncio.StreamWriter
+        self, request: ReceivedRequest, writer: asyncio.StreamWriter
     ) -> None:
-        self._record_run(seen)
+        self._record_run(request)
         await asyncio.sleep(seconds(_PLAIN_CALL_TIME))
         writer.write(
-            standin.signed_response(seen, f'done {seen.attempt_id}'.encode())
+            standin.signed_response(
+                request, f'done {request.attempt_id}'.encode()
+            )
         )
 
     async def _generate(
-        self, seen: ReceivedRequest, writer: asyncio.StreamWriter
+        self, request: ReceivedRequest, writer: asyncio.StreamWriter
     ) -> None:
-        tickets = self._helper_reservations(seen)
-        for engine, ticket_id in tickets:
-            if not engine.begin_use(ticket_id):
+        reservations = self._helper_reservations(request)
+        for engine, reservation_id in reservations:
+            if not engine.begin_use(reservation_id):
                 writer.write(standin.not_executed_response())
                 return
         with contextlib.ExitStack() as stack:
-            for engine, ticket_id in tickets:
-                stack.callback(engine.end_use, ticket_id)
-            await self._stream(seen, writer)
+            for engine, reservation_id in reservations:
+                stack.callback(engine.end_use, reservation_id)
+            await self._stream(request, writer)
 
     async def _stream(
-        self, seen: ReceivedRequest, writer: asyncio.StreamWriter
+        self, request: ReceivedRequest, writer: asyncio.StreamWriter
     ) -> None:
-        writer.write(standin.stream_head(seen))
-        # The path names the number of events.
-        last = int(seen.request_line.split()[1].split('/')[2])
-        first = int(seen.header_by_name.get('last-event-id', '0')) + 1
+        writer.write(standin.stream_head(request))
+        # The path contains the number of events.
+        last = int(request.request_line.split()[1].split('/')[2])
+        first = int(request.header_by_name.get('last-event-id', '0')) + 1
         for number in range(first, last + 1):
-            writer.write(standin.chunk(standin.event(number, seen.attempt_id)))
+            writer.write(
+                standin.chunk(standin.event(number, request.attempt_id))
+            )
             await writer.drain()
             await asyncio.sleep(seconds(_EVENT_INTERVAL))
         writer.write(standin.LAST_CHUNK)
 
     def _helper_reservations(
-        self, seen: ReceivedRequest
+        self, request: ReceivedRequest
     ) -> list[tuple['SoakWorker', str]]:
-        tickets = []
-        for holder in seen.header_by_name.get('helpers', '').split(','):
-            address, _, ticket_id = holder.partition('/')
+        reservations = []
+        for holder in request.header_by_name.get('helpers', '').split(','):
+            address, _, reservation_id = holder.partition('/')
             engine = self.peer_by_address.get(address)
-            if ticket_id and engine is not None:
-                tickets.append((engine, ticket_id))
-        return tickets
-
-    def _handle_order(self, said: dict[str, object]) -> bytes:
-        ticket_id = str(said['id'])
-        if said['operation'] == 'release':
-            self._reservation_by_id.pop(ticket_id, None)
+            if reservation_id and engine is not None:
+                reservations.append((engine, reservation_id))
+        return reservations
+
+    def _handle_order(self, order: dict[str, object]) -> bytes:
+        reservation_id = str(order['id'])
+        if order['operation'] == 'release':
+            self._reservation_by_id.pop(reservation_id, None)
             return standin.unsigned_response(b'{"free":0}')
-        tokens = int(str(said['tokens']))
-        # Dropped first are the tickets whose lease is over.
-        others = [held for held in self.reservations() if held != ticket_id]
+        tokens = int(str(order['tokens']))
+        # Listing the reservations also drops those with an expired lease.
+        others = [
+            held for held in self.reservations() if held != reservation_id
+        ]
         held = sum(self._reservation_by_id[other].tokens for other in others)
         if held + tokens > MEMORY_TOKENS:
             return b'HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n'
-        until = self._clock.now() + int(str(said['hold-ms']))
-        self._reservation_by_id[ticket_id] = _Reservation(tokens, until)
+        until = self._clock.now() + int(str(order['hold-ms']))
+        self._reservation_by_id[reservation_id] = _Reservation(tokens, until)
         return standin.unsigned_response(b'{"free":1}')
