--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -1,4 +1,4 @@
-"""Tests of a whole fleet of processes, killed and frozen by signal."""
+"""Tests of a whole fleet of processes, killed and suspended by signals."""
 
 import signal
 import tempfile
@@ -29,9 +29,9 @@
 START_LIMIT_SECONDS = 60
 ANSWER_TOKENS = 20
 HEADERS = MappingProxyType({'Authorization': f'Bearer {ACCOUNT_KEY}'})
-# What the brief calls a few seconds; issue 4 names 3.
+# A leave takes effect within a few seconds; issue 4 states 3.
 LEAVE_SECONDS = 3
-# Longer than the lease of an engine, so that another entry owns it then.
+# Longer than the lease of an engine, so that another entry becomes its owner.
 FREEZE_SECONDS = 12
 
 
@@ -54,7 +54,7 @@
                 f'{UPSTREAM_IP}:{FIRST_ENGINE_PORT + number}',
                 MODEL,
             )
-        wait_for('answers', self.all_answer, START_LIMIT_SECONDS)
+        wait_for('answers', self.all_serve, START_LIMIT_SECONDS)
 
     def stand_in(self, module, name, listen, service, *options):
         entries = ','.join(map(self.entry, range(1, ENTRIES + 1)))
@@ -70,9 +70,9 @@
     def signal(self, name, number):
         self.processes.by_name[name].send_signal(number)
 
-    def ask(self, entry, answers=None):
+    def send_prompt(self, entry, results=None):
         try:
-            answer = self.http.request(
+            response = self.http.request(
                 'POST',
                 f'http://{self.entry(entry)}/v1/completions',
                 json={'model': MODEL, 'prompt': 'any cot tonight?'},
@@ -80,15 +80,15 @@
             )
         except urllib3.exceptions.HTTPError:
             return False
-        held = answer.status == 200 and (
-            answer.json()['usage']['completion_tokens'] == ANSWER_TOKENS
+        succeeded = response.status == 200 and (
+            response.json()['usage']['completion_tokens'] == ANSWER_TOKENS
         )
-        if answers is not None:
-            answers.append(held)
-        return held
+        if results is not None:
+            results.append(succeeded)
+        return succeeded
 
-    def all_answer(self, entries=(1, 2, 3)):
-        return all(self.ask(entry) for entry in entries)
+    def all_serve(self, entries=(1, 2, 3)):
+        return all(self.send_prompt(entry) for entry in entries)
 
     def engine(self, number, path):
         address = f'{UPSTREAM_IP}:{FIRST_ENGINE_PORT + number}'
@@ -99,46 +99,44 @@
             self.engine(number, 'holds')['holds'] for number in range(ENGINES)
         )
 
-    def test_leave_outlives_its_entry_and_control(self):
+    def test_leave_survives_its_entry_and_control(self):
         for number in (1, 2, 3):
             self.signal(f'control-{number}', signal.SIGKILL)
-        members = {
+        body = {
             'upstream_id': 'engine-0',
             'incarnation': 1,
             'service': MODEL,
         }
-        status = post_announcement(
-            self.entry(1), 'leave', ANNOUNCE_KEY, members
-        )
+        status = post_announcement(self.entry(1), 'leave', ANNOUNCE_KEY, body)
         self.assertEqual(status, 200)
         self.signal('entry-1', signal.SIGKILL)
         time.sleep(LEAVE_SECONDS)
-        # The stand-in goes on renewing, which must not bring it back.
+        # The stand-in still renews; that must not register the engine again.
         before = self.engine(0, 'load')['generated']
         wait_for(
             'answers of the rest',
-            lambda: self.all_answer((2, 3)),
+            lambda: self.all_serve((2, 3)),
             START_LIMIT_SECONDS,
         )
         for _ in range(10):
-            self.assertTrue(self.all_answer((2, 3)))
+            self.assertTrue(self.all_serve((2, 3)))
         self.assertEqual(self.engine(0, 'load')['generated'], before)
 
     def test_booking_runs_once_when_its_entry_is_killed(self):
         self.stand_in(
             'service', 'ledger', LEDGER_ADDRESS, LEDGER, '--slow', '2'
         )
-        wait_for('ledger', self.ledger_known, START_LIMIT_SECONDS)
+        wait_for('ledger', self.ledger_registered, START_LIMIT_SECONDS)
         first = threading.Thread(target=self.book, args=(1,))
         first.start()
         wait_for('call', lambda: self.ledger()['came'], START_LIMIT_SECONDS)
         self.signal('entry-1', signal.SIGKILL)
         first.join()
-        # Until control takes the owner for gone, and after.
+        # Before and after control declares the owner gone.
         states = set()
         for _ in range(40):
-            answer = self.book(3)
-            states.add((answer.status, answer.json()['error']['code']))
+            response = self.book(3)
+            states.add((response.status, response.json()['error']['code']))
             if (409, 'outcome_unknown') in states:
                 break
             time.sleep(0.5)
@@ -148,17 +146,17 @@
         )
         self.assertEqual(self.ledger()['runs_by_key'], {'one': 1})
 
-    def test_frozen_entry_wakes_and_promises_nothing_twice(self):
-        answers = []
+    def test_resumed_entry_grants_no_memory_twice(self):
+        results = []
         self.signal('entry-1', signal.SIGSTOP)
         ends = time.monotonic() + FREEZE_SECONDS
         while time.monotonic() < ends:
             for entry in (2, 3):
-                self.ask(entry, answers)
+                self.send_prompt(entry, results)
         self.signal('entry-1', signal.SIGCONT)
-        wait_for('answers', self.all_answer, START_LIMIT_SECONDS)
-        # Requests that waited for the frozen owner found another one.
-        self.assertEqual(answers.count(False), 0)
+        wait_for('answers', self.all_serve, START_LIMIT_SECONDS)
+        # Requests that waited for the suspended owner got another owner.
+        self.assertEqual(results.count(False), 0)
         wait_for('no holds', self.nothing_held, START_LIMIT_SECONDS)
 
     def book(self, entry):
@@ -172,7 +170,7 @@
         except urllib3.exceptions.HTTPError:
             return None
 
-    def ledger_known(self):
+    def ledger_registered(self):
         return all(
             self.http.request(
                 'GET',
@@ -184,5 +182,5 @@
         )
 
     def ledger(self):
-        answer = self.http.request('GET', f'http://{LEDGER_ADDRESS}/holds')
-        return answer.json()
+        response = self.http.request('GET', f'http://{LEDGER_ADDRESS}/holds')
+        return response.json()
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Programs for those who work on verbenathread; not part of the product."""
+"""Development tools for verbenathread; not part of the product."""
--- a/tools/bounds.py
+++ b/tools/bounds.py
@@ -1,4 +1,4 @@
-"""Replay the scenarios beside the baselines and check the stated bounds.
+"""Replay the scenarios and the baselines and check the stated bounds.
 
 Prints one line per scenario and policy. KNOWN-RED.txt may list bounds that
 are known to fail, each as a line ``bound: NAME``; the exit code is 0 when no
@@ -34,7 +34,7 @@
 _LOAD_PREFIX = 'load-'
 _USUAL_LOAD = 'load-80'
 _FLOODING_ACCOUNT = 6
-# The bounds of issue 5.
+# The bounds stated in issue 5.
 _SHORT_FIRST_TOKEN_MS = 630
 _SHORT_SLOWDOWN = 1.25
 _LONG_REFUSED_SHARE = 0.02
@@ -52,23 +52,23 @@
     goodput: float
     violations: dict[str, int]
     short_slowdown: float | None
-    # First token of the accounts that do not flood, p95 in ms.
+    # p95 first token, in ms, of the accounts that do not flood.
     others_short: float
     others_all: float
 
 
 class Bound(NamedTuple):
-    """One bound and the figure that was measured against it."""
+    """A bound and the figure that is compared with it."""
 
     name: str
     limit: float
     figure: float
-    # The figure must not be below the limit, in place of not above.
+    # The limit is a minimum rather than a maximum.
     is_minimum: bool = False
 
     @property
     def holds(self) -> bool:
-        """Tell whether the figure is within the bound."""
+        """Return whether the figure is within the bound."""
         if self.is_minimum:
             return self.figure >= self.limit
         return self.figure <= self.limit
@@ -79,10 +79,10 @@
     result = scenario.run(policy)
     deployment = scenario.deployment
     measures = measure(result, deployment.client_latency_ms)
-    ratio = None
+    slowdown_ratio = None
     if scenario.name == _USUAL_LOAD:
         alone = scenario.run_short_alone(policy)
-        ratio = slowdown(result, alone, deployment.client_latency_ms)
+        slowdown_ratio = slowdown(result, alone, deployment.client_latency_ms)
     mix = MIX_BY_DEPLOYMENT[deployment.name]
     return Line(
         deployment=deployment.name,
@@ -91,7 +91,7 @@
         measures=measures,
         goodput=measures.good_rate / capacity(deployment, mix),
         violations=result.violations._asdict(),
-        short_slowdown=ratio,
+        short_slowdown=slowdown_ratio,
         others_short=_others_first_token(scenario, result, short_only=True),
         others_all=_others_first_token(scenario, result, short_only=False),
     )
@@ -100,17 +100,17 @@
 def _others_first_token(
     scenario: Scenario, result: ReplayResult, *, short_only: bool
 ) -> float:
-    """Return the p95 first token of every account but the one that floods."""
+    """Return the p95 first token of all accounts but the flooding one."""
     mix = MIX_BY_DEPLOYMENT[scenario.deployment.name]
     flooding = list(mix.share_by_account)[_FLOODING_ACCOUNT]
 
-    def wanted(ended: RequestResult) -> bool:  # noqa: WPS430 - a filter.
+    def include(ended: RequestResult) -> bool:  # noqa: WPS430 - a filter.
         if short_only and not is_short(ended):
             return False
         return ended.request.account != flooding
 
     return p95_first_token(
-        result, wanted, scenario.deployment.client_latency_ms
+        result, include, scenario.deployment.client_latency_ms
     )
 
 
@@ -119,18 +119,18 @@
         f'{first.bucket} {first.p50:.0f}/{first.p95:.0f}/{first.p99:.0f}'
         for first in line.measures.first_tokens
     )
-    ratio = ''
+    slowdown_ratio = ''
     if line.short_slowdown is not None:
-        ratio = f' slowdown {line.short_slowdown:.2f}'
+        slowdown_ratio = f' slowdown {line.short_slowdown:.2f}'
     measures = line.measures
-    ends = ' '.join(
+    outcomes = ' '.join(
         f'{name} {getattr(measures, name)}'
         for name in ('refused', 'missed', 'failed', 'lost')
     )
     return (
         f'{line.deployment} {line.scenario} {line.policy}: '
-        f'first token ms p50/p95/p99 {times}{ratio} '
-        f'requests {measures.requests} {ends} '
+        f'first token ms p50/p95/p99 {times}{slowdown_ratio} '
+        f'requests {measures.requests} {outcomes} '
         f'(long refused {measures.long_refused} of {measures.long_requests}) '
         f'goodput {line.goodput:.3f}'
     )
@@ -142,67 +142,71 @@
         for line in lines
         if line.policy == _CURRENT
     }
-    found = []
-    for ours in by_key.values():
-        found.extend(_invariant_bounds(ours))
-        if ours.scenario == _USUAL_LOAD:
-            found.extend(_usual_load_bounds(ours))
+    bounds = []
+    for current in by_key.values():
+        bounds.extend(_invariant_bounds(current))
+        if current.scenario == _USUAL_LOAD:
+            bounds.extend(_usual_load_bounds(current))
     for deployment in sorted({deployment for deployment, _ in by_key}):
-        usual = by_key.get((deployment, _USUAL_LOAD))
+        usual_load = by_key.get((deployment, _USUAL_LOAD))
         flood = by_key.get((deployment, 'flood'))
-        if usual is not None and flood is not None:
-            found.extend(_flood_bounds(usual, flood))
-        below = by_key.get((deployment, 'load-95'))
-        above = by_key.get((deployment, 'load-120'))
-        if below is not None and above is not None:
-            kept = above.goodput / max(below.goodput, 1e-9)
+        if usual_load is not None and flood is not None:
+            bounds.extend(_flood_bounds(usual_load, flood))
+        under_capacity = by_key.get((deployment, 'load-95'))
+        over_capacity = by_key.get((deployment, 'load-120'))
+        if under_capacity is not None and over_capacity is not None:
+            ratio_kept = over_capacity.goodput / max(
+                under_capacity.goodput, 1e-9
+            )
             name = f'{deployment}/goodput-at-120'
-            found.append(Bound(name, _GOODPUT_KEPT, kept, is_minimum=True))
-    return found
+            bounds.append(
+                Bound(name, _GOODPUT_KEPT, ratio_kept, is_minimum=True)
+            )
+    return bounds
 
 
 def _invariant_bounds(line: Line) -> list[Bound]:
-    """Return what must hold at any load, with any failure."""
-    start = f'{line.deployment}/{line.scenario}'
+    """Return the bounds that hold at any load and with any failure."""
+    prefix = f'{line.deployment}/{line.scenario}'
     broken = sum(line.violations.values())
     return [
-        Bound(f'{start}/misses', 0, line.measures.missed),
-        Bound(f'{start}/violations', 0, broken),
+        Bound(f'{prefix}/misses', 0, line.measures.missed),
+        Bound(f'{prefix}/violations', 0, broken),
     ]
 
 
 def _usual_load_bounds(line: Line) -> list[Bound]:
-    start = f'{line.deployment}/{line.scenario}'
+    prefix = f'{line.deployment}/{line.scenario}'
     measures = line.measures
     long_refused = measures.long_refused / max(1, measures.long_requests)
     return [
         Bound(
-            f'{start}/short-first-token',
+            f'{prefix}/short-first-token',
             _SHORT_FIRST_TOKEN_MS,
             measures.first_tokens[0].p95,
         ),
         Bound(
-            f'{start}/short-slowdown',
+            f'{prefix}/short-slowdown',
             _SHORT_SLOWDOWN,
             line.short_slowdown or 0,
         ),
-        Bound(f'{start}/long-unfinished', 0, measures.long_unfinished),
-        Bound(f'{start}/long-refused', _LONG_REFUSED_SHARE, long_refused),
+        Bound(f'{prefix}/long-unfinished', 0, measures.long_unfinished),
+        Bound(f'{prefix}/long-refused', _LONG_REFUSED_SHARE, long_refused),
     ]
 
 
-def _flood_bounds(usual: Line, flood: Line) -> list[Bound]:
-    start = f'{usual.deployment}/flood'
+def _flood_bounds(usual_load: Line, flood: Line) -> list[Bound]:
+    prefix = f'{usual_load.deployment}/flood'
     return [
         Bound(
-            f'{start}/others-short',
+            f'{prefix}/others-short',
             _FLOOD_CHANGE,
-            flood.others_short / max(1, usual.others_short),
+            flood.others_short / max(1, usual_load.others_short),
         ),
         Bound(
-            f'{start}/others-all',
+            f'{prefix}/others-all',
             _FLOOD_CHANGE,
-            flood.others_all / max(1, usual.others_all),
+            flood.others_all / max(1, usual_load.others_all),
         ),
     ]
 
@@ -219,42 +223,42 @@
 
 
 def _report_failures(bounds: Sequence[Bound]) -> int:
-    """Print every bound that fails; return how many are not known."""
-    red = _known_red()
-    surprises = 0
+    """Print every bound that fails; return how many are unexpected."""
+    known_failures = _known_red()
+    unexpected = 0
     failing = [bound for bound in bounds if not bound.holds]
     for bound in failing:
-        word = 'known red' if bound.name in red else 'failed'
-        surprises += bound.name not in red
+        word = 'known red' if bound.name in known_failures else 'failed'
+        unexpected += bound.name not in known_failures
         sys.stdout.write(
             f'{word}: {bound.name}: measured {bound.figure:.3f}, '
             f'bound {bound.limit}\n'
         )
     held = len(bounds) - len(failing)
     sys.stdout.write(f'{held} of {len(bounds)} bounds hold\n')
-    return surprises
+    return unexpected
 
 
 def _plot(lines: Sequence[Line], path: Path) -> None:
-    """Draw the p95 first token by bucket at the usual load."""
+    """Plot the p95 first token by bucket at the usual load."""
     from matplotlib import pyplot  # noqa: PLC0415 - a development extra.
 
     figure, axes = pyplot.subplots(1, 2, figsize=(11, 4), sharey=True)
     names = sorted({each.deployment for each in lines})
-    for place, deployment in zip(axes, names, strict=False):
+    for plot_axes, deployment in zip(axes, names, strict=False):
         for line in lines:
             if (line.deployment, line.scenario) != (deployment, _USUAL_LOAD):
                 continue
-            place.plot(
+            plot_axes.plot(
                 [first.bucket for first in line.measures.first_tokens],
                 [first.p95 for first in line.measures.first_tokens],
                 marker='o',
                 label=line.policy,
             )
-        place.set_title(f'{deployment}, 80 %')
-        place.set_yscale('log')
-        place.set_ylabel('first token p95, ms')
-        place.legend()
+        plot_axes.set_title(f'{deployment}, 80 %')
+        plot_axes.set_yscale('log')
+        plot_axes.set_ylabel('first token p95, ms')
+        plot_axes.legend()
     figure.savefig(path)
 
 
@@ -262,15 +266,17 @@
     """Run every scenario and return 0 when every bound holds."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--json', action='store_true', help='print JSON')
-    parser.add_argument('--plot', type=Path, help='draw a chart to this file')
-    parser.add_argument('--only', default='', help='scenarios named so')
+    parser.add_argument('--plot', type=Path, help='write a chart to this file')
+    parser.add_argument(
+        '--only', default='', help='part of DEPLOYMENT/SCENARIO'
+    )
     parser.add_argument(
-        '--processes', type=int, default=_PROCESSES, help='replays at once'
+        '--processes', type=int, default=_PROCESSES, help='parallel replays'
     )
     parser.add_argument(
         '--every-baseline',
         action='store_true',
-        help='run the baselines on the failures too',
+        help='run the baselines on the failure scenarios too',
     )
     options = parser.parse_args()
     lines = list(_chosen_lines(options))
@@ -283,9 +289,9 @@
 
 
 def _chosen_lines(options: argparse.Namespace) -> Iterator[Line]:
-    """Replay the scenarios that the options name, and print each line.
+    """Replay the selected scenarios; print and yield each line.
 
-    Each replay is alone in its process; the lines come in their order.
+    Replays run in a pool of processes; the lines keep the scenarios' order.
     """
     chosen: list[Scenario] = []
     policies: list[str] = []
@@ -307,7 +313,7 @@
 
 
 def _json_members(line: Line) -> dict[str, object]:
-    """Return a line as JSON takes it."""
+    """Return the members of the JSON object of a line."""
     measures = line.measures._asdict()
     measures['first_tokens'] = [
         first._asdict() for first in line.measures.first_tokens
--- a/tools/local_cluster.py
+++ b/tools/local_cluster.py
@@ -66,24 +66,24 @@
 """
 
 
-# Part of 127.0.0.0/8 for the nodes of this process: two clusters on one
-# machine must not answer each other's calls.
+# Network within 127.0.0.0/8 for the nodes of this process, so that two
+# clusters on one machine do not receive each other's calls.
 _NET_SECOND, _NET_THIRD = divmod(os.getpid() % 0xC000 + 0x1000, 256)
 LOOPBACK_NET = f'127.{_NET_SECOND}.{_NET_THIRD}'
-# Entries stand behind the control processes, upstreams behind the entries.
+# Last octets: control processes from 1, then entries, then upstreams.
 _FIRST_ENTRY = 10
 UPSTREAM_IP = f'{LOOPBACK_NET}.250'
 
 
 class Size(NamedTuple):
-    """How many processes of each role run."""
+    """Number of processes of each role."""
 
     control: int
     entries: int
 
 
 class LocalCluster:
-    """Control processes and entries, each at an IP number of its own."""
+    """Control processes and entries, each at its own IP address."""
 
     def __init__(self, processes: Processes, size: Size) -> None:
         """Write the settings of every node; :meth:`start` runs them."""
@@ -105,15 +105,15 @@
         return f'entry-{number}'
 
     def control_ip(self, number: int) -> str:
-        """Return the IP number of one control process, from 1."""
+        """Return the IP address of one control process, from 1."""
         return f'{LOOPBACK_NET}.{number}'
 
     def entry_ip(self, number: int) -> str:
-        """Return the IP number of one entry, from 1."""
+        """Return the IP address of one entry, from 1."""
         return f'{LOOPBACK_NET}.{_FIRST_ENTRY + number}'
 
     def start(self) -> None:
-        """Start all, make the root branch, wait until entries are ready."""
+        """Start all nodes, create the root branch, wait for ready entries."""
         for number in range(1, self.size.control + 1):
             self.start_node('control', self.control_name(number))
         wait_for('leader of control', self.has_leader, _START_LIMIT_SECONDS)
@@ -129,17 +129,17 @@
         )
 
     def client(self) -> ControlClient:
-        """Return a client of control with the root operator's key."""
+        """Return a control client with the key of the root operator."""
         return ControlClient(
             parse_addresses(self._addresses()), 'root', ROOT_KEY
         )
 
     def has_leader(self) -> bool:
-        """Tell whether the control group answers."""
+        """Return whether the control group has a leader."""
         return asyncio.run(self._has_leader())
 
     def all_ready(self) -> bool:
-        """Tell whether every entry runs the shared settings."""
+        """Return whether every entry is ready, with the shared settings."""
         entries = range(1, self.size.entries + 1)
         return all(_is_ready(self.entry_ip(entry)) for entry in entries)
 
@@ -193,7 +193,7 @@
 
 @contextlib.contextmanager
 def local_cluster(folder: Path, size: Size) -> Iterator[LocalCluster]:
-    """Run a cluster and end all of it afterwards."""
+    """Run a cluster and kill all its processes afterwards."""
     with running_processes(folder) as processes:
         cluster = LocalCluster(processes, size)
         cluster.start()
@@ -206,9 +206,9 @@
 
 def _is_ready(ip: str) -> bool:
     try:
-        answer = urllib3.request(
+        response = urllib3.request(
             'GET', f'http://{ip}:18082/readyz', retries=False, timeout=1
         )
     except urllib3.exceptions.HTTPError:
         return False
-    return answer.status == _OK
+    return response.status == _OK
--- a/tools/processes.py
+++ b/tools/processes.py
@@ -1,4 +1,4 @@
-"""Start processes of the program and of stand-ins, and end them by id."""
+"""Start processes of verbenathread and of stand-ins; end them by id."""
 
 import contextlib
 import os
@@ -16,7 +16,7 @@
 _POLL_SECONDS = 0.05
 _MS_PER_SECOND = 1000
 _LOOPBACK = 'lo:'
-# Fields of /proc/PID/stat after the name in brackets.
+# Fields of /proc/PID/stat after the name in parentheses.
 _USER_TICKS = 11
 _SYSTEM_TICKS = 12
 # Fields of a line of /proc/net/dev.
@@ -24,7 +24,7 @@
 
 
 class ManagedProcess(NamedTuple):
-    """One process that this run started."""
+    """A process that this run started, and its log file."""
 
     name: str
     process: 'subprocess.Popen[bytes]'
@@ -43,14 +43,14 @@
         return int(statm.split()[1]) * _PAGE_BYTES
 
     def children(self) -> int:
-        """Return how many processes this one has started and not ended."""
+        """Return the number of child processes that have not been reaped."""
         tasks = Path(f'/proc/{self.process.pid}/task').iterdir()
         return sum(
             len((task / 'children').read_text().split()) for task in tasks
         )
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send a signal, unless the process has ended."""
+        """Send a signal, unless the process has exited."""
         if self.process.poll() is None:
             self.process.send_signal(number)
 
@@ -63,51 +63,51 @@
 
 
 class Processes:
-    """The processes of one run; all have ended when it closes."""
+    """The processes of one run, by name."""
 
     def __init__(self, folder: Path) -> None:
-        """Keep logs and data below ``folder``."""
+        """Start processes in ``folder``, which takes their logs and data."""
         self.folder = folder
         self.by_name: dict[str, ManagedProcess] = {}
 
-    def start(self, name: str, *words: str) -> ManagedProcess:
-        """Start ``python -m WORDS`` in the folder of the run."""
+    def start(self, name: str, *arguments: str) -> ManagedProcess:
+        """Start ``python -m ARGUMENTS`` in the folder of the run."""
         log = self.folder / f'{name}.log'
         environment = {**os.environ, 'PYTHONPATH': str(ROOT)}
         with log.open('ab') as output:
             process = subprocess.Popen(
-                [sys.executable, '-m', *words],
+                [sys.executable, '-m', *arguments],
                 cwd=self.folder,
                 env=environment,
                 stdin=subprocess.DEVNULL,
                 stdout=output,
                 stderr=output,
             )
-        started = ManagedProcess(name, process, log)
-        self.by_name[name] = started
-        return started
+        managed = ManagedProcess(name, process, log)
+        self.by_name[name] = managed
+        return managed
 
     def stop_all(self, limit: float) -> dict[str, int | None]:
         """Send SIGTERM to all and return each exit code, None if killed."""
-        for started in self.by_name.values():
-            started.send_signal(signal.SIGTERM)
+        for managed in self.by_name.values():
+            managed.send_signal(signal.SIGTERM)
         code_by_name = {}
-        for name, started in self.by_name.items():
-            code_by_name[name] = started.wait(limit)
+        for name, managed in self.by_name.items():
+            code_by_name[name] = managed.wait(limit)
         self.kill_all()
         return code_by_name
 
     def kill_all(self) -> None:
-        """End whatever still runs."""
-        for started in self.by_name.values():
-            # A stopped process takes SIGKILL too.
-            started.send_signal(signal.SIGKILL)
-            started.process.wait()
+        """Kill every process that still runs and wait for its exit."""
+        for managed in self.by_name.values():
+            # SIGKILL also ends a process that SIGSTOP has stopped.
+            managed.send_signal(signal.SIGKILL)
+            managed.process.wait()
 
 
 @contextlib.contextmanager
 def running_processes(folder: Path) -> Iterator[Processes]:
-    """Yield the processes of one run and end them all afterwards."""
+    """Yield the processes of one run and kill them all afterwards."""
     processes = Processes(folder)
     try:
         yield processes
@@ -116,7 +116,7 @@
 
 
 def wait_for(what: str, probe: Callable[[], Any], limit: float) -> Any:
-    """Return the first true answer of ``probe``.
+    """Call ``probe`` until its result is true, and return that.
 
     Raises :class:`TimeoutError` after ``limit`` seconds.
     """
@@ -131,9 +131,11 @@
 
 
 def loopback_bytes() -> int:
-    """Return the bytes that the machine has sent over loopback."""
+    """Return the bytes that this machine has sent over loopback."""
     for line in Path('/proc/net/dev').read_text().splitlines():
         fields = line.split()
         if fields[0] == _LOOPBACK:
             return int(fields[_SENT_BYTES])
-    raise RuntimeError('there is no loopback device; mount /proc')
+    raise RuntimeError(
+        '/proc/net/dev lists no loopback device; is /proc mounted?'
+    )
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -1,4 +1,4 @@
-"""Run every test, pass over what KNOWN-RED.txt lists, and count.
+"""Run the tests and count failures that KNOWN-RED.txt does not list.
 
 The last line is ``N passed, N failed``; the exit code is 0 only when every
 test that is not listed passed.
@@ -28,12 +28,12 @@
 
 
 def failed_names(outcome: unittest.TestResult) -> frozenset[str]:
-    """Return the dotted names of the tests that failed, subtests folded."""
+    """Return the dotted names of failed tests; subtests count as their test."""
     names = set()
     for case, _ in outcome.failures + outcome.errors:
-        # A subtest is counted under the test that holds it.
-        whole = getattr(case, 'test_case', case)
-        names.add(whole.id())
+        # A subtest counts as the test that contains it.
+        test = getattr(case, 'test_case', case)
+        names.add(test.id())
     return frozenset(names)
 
 
@@ -51,16 +51,16 @@
     logs.configure('critical', 'text')
     runner = unittest.TextTestRunner(verbosity=2 if options.verbose else 1)
     outcome = runner.run(suite)
-    red = known_failures(_KNOWN_RED)
+    expected = known_failures(_KNOWN_RED)
     failed = failed_names(outcome)
-    for name in sorted(failed & red):
+    for name in sorted(failed & expected):
         sys.stdout.write(f'known red: {name}\n')
-    surprises = failed - red
-    for name in sorted(surprises):
+    unexpected = failed - expected
+    for name in sorted(unexpected):
         sys.stdout.write(f'failed: {name}\n')
     passed = outcome.testsRun - len(failed) - len(outcome.skipped)
-    sys.stdout.write(f'{passed} passed, {len(surprises)} failed\n')
-    return 1 if surprises else 0
+    sys.stdout.write(f'{passed} passed, {len(unexpected)} failed\n')
+    return 1 if unexpected else 0
 
 
 if __name__ == '__main__':
