--- a/tools/bench.py
+++ b/tools/bench.py
@@ -1,7 +1,7 @@
-"""What one entry process costs: per request, per token, in memory and delay.
+"""Measure the cost of one entry process: CPU, memory and added delay.
 
-An entry with in-memory neighbours and engine stand-ins run as processes on
-loopback. Figures only; the targets stand beside them.
+An entry with in-memory peers and engine stand-ins run as processes on
+loopback. Prints figures beside their targets and passes no verdict.
 """
 
 import argparse
@@ -32,7 +32,7 @@
 _PAIRS = 300
 _READ_BYTES = 65536
 _SOCKET_SECONDS = 10
-# Longest time in s for all streams to end.
+# Limit for all streams to end.
 _LOAD_SECONDS = 60
 _MICROS_PER_MS = 1000
 _MS_PER_SECOND = 1000
@@ -44,7 +44,7 @@
 
 
 class Figure(NamedTuple):
-    """One measured figure and its target, if there is one."""
+    """A measured figure and its target, if it has one."""
 
     name: str
     value: float
@@ -53,33 +53,33 @@
 
 
 class Bench:
-    """An entry, and engines that stream at a steady rate or at once."""
+    """An entry process and the engine stand-ins that serve it."""
 
     def __init__(self) -> None:
-        """Start the processes."""
+        """Start the entry."""
         self._entry = StandIn('entry', '--streams', str(_STREAMS + 56))
         self._address = parse_address(self._entry.address)
         self._started = ManagedProcess('entry', self._entry.process, Path())
         self._engines: list[StandIn] = []
 
     def close(self) -> None:
-        """End the processes."""
+        """Kill all processes."""
         for engine in self._engines:
             engine.kill()
         self._entry.kill()
 
     def use_engines(self, count: int, *options: str) -> Address:
-        """Let new engines replace the former ones; return one of them."""
-        for former in self._engines:
-            former.announce(self._address, verb='leave')
-            former.kill()
+        """Replace the engines by new ones; return the address of the first."""
+        for engine in self._engines:
+            engine.announce(self._address, verb='leave')
+            engine.kill()
         self._engines = [StandIn('engine', *options) for _ in range(count)]
         for engine in self._engines:
             engine.announce(self._address)
         return parse_address(self._engines[0].address)
 
     def per_request(self) -> list[Figure]:
-        """Measure short requests, one after another on one connection."""
+        """Measure short requests, sent in sequence on one connection."""
         self.use_engines(1, '--answer-tokens', '1')
         content = completion(1, stream=False)
         with socket.create_connection(self._address, _SOCKET_SECONDS) as sock:
@@ -91,14 +91,15 @@
         return [Figure('request', used / _REQUESTS, 'ms', 5)]
 
     def streams(self) -> list[Figure]:
-        """Measure many streams at once that come at a steady rate."""
+        """Measure many concurrent streams with a steady token rate."""
         self.use_engines(
             _ENGINES,
             f'--decode-rate={_TOKENS_PER_SECOND}',
             f'--answer-tokens={_TOKENS_PER_STREAM}',
         )
         load = Load(self._address, _STREAMS)
-        # The starts and the ends of the streams are costs of requests.
+        # Leaves out the start and end of the streams, which are costs per
+        # request.
         all_tokens = _STREAMS * _TOKENS_PER_STREAM
         load.run_until(lambda: load.tokens >= _STARTED_SHARE * all_tokens)
         before = self._started.cpu_ms()
@@ -119,29 +120,29 @@
         ]
 
     def first_token(self) -> list[Figure]:
-        """Measure the first token straight and through the entry, in turn."""
+        """Measure the first token, directly and through the entry in turn."""
         engine = self.use_engines(1, '--answer-tokens', '1')
-        straight = []
-        relayed = []
+        direct_ms = []
+        relayed_ms = []
         for number in range(_PAIRS):
-            straight.append(_timed(engine, generate_order(number)))
-            relayed.append(_timed(self._address, completion(1, stream=True)))
-        direct = statistics.median(straight)
+            direct_ms.append(_timed(engine, generate_order(number)))
+            relayed_ms.append(_timed(self._address, completion(1, stream=True)))
+        direct_median = statistics.median(direct_ms)
         return [
-            Figure('first token, straight', direct, 'ms'),
+            Figure('first token, straight', direct_median, 'ms'),
             Figure(
                 'first token, added by the entry',
-                statistics.median(relayed) - direct,
+                statistics.median(relayed_ms) - direct_median,
                 'ms',
             ),
         ]
 
 
 class Load:
-    """Streaming callers on one selector."""
+    """Concurrent streaming callers that share one selector."""
 
     def __init__(self, address: Address, count: int) -> None:
-        """Send ``count`` requests at once."""
+        """Open ``count`` connections and send a request on each."""
         self.tokens = 0
         self.ended = 0
         self._until = time.monotonic() + _LOAD_SECONDS
@@ -153,14 +154,14 @@
             self._selector.register(sock, selectors.EVENT_READ)
 
     def run_until(self, done: Callable[[], bool]) -> None:
-        """Read until ``done``."""
+        """Poll until ``done`` returns true."""
         while not done():
             self.poll()
 
     def poll(self) -> None:
-        """Read what has come."""
+        """Read the available data, for at most a second."""
         if time.monotonic() > self._until:
-            raise RuntimeError('the streams did not end in time')
+            raise RuntimeError('the streams did not end within the limit')
         for key, _ in self._selector.select(1):
             sock = key.fileobj
             assert isinstance(sock, socket.socket)
@@ -176,11 +177,11 @@
 
 
 def calibration() -> Figure:
-    """Measure a fixed loop, so that runs on busy machines can be compared."""
+    """Time a fixed loop, to compare runs on machines of different load."""
     before = time.process_time()
-    left = _CALIBRATION_STEPS
-    while left:
-        left -= 1
+    remaining = _CALIBRATION_STEPS
+    while remaining:
+        remaining -= 1
     used = time.process_time() - before
     return Figure(
         'step of a fixed loop', used * _NANOS / _CALIBRATION_STEPS, 'ns'
@@ -199,7 +200,7 @@
 
 
 def generate_order(number: int) -> bytes:
-    """Return the same request as an engine gets it."""
+    """Return the same request as sent to an engine."""
     order = {
         'attempt_id': f'bench-{number}',
         'request_id': 'bench',
@@ -226,28 +227,32 @@
     while b'"choices"' not in received:
         block = sock.recv(_READ_BYTES)
         if not block:
-            raise RuntimeError('the entry did not answer')
+            raise RuntimeError(
+                'the entry closed the connection without a response'
+            )
         received += block
 
 
 def _timed(address: Address, content: bytes) -> float:
     """Return ms until the first token on a new connection."""
     with socket.create_connection(address, _SOCKET_SECONDS) as sock:
-        began = time.perf_counter()
+        started = time.perf_counter()
         sock.sendall(content)
         received = b''
         while b'w0 ' not in received:
             block = sock.recv(_READ_BYTES)
             if not block:
-                raise RuntimeError('an answer was cut off')
+                raise RuntimeError(
+                    'the connection closed before the first token'
+                )
             received += block
-        return (time.perf_counter() - began) * _MS_PER_SECOND
+        return (time.perf_counter() - started) * _MS_PER_SECOND
 
 
 def main() -> int:
     """Print every figure."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument('--json', action='store_true', help='for programs')
+    parser.add_argument('--json', action='store_true', help='print JSON')
     options = parser.parse_args()
     with closing(Bench()) as bench:
         figures = [
@@ -257,8 +262,8 @@
             *bench.first_token(),
         ]
     if options.json:
-        members = [figure._asdict() for figure in figures]
-        sys.stdout.write(f'{json.dumps(members)}\n')
+        plain = [figure._asdict() for figure in figures]
+        sys.stdout.write(f'{json.dumps(plain)}\n')
         return 0
     for figure in figures:
         target = ''
--- a/tools/bench_consensus.py
+++ b/tools/bench_consensus.py
@@ -1,7 +1,7 @@
 """Measure the replicated log: syncs, elections, heartbeats, throughput.
 
-The first parts run in virtual time and repeat exactly. The last runs three
-replicas with synced files and loopback sockets in one process, and its
+The first measurements run in virtual time and are reproducible. The last one
+runs three replicas with synced files and loopback sockets in one process; its
 figures depend on the machine.
 """
 
@@ -44,23 +44,23 @@
 
 
 async def propose_in(proposers: int, replica: Replica) -> None:
-    """Make all changes, ``proposers`` of them at a time."""
-    each = _CHANGES // proposers
+    """Propose all changes, by ``proposers`` concurrent proposers."""
+    share = _CHANGES // proposers
     await asyncio.gather(
-        *(propose_some(each, replica) for _ in range(proposers))
+        *(propose_some(share, replica) for _ in range(proposers))
     )
 
 
 async def propose_some(count: int, replica: Replica) -> None:
-    """Make ``count`` changes, one after another."""
-    left = count
-    while left:
+    """Propose ``count`` changes in sequence."""
+    remaining = count
+    while remaining:
         await replica.propose(_CHANGE, _LIMIT_MS)
-        left -= 1
+        remaining -= 1
 
 
 async def count_syncs(proposers: int) -> float:
-    """Return syncs of the leader for each change."""
+    """Return the number of syncs of the leader per change."""
     async with Group(snapshot_records=10 * _CHANGES) as group:
         leader: Replica = group.replicas[await group.leader()]
         await leader.propose(b'first', _LIMIT_MS)
@@ -70,18 +70,21 @@
 
 
 async def leaderless_time(seed: int) -> float:
-    """Return election timeouts from a kill until the next leader's commit."""
+    """Return the time from a leader's crash to the next commit.
+
+    The unit is one election timeout.
+    """
     async with Group(seed=seed) as group:
         await group.wait_applied(await group.propose_all(['first']))
         await asyncio.sleep(group.rng.uniform(1, 3))
         await group.crash(await group.leader())
-        killed = asyncio.get_running_loop().time()
+        killed_at = asyncio.get_running_loop().time()
         await group.propose('next')
-        return float(asyncio.get_running_loop().time() - killed)
+        return float(asyncio.get_running_loop().time() - killed_at)
 
 
 async def idle_payload() -> float:
-    """Return bytes a second of messages in an idle group, by payload."""
+    """Return the payload bytes per second of messages in an idle group."""
     async with Group() as group:
         await group.wait_applied(await group.propose_all(['first']))
         await asyncio.sleep(1)
@@ -91,10 +94,10 @@
 
 
 class Relay:
-    """Passes connections on to a port and counts their bytes."""
+    """Forwards connections to a port and counts their bytes."""
 
     def __init__(self) -> None:
-        """Count from zero."""
+        """Start the count at zero, with no target port."""
         self.bytes = 0
         self.target = 0
         self.tasks: list[asyncio.Task[None]] = []
@@ -105,8 +108,8 @@
         return Address(*server.sockets[0].getsockname())
 
     async def _accept(self, reader: Any, writer: Any) -> None:
-        there = await asyncio.open_connection(_LOOPBACK, self.target)
-        for source, sink in ((reader, there[1]), (there[0], writer)):
+        target = await asyncio.open_connection(_LOOPBACK, self.target)
+        for source, sink in ((reader, target[1]), (target[0], writer)):
             self.tasks.append(asyncio.create_task(self._pass(source, sink)))
 
     async def _pass(self, source: Any, sink: Any) -> None:
@@ -121,7 +124,7 @@
 async def start_node(
     me: Peer, peers: tuple[Peer, ...], relay: Relay, folder: Path
 ) -> Replica:
-    """Start one replica that listens behind its relay."""
+    """Start one replica, reachable through its relay."""
     replica = Replica(
         settings=ReplicaSettings(me, 'bench', peers),
         storage=FileStorage(folder / me.node_id),
@@ -130,7 +133,8 @@
         clock=SystemClock(),
         random=random.Random(me.node_id),
     )
-    # Named as TCP, or the event loop would leave Nagle's algorithm on.
+    # With an explicit protocol: otherwise the event loop doesn't recognise TCP
+    # and leaves Nagle's algorithm enabled.
     listener = socket.socket(proto=socket.IPPROTO_TCP)
     listener.bind((_LOOPBACK, 0))
     relay.target = listener.getsockname()[1]
@@ -159,11 +163,11 @@
 
 
 async def measure_throughput(proposers: int, leader: Replica) -> None:
-    """Print how fast changes are made."""
+    """Print the rate of committed changes."""
     before = leader.status().sync_count
-    began = time.perf_counter()
+    started = time.perf_counter()
     await propose_in(proposers, leader)
-    took = time.perf_counter() - began
+    took = time.perf_counter() - started
     syncs = (leader.status().sync_count - before) / _CHANGES
     print_figure(
         f'{proposers} proposers, files and sockets',
@@ -172,7 +176,7 @@
 
 
 async def measure_idle(relays: tuple[Relay, ...]) -> None:
-    """Print what a group costs that nobody uses."""
+    """Print the network and CPU cost of an idle group."""
     await asyncio.sleep(1)
     sent = -sum(relay.bytes for relay in relays)
     used = time.process_time()
--- a/tools/bench_decisions.py
+++ b/tools/bench_decisions.py
@@ -1,6 +1,6 @@
-"""Processor time per decision, by known workers and client accounts.
+"""Measure processor time per decision, by workers and client accounts.
 
-Figures, not a verdict: run it on a quiet machine.
+Prints figures and passes no verdict. Run it on an idle machine.
 """
 
 import argparse
@@ -36,7 +36,7 @@
 
 
 class Cost(NamedTuple):
-    """Processor time of one kind of decision."""
+    """Processor time of one kind of decision at one size."""
 
     decision: str
     workers: int
@@ -58,11 +58,11 @@
 
 
 def _timed(action: Callable[[int], object]) -> float:
-    """Return microseconds of processor time of one call."""
-    begin = time.process_time()
+    """Return the mean processor time of a call in microseconds."""
+    started = time.process_time()
     for number in range(_ROUNDS):
         action(number)
-    return (time.process_time() - begin) / _ROUNDS * _US_PER_S
+    return (time.process_time() - started) / _ROUNDS * _US_PER_S
 
 
 def _choice(records: tuple[UpstreamRecord, ...]) -> Callable[[int], object]:
@@ -98,24 +98,24 @@
 
 
 def _reservation() -> Callable[[int], object]:
-    """Return one request's calls on a ledger that keeps forty others."""
+    """Return the calls of one request on a ledger with forty others."""
     clock = ManualClock()
     ledger = EngineLedger(
         'e1', TILLERY.rates.memory_tokens, default_policy(), clock
     )
     for number in range(-40, 0):
-        answer = ledger.reserve(_reservation_request(number))
-        if isinstance(answer, Reservation):
-            ledger.mark_started(answer.reservation_id)
-            ledger.record_progress(answer.reservation_id, 1)
+        outcome = ledger.reserve(_reservation_request(number))
+        if isinstance(outcome, Reservation):
+            ledger.mark_started(outcome.reservation_id)
+            ledger.record_progress(outcome.reservation_id, 1)
 
     def reserve(number: int) -> None:  # noqa: WPS430 - the call to be timed.
         clock.advance(1)
-        answer = ledger.reserve(_reservation_request(number))
-        if isinstance(answer, Reservation):
-            ledger.mark_started(answer.reservation_id)
-            ledger.record_progress(answer.reservation_id, 1)
-            ledger.release(answer.reservation_id, _OUTPUT)
+        outcome = ledger.reserve(_reservation_request(number))
+        if isinstance(outcome, Reservation):
+            ledger.mark_started(outcome.reservation_id)
+            ledger.record_progress(outcome.reservation_id, 1)
+            ledger.release(outcome.reservation_id, _OUTPUT)
         ledger.take_grants()
 
     return reserve
@@ -148,8 +148,8 @@
     options = parser.parse_args()
     costs = measure()
     if options.json:
-        plain = [cost._asdict() for cost in costs]
-        sys.stdout.write(f'{json.dumps(plain, indent=1)}\n')
+        members = [cost._asdict() for cost in costs]
+        sys.stdout.write(f'{json.dumps(members, indent=1)}\n')
         return 0
     for cost in costs:
         sys.stdout.write(
--- a/tools/build_binary.py
+++ b/tools/build_binary.py
@@ -1,7 +1,7 @@
-"""Build the one binary, dist/verbenathread: a single-file archive.
+"""Build dist/verbenathread, a single-file executable archive.
 
-It holds the package and its pinned run-time libraries, as they are installed
-in this environment, and runs in the interpreter's own process.
+It contains the package and its pinned run-time libraries, as installed in this
+environment, and runs in the process of the interpreter.
 """
 
 import shutil
@@ -19,21 +19,21 @@
 
 
 def pinned_names(pins: Path) -> list[str]:
-    """Return the names of the libraries that a requirements file pins."""
+    """Return the names of the libraries pinned in a requirements file."""
     lines = pins.read_text(encoding='utf-8').splitlines()
     return [line.partition('==')[0] for line in lines if '==' in line]
 
 
 def copy_library(name: str, site: Path) -> None:
-    """Copy the installed files of one library below ``site``."""
+    """Copy the installed files of a library below ``site``."""
     library = metadata.distribution(name)
-    for found in library.files or ():
-        # Scripts lie outside of the library's folder and are not needed.
-        if '..' in found.parts or '__pycache__' in found.parts:
+    for file in library.files or ():
+        # Scripts lie outside the library's folder and are not needed.
+        if '..' in file.parts or '__pycache__' in file.parts:
             continue
-        target = site / found
+        target = site / file
         target.parent.mkdir(parents=True, exist_ok=True)
-        shutil.copyfile(str(found.locate()), target)
+        shutil.copyfile(str(file.locate()), target)
 
 
 def build(binary: Path = _BINARY, site: Path = _SITE) -> None:
--- a/tools/cell_cost.py
+++ b/tools/cell_cost.py
@@ -1,8 +1,8 @@
-"""What a cell of entries costs each node: idle, per change, per reservation.
+"""Measure the cost of a cell of entries: idle, per change, per reservation.
 
-All entries run in this process and talk over loopback, in real time. Bytes
-are those of HTTP/2 as the nodes read them, without TCP and IP headers;
-processor time is that of the process over the number of entries.
+All entries run in this process and communicate over loopback in real time.
+Bytes are those of HTTP/2 as read by the nodes, without TCP and IP headers;
+processor time is that of the process divided by the number of entries.
 """
 
 import argparse
@@ -29,13 +29,13 @@
 
 
 class Size(NamedTuple):
-    """How many entries a cell has, and how many engines."""
+    """Number of entries and engines of a cell."""
 
     entries: int
     engines: int
 
 
-# Entries, and engines of the cell.
+# Sizes to measure: entries and engines.
 _SIZES = (
     Size(3, 20),
     Size(9, 20),
@@ -50,8 +50,8 @@
 _CHANGES = 40
 _CHANGE_S = 0.25
 _RESERVATIONS = 400
-_AT_ONCE = 32
-# Requests a second of one entry, out of letter 1's 5,500 over 320 nodes.
+_CONCURRENCY = 32
+# Requests a second of one entry: 5,500 in all over 320 nodes.
 _RATE = 17
 _HOLD_S = 0.25
 _DEADLINE_MS = 600_000
@@ -60,13 +60,13 @@
 
 
 class Traffic:
-    """Counts what every connection of this process reads."""
+    """Counts the bytes and reads of all connections of this process."""
 
     read_bytes = 0
     reads = 0
 
 
-class _Mark(NamedTuple):
+class _Snapshot(NamedTuple):
     at: float
     cpu: float
     read_bytes: int
@@ -74,14 +74,14 @@
 
 
 class Cost(NamedTuple):
-    """Cost of one node in one second."""
+    """Average cost of one node per second."""
 
     bytes_per_second: float
     reads_per_second: float
     core_percent: float
 
     def __str__(self) -> str:
-        """Return the cost in words."""
+        """Return the cost as text."""
         return (
             f'{self.bytes_per_second:.0f} bytes/s in '
             f'{self.reads_per_second:.0f} reads/s, '
@@ -90,10 +90,10 @@
 
 
 class LoopbackCell:
-    """Entries of one cell with engines that renew at random ones."""
+    """Entries of one cell, and engines that renew at random entries."""
 
     def __init__(self, entries: int, engines: int) -> None:
-        """Bind the sockets; nothing runs before :meth:`start`."""
+        """Bind the sockets; :meth:`start` runs the entries."""
         self._names = [f'engine-{number:03}' for number in range(engines)]
         self._listeners = [
             bound_socket(Address('127.0.0.1', 0)) for _ in range(entries)
@@ -103,7 +103,7 @@
         self.nodes: list[CellNode] = []
 
     async def start(self) -> None:
-        """Start every entry, and wait until every engine has an owner."""
+        """Start every entry and give engines time to get an owner."""
         cell = ','.join(
             'entry-{}@{}:{}'.format(number, *listener.getsockname())
             for number, listener in enumerate(self._listeners)
@@ -124,17 +124,17 @@
         await asyncio.sleep(_WARM_S)
 
     async def close(self) -> None:
-        """End every entry."""
+        """Close every entry."""
         if self._renewals is not None:
             self._renewals.cancel()
         await asyncio.gather(*[node.close() for node in self.nodes])
 
     def owned(self) -> int:
-        """Return how many engines have an owner that grants."""
+        """Return how many engines have an owner that grants memory."""
         return sum(len(node.host.owned_ids()) for node in self.nodes)
 
     def change(self) -> None:
-        """Announce another model on one engine."""
+        """Announce another model on a random engine."""
         name = self._rng.choice(self._names)
         models = (f'model-{self._rng.random()}',)
         node = self._rng.choice(self.nodes)
@@ -144,13 +144,13 @@
         pause = _RENEW_S / len(self._names)
         for name in itertools.cycle(self._names):
             node = self._rng.choice(self.nodes)
-            held = node.cell.table.get(name) or engine_record(name)
-            node.cell.announce(held)
+            record = node.cell.table.get(name) or engine_record(name)
+            node.cell.announce(record)
             await asyncio.sleep(pause)  # noqa: WPS476 - spread over time
 
 
 async def _serve_steadily(node: CellNode, prefix: str) -> None:
-    """Reserve and release at a steady rate, each for half a second."""
+    """Make reservations at a steady rate, each held for half a second."""
     running: set[asyncio.Task[None]] = set()
     for number in itertools.count():
         task = asyncio.create_task(_hold_shortly(node, f'{prefix}-{number}'))
@@ -170,8 +170,8 @@
     node.reservations.release(granted, output_tokens=100, failed=False)
 
 
-def _mark() -> _Mark:
-    return _Mark(
+def _take_snapshot() -> _Snapshot:
+    return _Snapshot(
         time.monotonic(),
         time.process_time(),
         Traffic.read_bytes,
@@ -179,35 +179,35 @@
     )
 
 
-def _cost(since: _Mark, entries: int) -> Cost:
-    now = _mark()
-    per = 1 / (now.at - since.at) / entries
+def _cost(since: _Snapshot, entries: int) -> Cost:
+    now = _take_snapshot()
+    scale = 1 / (now.at - since.at) / entries
     return Cost(
-        (now.read_bytes - since.read_bytes) * per,
-        (now.reads - since.reads) * per,
-        (now.cpu - since.cpu) * per * _PERCENT,
+        (now.read_bytes - since.read_bytes) * scale,
+        (now.reads - since.reads) * scale,
+        (now.cpu - since.cpu) * scale * _PERCENT,
     )
 
 
 async def _measure_size(entries: int, engines: int, duration: float) -> None:
     cell = LoopbackCell(entries, engines)
     await cell.start()
-    mark = _mark()
+    before = _take_snapshot()
     await asyncio.sleep(duration)
-    idle = _cost(mark, entries)
-    mark = _mark()
+    idle = _cost(before, entries)
+    before = _take_snapshot()
     for _ in range(_CHANGES):
         cell.change()
         await asyncio.sleep(_CHANGE_S)  # noqa: WPS476 - a steady rate
-    busy = _cost(mark, entries)
+    busy = _cost(before, entries)
     loads = [
         asyncio.create_task(_serve_steadily(node, str(number)))
         for number, node in enumerate(cell.nodes)
     ]
     await asyncio.sleep(2)
-    mark = _mark()
+    before = _take_snapshot()
     await asyncio.sleep(duration)
-    steady = _cost(mark, entries)
+    steady = _cost(before, entries)
     for load in loads:
         load.cancel()
     per_change = (busy.bytes_per_second - idle.bytes_per_second) * _CHANGE_S
@@ -245,37 +245,37 @@
 
 
 async def _measure_reservations() -> None:
-    """Reserve at one engine, from a node that does not own it."""
+    """Measure reservations at one engine, by its owner and by a peer."""
     cell = LoopbackCell(3, 1)
     await cell.start()
     owner = next(node for node in cell.nodes if node.host.owned_ids())
     other = next(node for node in cell.nodes if node is not owner)
-    for name, node, at_once in (
+    for name, node, concurrency in (
         ('at its own engine, one at a time', owner, 1),
         ('at a peer, one at a time', other, 1),
-        ('at a peer, many at once', other, _AT_ONCE),
+        ('at a peer, many at once', other, _CONCURRENCY),
     ):
-        mark = _mark()
-        for batch in range(_RESERVATIONS // at_once):
+        before = _take_snapshot()
+        for batch in range(_RESERVATIONS // concurrency):
             await asyncio.gather(  # noqa: WPS476 - so many at once
                 *[
-                    _reserve_once(node, batch * at_once + number)
-                    for number in range(at_once)
+                    _reserve_once(node, batch * concurrency + number)
+                    for number in range(concurrency)
                 ]
             )
-        now = _mark()
-        count = _RESERVATIONS // at_once * at_once
+        now = _take_snapshot()
+        count = _RESERVATIONS // concurrency * concurrency
         sys.stdout.write(
-            f'{name}: {(now.at - mark.at) / count * _MS_PER_SECOND:.2f} ms '
-            f'each, {(now.cpu - mark.cpu) / count * _MS_PER_SECOND:.2f} ms of '
+            f'{name}: {(now.at - before.at) / count * _MS_PER_SECOND:.2f} ms '
+            f'each, {(now.cpu - before.cpu) / count * _MS_PER_SECOND:.2f} ms of '
             f'processor time over both ends, '
-            f'{count / (now.at - mark.at):.0f} a second\n'
+            f'{count / (now.at - before.at):.0f} a second\n'
         )
     await cell.close()
 
 
 class _CountingProtocol(H2Protocol):
-    """A connection that counts what it reads."""
+    """An HTTP/2 connection that counts the data it reads."""
 
     def data_received(self, payload: bytes) -> None:
         Traffic.read_bytes += len(payload)
@@ -284,13 +284,13 @@
 
 
 def _count_traffic() -> None:
-    """Have both ends of every connection count."""
+    """Make both ends of every connection count their reads."""
     setattr(grpclib_client, 'H2Protocol', _CountingProtocol)
     setattr(grpclib_server, 'H2Protocol', _CountingProtocol)
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Print what each size costs, then what a reservation costs."""
+    """Print the cost of reservations, then the cost of each size."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--seconds', type=float, default=seconds(15_000))
     parser.add_argument('--entries', type=int, default=0)
--- a/tools/control_cost.py
+++ b/tools/control_cost.py
@@ -1,7 +1,8 @@
-"""What a control group costs: per session, per change, per claim, in memory.
+"""Measure a control group: cost per session, change and claim, and memory.
 
-Three processes on loopback with synced disks; the sessions and the client run
-in this process, whose own time is not counted. Figures only.
+The group is three processes on loopback with synced disks. The sessions and
+the client run in this process, whose own time is not counted. Prints figures
+and passes no verdict.
 """
 
 import argparse
@@ -49,7 +50,7 @@
 
 
 class Cost(NamedTuple):
-    """What one step took over all three control processes."""
+    """Total cost of one step over all three control processes."""
 
     cpu_ms: float
     carried: int
@@ -59,27 +60,27 @@
 async def measure(
     group: ControlGroup, step: Callable[[], Awaitable[None]]
 ) -> Cost:
-    """Run ``step`` and return what the control processes spent on it."""
+    """Run ``step`` and return its cost to the control processes."""
     started = time.monotonic()
-    cpu = total_cpu(group.processes)
-    sent = total_bytes(group)
+    cpu_before = total_cpu(group.processes)
+    bytes_before = total_bytes(group)
     await step()
     return Cost(
-        total_cpu(group.processes) - cpu,
-        total_bytes(group) - sent,
+        total_cpu(group.processes) - cpu_before,
+        total_bytes(group) - bytes_before,
         (time.monotonic() - started) * MS_PER_SECOND,
     )
 
 
 def total_cpu(processes: Processes) -> float:
     """Return the processor time of all control processes in ms."""
-    return sum(one.cpu_ms() for one in processes.by_name.values())
+    return sum(process.cpu_ms() for process in processes.by_name.values())
 
 
 def total_bytes(group: ControlGroup) -> int:
     """Return the bytes that open connections to the group have carried.
 
-    The kernel's own counters, as ``ss`` shows them, both directions.
+    These are the kernel's counters, in both directions, as ``ss`` prints them.
     """
     ports = [address.port for address in group.address_by_name.values()]
     chosen = ' or '.join(f'sport = :{port}' for port in ports)
@@ -93,7 +94,7 @@
 
 
 class Bench:
-    """One group with a number of sessions."""
+    """A control group with a growing number of sessions."""
 
     def __init__(self, group: ControlGroup) -> None:
         """Measure ``group``."""
@@ -105,7 +106,7 @@
         self.revision = 0
 
     def open_sessions(self, count: int) -> None:
-        """Hold ``count`` sessions, spread over the processes."""
+        """Open sessions up to ``count``, spread over the processes."""
         names = list(self.group.address_by_name)
         while len(self.nodes) < count:
             turn = len(self.nodes) % len(names)
@@ -115,7 +116,7 @@
             self.tasks.append(asyncio.create_task(self._beat(node)))
 
     async def run(self, count: int) -> None:
-        """Measure with ``count`` sessions."""
+        """Measure and report the costs with ``count`` sessions."""
         self.open_sessions(count)
         await asyncio.sleep(1)
         self.delays.clear()
@@ -125,24 +126,24 @@
         report(count, self.delays, idle, changes, claims)
 
     async def idle(self) -> None:
-        """Do nothing for a while."""
+        """Wait for the duration of the idle measurement."""
         await asyncio.sleep(_IDLE_SECONDS)
 
     async def change_often(self) -> None:
-        """Change one branch again and again; wait until all run it."""
-        left = _CHANGES
-        while left:
-            left -= 1
+        """Change one branch repeatedly; wait each time until all run it."""
+        remaining = _CHANGES
+        while remaining:
+            remaining -= 1
             started = time.monotonic()
             self.revision = await self.client.change(
-                '/desk', account_text(left + 1), self.revision
+                '/desk', account_text(remaining + 1), self.revision
             )
             while any(node.revision < self.revision for node in self.nodes):
                 await asyncio.sleep(0.001)
             self.delays.append((time.monotonic() - started) * MS_PER_SECOND)
 
     async def claim_often(self) -> None:
-        """Claim and settle calls at the leader, one after another."""
+        """Claim and settle calls at the leader, in sequence."""
         status = await self.client.status()
         leader = next(
             member.address
@@ -152,10 +153,10 @@
         address = parse_address(leader)
         channel = Channel(address.host, address.port)
         stub = ControlStub(channel)
-        left = _CLAIMS
-        while left:
-            left -= 1
-            key = f'key-{len(self.nodes)}-{left}'
+        remaining = _CLAIMS
+        while remaining:
+            remaining -= 1
+            key = f'key-{len(self.nodes)}-{remaining}'
             await stub.Claim(claim_request(key, 'attempt'))
             await stub.Settle(settle_request(key, 'attempt'))
         channel.close()
@@ -182,7 +183,7 @@
 
 
 def settle_request(key: str, attempt: str) -> control_pb2.SettleRequest:
-    """Return the outcome of a claim with a stored answer."""
+    """Return the settlement of a claim, with a stored answer."""
     return control_pb2.SettleRequest(
         cluster=CLUSTER,
         node_key=NODE_KEY,
@@ -196,14 +197,16 @@
 
 
 async def run_group(folder: Path) -> None:
-    """Measure one group with more and more sessions."""
+    """Measure one group with an increasing number of sessions."""
     with running_processes(folder) as processes:
         bench = Bench(ControlGroup(processes, records=1000))
         await bench.client.change('/other', '', 0)
         counts = list(_SESSIONS)
         while counts:
             await bench.run(counts.pop(0))
-        resident = [one.resident_bytes() for one in processes.by_name.values()]
+        resident = [
+            process.resident_bytes() for process in processes.by_name.values()
+        ]
         write(f'resident, largest process: {max(resident) / 2**20:.1f} MiB')
         for task in bench.tasks:
             task.cancel()
@@ -214,7 +217,7 @@
 def report(
     count: int, delays: list[float], idle: Cost, changes: Cost, claims: Cost
 ) -> None:
-    """Write the figures of one number of sessions."""
+    """Print the costs at one number of sessions."""
     cpu_rate = idle.cpu_ms / idle.elapsed_ms
     byte_rate = idle.carried / idle.elapsed_ms * MS_PER_SECOND
     delays = sorted(delays)
@@ -232,18 +235,18 @@
 
 
 def net(cpu_ms: float, cpu_rate: float, cost: Cost) -> float:
-    """Return processor time in ms beyond what idling would have taken."""
+    """Return the processor time in ms beyond that of an idle group."""
     return max(0, cpu_ms - cpu_rate * cost.elapsed_ms)
 
 
 def net_bytes(cost: Cost, byte_rate: float) -> float:
-    """Return bytes beyond what idling would have sent."""
+    """Return the bytes beyond those of an idle group."""
     idle = byte_rate * cost.elapsed_ms / MS_PER_SECOND
     return max(0, cost.carried - idle)
 
 
 def run_memory() -> None:
-    """Write the memory of claims and the cost of a change by branches."""
+    """Print the memory of claims and the cost of a change by branches."""
     log = Log()
     before = own_resident()
     for number in range(_MEMORY_CLAIMS):
@@ -271,7 +274,7 @@
 
 
 def change_cost(branches: int) -> None:
-    """Write what applying one change costs in a tree of ``branches``."""
+    """Print the cost of applying a change to a tree of ``branches``."""
     log = Log()
     for number in range(branches):
         text = account_text(1, f'a{number}')
@@ -304,7 +307,7 @@
 
 
 async def count_syncs() -> None:
-    """Write the syncs of one change, one after another, over a group."""
+    """Print the syncs per change of each node, for changes in sequence."""
     with mock.patch('tests.consensus_network.ListMachine', ControlMachine):
         async with Group() as group:
             leader = await group.leader()
@@ -312,10 +315,12 @@
             proposals = Proposer(group.replicas[leader], machine, SystemClock())
             before = syncs_by_node(group)
             revision = 0
-            left = _CHANGES
-            while left:
-                left -= 1
-                command = change(f'{left}', account_text(left + 1), revision)
+            remaining = _CHANGES
+            while remaining:
+                remaining -= 1
+                command = change(
+                    f'{remaining}', account_text(remaining + 1), revision
+                )
                 reply = await proposals.change(command.change)
                 revision = reply.revision
             after = syncs_by_node(group)
@@ -325,7 +330,7 @@
 
 
 def syncs_by_node(group: Group) -> dict[str, int]:
-    """Return the syncs of each replica so far."""
+    """Return the number of syncs of each replica so far."""
     return {
         node_id: replica.status().sync_count
         for node_id, replica in group.replicas.items()
@@ -339,13 +344,13 @@
 
 
 def write(line: str) -> None:
-    """Write one line for people."""
+    """Write one line to standard output."""
     sys.stdout.write(f'{line}\n')
     sys.stdout.flush()
 
 
 def main() -> int:
-    """Run both parts, or only the one in memory."""
+    """Run all measurements, or only those in this process."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--memory', action='store_true')
     options = parser.parse_args()
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,9 +1,10 @@
-"""Run both deployments on loopback and print what happened.
+"""Run both deployments on loopback and print the result of each call.
 
 For Tillery and for FBIS: 3 control processes, 3 entries in 3 data centres,
 3 engine stand-ins and a booking stand-in, from the INI files of examples/.
-Short, long and over-one-engine prompts go through; a booking goes to two
-entries at once; a change of settings is seen in force on every entry.
+The calls are short and long prompts, prompts that exceed one engine, a
+booking that is sent to two entries at once, and a change of settings that has
+to come into force on every entry.
 """
 
 import argparse
@@ -62,7 +63,7 @@
 
 
 def run_calls(deployment: Deployment) -> Iterator[CallResult]:
-    """Do what the demo shows, one answer after another."""
+    """Make the calls of the demo and yield their results in order."""
     yield send_prompt(deployment, 1, 'short', _SHORT_TOKENS, stream=False)
     for number in _VM_NUMBERS:
         yield send_prompt(
@@ -87,7 +88,7 @@
 
 def run_deployment(deployment: Deployment) -> list[CallResult]:
     """Run one deployment from its start to its planned stop."""
-    answers = []
+    results = []
     with tempfile.TemporaryDirectory() as folder:
         with running_processes(Path(folder)) as processes:
             started = time.monotonic()
@@ -96,32 +97,40 @@
             except TimeoutError as error:
                 _print_logs(processes)
                 return [CallResult('start', 0, 0, 0, False, str(error))]
-            answers.append(_timed('start of 10 processes', started, True, ''))
-            answers.extend(run_calls(deployment))
-            answers.append(_stop(processes))
-            if _count_succeeded(answers) < len(answers):
+            results.append(_timed('start of 10 processes', started, True, ''))
+            results.extend(run_calls(deployment))
+            results.append(_stop(processes))
+            if _count_succeeded(results) < len(results):
                 _print_logs(processes)
-    return answers
+    return results
 
 
 def main() -> int:
-    """Run the demo and return 0 only if all of it held."""
+    """Run the demo and return 0 only if all of it succeeded."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--only', choices=[each.name for each in DEPLOYMENTS])
     options = parser.parse_args()
-    answers: list[CallResult] = []
-    heads = ('where', 'what', 'tokens', 'first token', 'whole', 'held', 'seen')
-    sys.stdout.write(f'{_ROW.format(*heads)}\n')
+    results: list[CallResult] = []
+    headings = (
+        'where',
+        'what',
+        'tokens',
+        'first token',
+        'whole',
+        'held',
+        'seen',
+    )
+    sys.stdout.write(f'{_ROW.format(*headings)}\n')
     for deployment in DEPLOYMENTS:
         if options.only not in {None, deployment.name}:
             continue
-        found = run_deployment(deployment)
-        for answer in found:
-            sys.stdout.write(f'{_row(deployment, answer)}\n')
-        answers.extend(found)
-    held = _count_succeeded(answers)
-    sys.stdout.write(f'demo: {held} of {len(answers)} answered\n')
-    return 0 if held == len(answers) else 1
+        deployment_results = run_deployment(deployment)
+        for result in deployment_results:
+            sys.stdout.write(f'{_row(deployment, result)}\n')
+        results.extend(deployment_results)
+    succeeded = _count_succeeded(results)
+    sys.stdout.write(f'demo: {succeeded} of {len(results)} answered\n')
+    return 0 if succeeded == len(results) else 1
 
 
 def _all_ready(deployment: Deployment) -> bool:
@@ -137,8 +146,8 @@
     )
 
 
-def _count_succeeded(answers: list[CallResult]) -> int:
-    return sum(answer.succeeded for answer in answers)
+def _count_succeeded(results: list[CallResult]) -> int:
+    return sum(result.succeeded for result in results)
 
 
 def _short_beside_long(deployment: Deployment) -> list[CallResult]:
@@ -153,12 +162,12 @@
                 stream=True,
             )
         ]
-        for count in range(_SHORT_BESIDE_LONG):
+        for number in range(_SHORT_BESIDE_LONG):
             sent.append(
                 pool.submit(
                     send_prompt,
                     deployment,
-                    count % len(_VM_NUMBERS) + 1,
+                    number % len(_VM_NUMBERS) + 1,
                     'short, beside a long one',
                     _SHORT_TOKENS,
                     stream=True,
@@ -170,32 +179,36 @@
 def _stop(processes: Processes) -> CallResult:
     started = time.monotonic()
     code_by_name = processes.stop_all(_STOP_LIMIT_SECONDS)
-    # The stand-ins are no part of the system; SIGTERM simply ends them.
-    own = {
+    # SIGTERM kills the stand-ins, which are not part of the system.
+    code_by_node = {
         name: code
         for name, code in code_by_name.items()
         if name.startswith(('entry', 'control'))
     }
-    held = all(code == 0 for code in own.values())
-    seen = ', '.join(f'{name}: {code}' for name, code in own.items() if code)
-    return _timed('planned stop of 6 processes', started, held, seen)
+    succeeded = all(code == 0 for code in code_by_node.values())
+    detail = ', '.join(
+        f'{name}: {code}' for name, code in code_by_node.items() if code
+    )
+    return _timed('planned stop of 6 processes', started, succeeded, detail)
 
 
-def _timed(what: str, started: float, held: bool, seen: str) -> CallResult:
+def _timed(
+    label: str, started: float, succeeded: bool, detail: str
+) -> CallResult:
     total = (time.monotonic() - started) * _MS_PER_SECOND
-    return CallResult(what, 0, 0, total, held, seen)
+    return CallResult(label, 0, 0, total, succeeded, detail)
 
 
-def _row(deployment: Deployment, answer: CallResult) -> str:
-    first = f'{answer.first_token_ms:.0f} ms' if answer.first_token_ms else ''
+def _row(deployment: Deployment, result: CallResult) -> str:
+    first = f'{result.first_token_ms:.0f} ms' if result.first_token_ms else ''
     return _ROW.format(
         deployment.name,
-        answer.label,
-        answer.prompt_tokens or '',
+        result.label,
+        result.prompt_tokens or '',
         first,
-        f'{answer.total_ms:.0f} ms',
-        'yes' if answer.succeeded else 'NO',
-        answer.detail,
+        f'{result.total_ms:.0f} ms',
+        'yes' if result.succeeded else 'NO',
+        result.detail,
     )
 
 
--- a/tools/demo_calls.py
+++ b/tools/demo_calls.py
@@ -1,4 +1,4 @@
-"""What a caller does in the demo, over HTTP."""
+"""HTTP calls of the demo's callers."""
 
 import json
 import time
@@ -24,7 +24,7 @@
 
 
 class CallResult(NamedTuple):
-    """What came back of one call."""
+    """The outcome of one call, as a row of the demo's table."""
 
     label: str
     prompt_tokens: int
@@ -35,7 +35,7 @@
 
 
 def is_ready(address: str) -> bool:
-    """Tell whether an entry says that it is ready."""
+    """Return whether an entry reports that it is ready."""
     try:
         return _http.request('GET', f'http://{address}/readyz').status == _OK
     except urllib3.exceptions.HTTPError:
@@ -43,10 +43,10 @@
 
 
 def send_prompt(
-    deployment: Deployment, entry: int, what: str, tokens: int, *, stream: bool
+    deployment: Deployment, entry: int, label: str, tokens: int, *, stream: bool
 ) -> CallResult:
-    """Send one prompt and read the whole answer."""
-    prompt = f'{what} {time.monotonic_ns()} '
+    """Send one prompt and read the whole response."""
+    prompt = f'{label} {time.monotonic_ns()} '
     prompt += 'bed ' * (tokens - len(prompt) // _BYTES_PER_TOKEN)
     body = {
         'model': deployment.model,
@@ -55,7 +55,7 @@
         'stream': stream,
     }
     started = time.monotonic()
-    answer = _http.request(
+    response = _http.request(
         'POST',
         f'http://{deployment.entry(entry)}/v1/chat/completions',
         json=body,
@@ -65,16 +65,18 @@
         },
         preload_content=False,
     )
-    if answer.status != _OK:
-        seen = answer.read().decode()
-        return CallResult(what, tokens, 0, _ms_since(started), False, seen)
+    if response.status != _OK:
+        detail = response.read().decode()
+        return CallResult(label, tokens, 0, _ms_since(started), False, detail)
     if not stream:
-        choice = answer.json()['choices'][0]
+        choice = response.json()['choices'][0]
         total = _ms_since(started)
         words = len(choice['message']['content'].split())
-        held = choice['finish_reason'] == 'stop'
-        return CallResult(what, tokens, total, total, held, f'{words} tokens')
-    return _read_stream(answer, what, tokens, started)
+        succeeded = choice['finish_reason'] == 'stop'
+        return CallResult(
+            label, tokens, total, total, succeeded, f'{words} tokens'
+        )
+    return _read_stream(response, label, tokens, started)
 
 
 def book_twice(deployment: Deployment) -> CallResult:
@@ -84,23 +86,23 @@
     with futures.ThreadPoolExecutor(2) as pool:
         sent = [pool.submit(_book, deployment, entry, key) for entry in (1, 2)]
         statuses = sorted(each.result()[0] for each in sent)
-    # Whoever was told that it is in progress asks again and gets the answer.
+    # A caller that received "in progress" retries and gets the stored response.
     status, first = _book(deployment, 1, key)
     again, second = _book(deployment, 2, key)
-    held = status == again == _CREATED and first == second
-    held = held and set(statuses) <= {_CREATED, _CONFLICT}
+    succeeded = status == again == _CREATED and first == second
+    succeeded = succeeded and set(statuses) <= {_CREATED, _CONFLICT}
     return CallResult(
         'booking sent to two entries',
         0,
         0,
         _ms_since(started),
-        held,
+        succeeded,
         f'answers {statuses}, then one stored answer: {first}',
     )
 
 
 def _book(deployment: Deployment, entry: int, key: str) -> tuple[int, str]:
-    answer = _http.request(
+    response = _http.request(
         'POST',
         f'http://{deployment.entry(entry)}{deployment.booking_path}',
         json={'place': 'one', 'for': 'tonight'},
@@ -109,16 +111,16 @@
             'Idempotency-Key': key,
         },
     )
-    return answer.status, answer.data.decode()
+    return response.status, response.data.decode()
 
 
 def _read_stream(
-    answer: urllib3.BaseHTTPResponse, what: str, tokens: int, started: float
+    response: urllib3.BaseHTTPResponse, label: str, tokens: int, started: float
 ) -> CallResult:
     first: float | None = None
     words = 0
     done = False
-    for event in _events(answer):
+    for event in _events(response):
         if event == _DONE:
             done = True
             continue
@@ -126,15 +128,17 @@
         if delta.get('content'):
             first = _ms_since(started) if first is None else first
             words += len(delta['content'].split())
-    answer.release_conn()
+    response.release_conn()
     total = _ms_since(started)
-    seen = f'{words} tokens streamed'
-    return CallResult(what, tokens, first or 0, total, done and words > 0, seen)
+    detail = f'{words} tokens streamed'
+    return CallResult(
+        label, tokens, first or 0, total, done and words > 0, detail
+    )
 
 
-def _events(answer: urllib3.BaseHTTPResponse) -> Iterator[str]:
+def _events(response: urllib3.BaseHTTPResponse) -> Iterator[str]:
     pending = b''
-    for chunk in answer.stream(65536):
+    for chunk in response.stream(65536):
         pending += chunk
         *lines, pending = pending.split(b'\n')
         for line in lines:
--- a/tools/demo_control.py
+++ b/tools/demo_control.py
@@ -1,4 +1,4 @@
-"""What an operator does in the demo."""
+"""Control calls of the demo's operator."""
 
 import asyncio
 import contextlib
@@ -20,7 +20,7 @@
 
 
 def has_leader(deployment: Deployment) -> bool:
-    """Tell whether the control group answers."""
+    """Return whether the control group has a leader."""
     try:
         return bool(_call(deployment, _leader))
     except VerbenathreadError:
@@ -28,7 +28,7 @@
 
 
 def apply_branches(deployment: Deployment) -> None:
-    """Make every branch of the deployment from its file."""
+    """Write every branch of the deployment from its file."""
     for path, file_name in deployment.branch_files:
         text = (deployment.folder / 'branches' / file_name).read_text()
         _call(deployment, _Change(path, text))
@@ -62,7 +62,7 @@
 
 
 class _Change:
-    """Changes one branch from whatever revision it stands at."""
+    """Changes one branch, whatever its current revision."""
 
     def __init__(self, path: str, text: str) -> None:
         self._path = path
--- a/tools/demo_deployments.py
+++ b/tools/demo_deployments.py
@@ -1,4 +1,4 @@
-"""The two deployments of the demo, as examples/ describes them."""
+"""The two deployments of the demo, as described in examples/."""
 
 from pathlib import Path
 from typing import NamedTuple
@@ -10,7 +10,7 @@
 _CONTROL_PORT = 18090
 _ENGINE_PORT = 18100
 _SERVICE_PORT = 18200
-# Rates of the engine stand-in, in tokens and tokens a second.
+# Options of the engine stand-ins; rates are in tokens per second.
 _ENGINE_OPTIONS = (
     '--memory-tokens', '400000',
     '--prefill-rate', '1000000',
@@ -21,22 +21,22 @@
 
 
 class Deployment(NamedTuple):
-    """One deployment: its files, places, services and sample keys."""
+    """A deployment: its files, addresses, services and sample keys."""
 
     name: str
     folder: Path
-    # One VM in each data centre.
+    # Addresses of the VMs, one in each data centre.
     ips: tuple[str, ...]
     data_centres: tuple[str, ...]
     model: str
     booking_service: str
     booking_path: str
     account: str
-    # Path of a branch and the file that holds its text.
+    # Path of each branch and the name of the file with its text.
     branch_files: tuple[tuple[str, str], ...]
 
     def entry(self, number: int) -> str:
-        """Return the callers' address of one entry, from 1."""
+        """Return the address for callers of one entry, from 1."""
         return f'{self.ips[number - 1]}:{_ENTRY_PORT}'
 
     def metrics(self, number: int) -> str:
@@ -76,7 +76,7 @@
         self, number: int, port: int, service: str
     ) -> tuple[str, ...]:
         entries = ','.join(self.entry(count) for count in (1, 2, 3))
-        words = (
+        options = (
             '--listen', f'{self.ips[number - 1]}:{port}',
             '--entry', entries,
             '--service', service,
@@ -84,7 +84,7 @@
             '--id', f'{service}-{number}',
             '--data-centre', self.data_centres[number - 1],
         )  # fmt: skip
-        return words
+        return options
 
 
 TILLERY = Deployment(
--- a/tools/fitting.py
+++ b/tools/fitting.py
@@ -1,4 +1,4 @@
-"""Fit a line through measured points."""
+"""Least-squares fit of a line through measured points."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -10,11 +10,11 @@
 
 
 class Fit(NamedTuple):
-    """A line through points: ``base + slope * x``."""
+    """The line ``base + slope * x`` with the uncertainty of its slope."""
 
     base: float
     slope: float
-    # Half width of the interval that holds the slope in 95 of 100 runs.
+    # Half width of the 95 % confidence interval of the slope.
     spread: float
 
     def at(self, size: float) -> float:
@@ -28,8 +28,8 @@
     costs = numpy.array([cost for _, cost in points], dtype=float)
     slope, base = numpy.polyfit(sizes, costs, 1)
     residuals = costs - (base + slope * sizes)
-    freedom = len(points) - 2
-    scatter = float((sizes - sizes.mean()) @ (sizes - sizes.mean()))
-    variance = float(residuals @ residuals) / freedom
-    error = (variance / scatter) ** 0.5
-    return Fit(float(base), float(slope), _STANDARD_ERRORS * error)
+    degrees_of_freedom = len(points) - 2
+    spread_of_sizes = float((sizes - sizes.mean()) @ (sizes - sizes.mean()))
+    variance = float(residuals @ residuals) / degrees_of_freedom
+    standard_error = (variance / spread_of_sizes) ** 0.5
+    return Fit(float(base), float(slope), _STANDARD_ERRORS * standard_error)
--- a/tools/make_trace.py
+++ b/tools/make_trace.py
@@ -1,4 +1,4 @@
-"""Write a generated trace: a deployment's mix at a share of capacity."""
+"""Generate a trace: a deployment's request mix at a share of capacity."""
 
 import argparse
 import sys
@@ -18,7 +18,7 @@
 def main() -> int:
     """Write the trace that the command line describes."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument('path', type=Path, help='ends in .jsonl or .jsonl.gz')
+    parser.add_argument('path', type=Path, help='a .jsonl or .jsonl.gz file')
     parser.add_argument('deployment', choices=sorted(DEPLOYMENT_BY_NAME))
     parser.add_argument('--load', type=float, default=0.8)
     parser.add_argument('--seconds', type=int, default=30)
--- a/tools/settings_page.py
+++ b/tools/settings_page.py
@@ -12,7 +12,7 @@
 
 _PAGE = Path(__file__).resolve().parent.parent / 'docs' / 'SETTINGS.md'
 
-# One field of the message for each section that a file may have.
+# NodeSettings has one field for each section of a node's file.
 _NODE_SECTIONS: tuple[type[Message], ...] = tuple(
     type(getattr(settings_pb2.NodeSettings(), field.name))
     for field in settings_pb2.NodeSettings.DESCRIPTOR.fields
@@ -48,7 +48,7 @@
 
 
 def page() -> str:
-    """Return the whole page."""
+    """Return the text of the page."""
     parts = [_HEAD, _NODE_HEAD]
     for section in _NODE_SECTIONS:
         parts.extend(_section_lines(section()))
@@ -74,23 +74,25 @@
     default = 'required' if rule.required else f'`{rule.default_text}`'
     if not rule.required and not rule.default_text:
         default = 'empty'
-    span = ''
+    value_range = ''
     if rule.most:
-        span = f'{rule.least:.10g} to {rule.most:.10g} {rule.unit}'.strip()
+        value_range = (
+            f'{rule.least:.10g} to {rule.most:.10g} {rule.unit}'.strip()
+        )
     elif rule.pattern:
-        span = f'`{rule.pattern}`'.replace('|', r'\|')
+        value_range = f'`{rule.pattern}`'.replace('|', r'\|')
     cells = (
         f'`{option.name}`',
         option.value_description(),
         default,
-        span,
+        value_range,
         rule.help,
     )
     return f'| {" | ".join(cells)} |'
 
 
 def main() -> int:
-    """Write the page, or with ``--check`` compare it."""
+    """Write the page, or with ``--check`` compare it with the file."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--check', action='store_true')
     options = parser.parse_args()
@@ -99,7 +101,9 @@
         return 0
     if _PAGE.read_text(encoding='utf-8') == page():
         return 0
-    sys.stdout.write('docs/SETTINGS.md is old: run make settings-page\n')
+    sys.stdout.write(
+        'docs/SETTINGS.md is out of date: run make settings-page\n'
+    )
     return 1
 
 
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -1,7 +1,7 @@
-"""Measure the slopes behind docs/CAPACITY.md and write its table.
+"""Measure the costs in docs/CAPACITY.md and write its table.
 
-Every line is fitted through at least four sizes. Run it on a quiet machine:
-the bytes are those of the whole loopback device.
+Each line is fitted through at least four sizes. Run it on an idle machine: the
+byte counts are those of the whole loopback device.
 """
 
 import argparse
@@ -32,7 +32,7 @@
 
 
 class Target(NamedTuple):
-    """Sizes in two years, for one cell and for the fleet."""
+    """Expected sizes in two years, of one cell and of the fleet."""
 
     cell_entries: int = 8
     cell_engines: int = 100
@@ -44,7 +44,7 @@
 
 
 class Slope(NamedTuple):
-    """One fitted line and its value at the target."""
+    """A cost, its fitted line and the target size."""
 
     what: str
     by: str
@@ -54,7 +54,7 @@
     size: float
 
     def row(self) -> str:
-        """Return the line as a row of the page's table."""
+        """Return the row of the page's table."""
         cells = (
             self.what,
             self.by,
@@ -74,12 +74,12 @@
     points: Sequence[tuple[float, float]],
     size: float,
 ) -> Slope:
-    """Fit a line through ``points`` and carry it to ``size``."""
+    """Fit a line through ``points``, to extrapolate to ``size``."""
     return Slope(what, by, unit, points, fit(points), size)
 
 
 def cell_slopes() -> Iterator[Slope]:
-    """Measure idle cells of processes by entries and by engines."""
+    """Measure idle cells by number of entries and of engines."""
     by_entries = [measure(entries, _FEW_ENGINES) for entries in _ENTRIES]
     by_engines = [measure(_FEW_ENTRIES, engines) for engines in _ENGINES]
     for what, unit, read in _CELL_FIGURES:
@@ -100,19 +100,19 @@
 
 
 def tree_slopes() -> Iterator[Slope]:
-    """Measure the shared settings by client accounts."""
+    """Measure the shared settings by number of client accounts."""
     points_ms = []
-    points_mb = []
+    points_kb = []
     for accounts in _ACCOUNTS:
-        text_by_path = _tree_of(accounts)
-        points_ms.append((accounts, _time_of(text_by_path)))
-        points_mb.append((accounts, _memory_of(text_by_path)))
+        text_by_path = _tree_texts(accounts)
+        points_ms.append((accounts, _rebuild_ms(text_by_path)))
+        points_kb.append((accounts, _tree_kb(text_by_path)))
     by = f'client accounts, {_BRANCHES} branches'
     yield fit_slope(
         'entry: settings put in force', by, 'ms', points_ms, TARGET.accounts
     )
     yield fit_slope(
-        'entry: settings held', by, 'KB', points_mb, TARGET.accounts
+        'entry: settings held', by, 'KB', points_kb, TARGET.accounts
     )
 
 
@@ -146,7 +146,7 @@
 )
 
 
-def _tree_of(accounts: int) -> dict[str, str]:
+def _tree_texts(accounts: int) -> dict[str, str]:
     text_by_path = {}
     for branch in range(_BRANCHES):
         text_by_path[f'/team-{branch}'] = '\n'.join(
@@ -156,31 +156,33 @@
     return text_by_path
 
 
-def _time_of(text_by_path: dict[str, str]) -> float:
-    """Return ms to put in force a change of one branch."""
+def _rebuild_ms(text_by_path: dict[str, str]) -> float:
+    """Return the ms that a change of one branch takes to come into force."""
     EffectiveTree(text_by_path)
     started = time.process_time()
-    for turn in range(_REPEATS):
+    for repeat in range(_REPEATS):
         text = text_by_path['/team-0']
-        text_by_path['/team-0'] = f'{text}# {turn}\n'
+        text_by_path['/team-0'] = f'{text}# {repeat}\n'
         EffectiveTree(text_by_path)
     return (time.process_time() - started) * _MS_PER_SECOND / _REPEATS
 
 
-def _memory_of(text_by_path: dict[str, str]) -> float:
-    """Return KB that a tree holds."""
-    fresh = {path: f'{text}# held\n' for path, text in text_by_path.items()}
+def _tree_kb(text_by_path: dict[str, str]) -> float:
+    """Return the memory of a tree in KB."""
+    distinct_texts = {
+        path: f'{text}# held\n' for path, text in text_by_path.items()
+    }
     gc.collect()
     tracemalloc.start()
-    tree = EffectiveTree(fresh)
-    held, _ = tracemalloc.get_traced_memory()
+    tree = EffectiveTree(distinct_texts)
+    allocated, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     assert tree.account_names()
-    return held / _KB
+    return allocated / _KB
 
 
 def write_table(rows: Sequence[Slope], page: Path) -> None:
-    """Put the table between the marks of the page."""
+    """Write the table between the markers of the page."""
     text = page.read_text(encoding='utf-8')
     head, _, rest = text.partition(_BEGIN)
     _, _, tail = rest.partition(_END)
@@ -196,10 +198,13 @@
 
 
 def main() -> int:
-    """Measure, print and write the table."""
+    """Measure, print the rows and write the table to the page."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument(
-        '--print', action='store_true', dest='only_print', help='write nothing'
+        '--print',
+        action='store_true',
+        dest='only_print',
+        help='leave the page unchanged',
     )
     options = parser.parse_args()
     rows = [*tree_slopes(), *cell_slopes()]
--- a/tools/slopes_cell.py
+++ b/tools/slopes_cell.py
@@ -1,4 +1,4 @@
-"""What it costs an entry to belong to a cell, by entries and engines."""
+"""Measure the cost of an idle cell, by number of entries and engines."""
 
 import tempfile
 import threading
@@ -25,25 +25,25 @@
 
 
 class CellCost(NamedTuple):
-    """What one size of cell costs while it is idle."""
+    """Cost of an idle cell of one size."""
 
     entries: int
     engines: int
-    # Processor time in ms a second, one entry and one control process.
+    # Processor time in ms per second: mean entry, busiest control process.
     entry_cpu: float
     leader_cpu: float
-    # Resident memory in MB, one entry and one control process.
+    # Resident memory in MB: mean entry, largest control process.
     entry_mb: float
     control_mb: float
-    # Bytes sent a second by one node, all nodes averaged.
+    # Bytes sent per second, mean of all nodes.
     bytes_per_second: float
 
 
 class Renewals:
-    """Announces engines that run nowhere and renews them."""
+    """Announces and renews engines that have no process of their own."""
 
     def __init__(self, cluster: LocalCluster, engines: int) -> None:
-        """Begin at once, in a thread."""
+        """Start the thread that announces."""
         self._cluster = cluster
         self._engines = engines
         self._ended = threading.Event()
@@ -51,34 +51,34 @@
         self._thread.start()
 
     def end(self) -> None:
-        """Renew no more."""
+        """Stop renewing."""
         self._ended.set()
         self._thread.join()
 
     def _run(self) -> None:
-        verb = 'announce'
+        call = 'announce'
         while not self._ended.wait(_RENEW_SECONDS):
             for engine in range(self._engines):
-                self._announce(engine, verb)
-            verb = 'renew'
+                self._announce(engine, call)
+            call = 'renew'
 
-    def _announce(self, engine: int, verb: str) -> None:
+    def _announce(self, engine: int, call: str) -> None:
         entry = engine % self._cluster.size.entries + 1
-        members = {
+        body = {
             'upstream_id': f'engine-{engine}',
             'incarnation': 1,
             'service': MODEL,
-            # One idle stand-in answers for all of them.
+            # One idle stand-in serves the address of all engines.
             'address': _ENGINE_ADDRESS,
             'data_centre': 'dc-1',
             'memory_tokens': 400_000,
         }
         address = f'{self._cluster.entry_ip(entry)}:18080'
-        post_announcement(address, verb, ANNOUNCE_KEY, members)
+        post_announcement(address, call, ANNOUNCE_KEY, body)
 
 
 def measure(entries: int, engines: int) -> CellCost:
-    """Run one size until it has settled, and measure it idle."""
+    """Run a cell, let it settle and measure it while idle."""
     with tempfile.TemporaryDirectory() as folder:
         size = Size(_CONTROL_VMS, entries)
         with local_cluster(Path(folder), size) as cluster:
--- a/tools/soak_log.py
+++ b/tools/soak_log.py
@@ -1,6 +1,6 @@
-"""Run the property tests' schedules of faults for long, from a seed.
+"""Run random fault schedules of the consensus property tests for a long time.
 
-Prints the seed of each schedule that breaks an invariant, and its steps.
+Prints the seed and the steps of each schedule that violates an invariant.
 """
 
 import argparse
@@ -20,42 +20,42 @@
 
 
 def random_steps(seed: int) -> list[Step]:
-    """Return the steps that ``seed`` stands for."""
-    chance = random.Random(seed)
+    """Return the schedule that ``seed`` generates."""
+    rng = random.Random(seed)
     steps = []
-    for _ in range(chance.randint(_FEWEST_STEPS, _MOST_STEPS)):
+    for _ in range(rng.randint(_FEWEST_STEPS, _MOST_STEPS)):
         steps.append(
             Step(
-                chance.choice(ACTIONS),
-                chance.randrange(4),
-                chance.choice(_PAUSES_MS),
+                rng.choice(ACTIONS),
+                rng.randrange(4),
+                rng.choice(_PAUSES_MS),
             )
         )
     return steps
 
 
 def run_schedules(first_seed: int, minutes: float) -> int:
-    """Run schedules until the time is over; return how many broke."""
+    """Run schedules for ``minutes``; return the number of failures."""
     deadline = time.monotonic() + minutes * _SECONDS_PER_MINUTE
     seed = first_seed
-    broken = 0
+    failures = 0
     while time.monotonic() < deadline:
         steps = random_steps(seed)
-        breaches = run_schedule(steps, seed)
-        if breaches:
-            broken += 1
-            sys.stdout.write(f'seed {seed}: {breaches}\n{steps}\n')
+        violations = run_schedule(steps, seed)
+        if violations:
+            failures += 1
+            sys.stdout.write(f'seed {seed}: {violations}\n{steps}\n')
         seed += 1
-    sys.stdout.write(f'{seed - first_seed} schedules, {broken} broken\n')
-    return broken
+    sys.stdout.write(f'{seed - first_seed} schedules, {failures} broken\n')
+    return failures
 
 
 def main() -> int:
-    """Soak as the command line asks."""
+    """Run the soak; return 1 if any schedule failed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--minutes', type=float, default=5)
     parser.add_argument(
-        '--seed', type=int, default=None, help='drawn when not given'
+        '--seed', type=int, default=None, help='random by default'
     )
     options = parser.parse_args()
     seed = options.seed
