--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -118,7 +118,7 @@
                 '/desk', account_text(1), 0, operation_id='first'
             )
             leader = (await client.status()).leader
-            processes.by_name[leader].send(signal.SIGKILL)
+            processes.by_name[leader].send_signal(signal.SIGKILL)
             second = await client.change('/desk', account_text(2), first)
             # A retry at another leader gets the first reply.
             again = await client.change(
@@ -130,7 +130,7 @@
             self.assertEqual(caught.exception.current.text, account_text(2))
             last = await change_repeatedly(client, 500, second)
             for name in NAMES:
-                processes.by_name[name].send(signal.SIGKILL)
+                processes.by_name[name].send_signal(signal.SIGKILL)
                 processes.by_name[name].process.wait()
                 group.start(name)
             again = await client.change(
@@ -157,7 +157,7 @@
             change = asyncio.create_task(
                 client.change('/desk', account_text(2), revision)
             )
-            processes.by_name[leader].send(signal.SIGKILL)
+            processes.by_name[leader].send_signal(signal.SIGKILL)
             revision = await change
             await until(
                 lambda: all(node.revision == revision for node in nodes)
@@ -179,14 +179,14 @@
             revision = await client.change('/desk', account_text(1), 0)
             leader = (await client.status()).leader
             others = [name for name in NAMES if name != leader]
-            processes.by_name[leader].send(signal.SIGSTOP)
+            processes.by_name[leader].send_signal(signal.SIGSTOP)
             old_client = group.client(leader, limit=60_000)
             stale_change = asyncio.create_task(
                 old_client.change('/desk', account_text(2), revision)
             )
             new_client = group.client(*others)
             won = await new_client.change('/desk', account_text(3), revision)
-            processes.by_name[leader].send(signal.SIGCONT)
+            processes.by_name[leader].send_signal(signal.SIGCONT)
             with self.assertRaises(BranchConflictError) as caught:
                 await stale_change
             self.assertEqual(caught.exception.current.revision, won)
@@ -209,7 +209,7 @@
             await client.change_member('add', lost, address)
             await client.change_member('promote', lost)
             # The quorum now depends on the member that was just added.
-            processes.by_name[second].send(signal.SIGKILL)
+            processes.by_name[second].send_signal(signal.SIGKILL)
             last = await client.change('/desk', account_text(2), last)
             tree = await client.read_tree()
             self.assertEqual(tree.revision, last)
@@ -231,7 +231,7 @@
             with self.assertRaises(GRPCError):
                 await call_leader(group, claim('x'), node_key='wrong')
             leader = (await client.status()).leader
-            processes.by_name[leader].send(signal.SIGKILL)
+            processes.by_name[leader].send_signal(signal.SIGKILL)
             other = await call_leader(group, claim('b', node='e2'))
             self.assertEqual(other.state, control_pb2.CLAIM_IN_PROGRESS)
             restarted = await call_leader(group, claim('c', incarnation=2))
@@ -263,7 +263,7 @@
             )
             await until(lambda: accepted)
             leader = (await client.status()).leader
-            processes.by_name[leader].send(signal.SIGSTOP)
+            processes.by_name[leader].send_signal(signal.SIGSTOP)
             # The engine loses its role, so that the old leader would resend.
             engine.state.order['role'] = 'both'
             new_client = group.client(
@@ -273,7 +273,7 @@
             await until(lambda: 'decode' in accepted)
             accepted.clear()
             engine.state.order['role'] = 'both'
-            processes.by_name[leader].send(signal.SIGCONT)
+            processes.by_name[leader].send_signal(signal.SIGCONT)
             await until(lambda: accepted)
             await asyncio.sleep(2)
             self.assertEqual(set(accepted), {'decode'})
@@ -290,7 +290,7 @@
             node = NodeSession(group, 'e1', leader, *NAMES)
             session = asyncio.create_task(node.run())
             await until(lambda: node.revision)
-            processes.by_name[leader].send(signal.SIGTERM)
+            processes.by_name[leader].send_signal(signal.SIGTERM)
             changes = asyncio.create_task(
                 change_repeatedly(client, 20, revision)
             )
--- a/tests/test_platform_processes.py
+++ b/tests/test_platform_processes.py
@@ -169,7 +169,7 @@
     async def test_a_graceful_stop_completes_streams(self):
         stream = asyncio.create_task(self.send_request('s1'))
         await asyncio.sleep(0.3)
-        self.gateway.send(signal.SIGTERM)
+        self.gateway.send_signal(signal.SIGTERM)
         await asyncio.sleep(0.2)
         self.assertEqual(await self.readiness(), 503)
         # The load balancer still sends requests to this gateway.
@@ -212,7 +212,7 @@
                 started = self.start(name)
                 ignored = functools.partial(ignores_sighup, started)
                 await self.until(ignored, 1)
-                started.send(signal.SIGHUP)
+                started.send_signal(signal.SIGHUP)
                 await asyncio.sleep(0.5)
                 self.assertIsNone(started.wait(0))
         await self.until(self.serves)
@@ -222,9 +222,9 @@
             f'seeds = {DIRECTORY_IP}', f'seeds = {LOOPBACK_NET}.242'
         )
         self.write('gateway', changed)
-        self.gateway.send(signal.SIGHUP)
+        self.gateway.send_signal(signal.SIGHUP)
         await self.until(self.logged('gateway', 'The seeds changed'))
         self.write('gateway', 'no settings')
-        self.gateway.send(signal.SIGHUP)
+        self.gateway.send_signal(signal.SIGHUP)
         await self.until(self.logged('gateway', 'Ignoring invalid settings'))
         self.assertEqual((await self.send_request('a1')).status, 200)
