--- a/verbenathread/gateway/attempt.py
+++ b/verbenathread/gateway/attempt.py
@@ -174,7 +174,7 @@
         response = self._dialect.parse_response(head)
         self._not_run = response.not_run
         succeeded = head.status // _STATUS_CLASS_SIZE == _SUCCESS_CLASS
-        if succeeded and not response.signed:
+        if succeeded and not response.has_stamp:
             self._stop(Verdict.BROKEN)
         self._is_stream = self._relay is not None and succeeded
 
--- a/verbenathread/gateway/exchange.py
+++ b/verbenathread/gateway/exchange.py
@@ -35,8 +35,8 @@
 _MAX_CONNECT_FAILURES = 4
 _MS_PER_SECOND = 1000
 # A worker is probed if no first event arrives within twice the forecast plus
-# this margin and this many target latencies. Callers leave after 2 s or four
-# target latencies, whichever is more.
+# this margin and this many target latencies. Callers abandon the stream after
+# 2 s, four target latencies or eight target pauses, whichever is longest.
 _FIRST_EVENT_MARGIN: Millis = 200
 _FIRST_EVENT_LATENCIES = 1.3
 # Later, it is probed after a pause of this many target pauses, and at least
@@ -125,7 +125,7 @@
 
     async def _send_recorded(self, selection: Selection) -> None:
         # Announced before connecting: other gateways would pick the same slot
-        # until they know of this send.
+        # until they have received this send.
         record = self._selector.record_send(selection)
         with contextlib.ExitStack() as stack:
             stack.callback(self._selector.record_end, selection, record)
@@ -331,7 +331,7 @@
     def _fail(
         self, status: int, reason: str, retry_after: Millis | None
     ) -> None:
-        """Answer with a worker's error response if any, else with our own."""
+        """Answer with a worker's error response or else the gateway's own."""
         if self._has_started():
             self._reply.abort()
             self._record_outcome('broken', reason)
@@ -388,6 +388,7 @@
         result: Result,
         started: Millis,
     ) -> None:
+        """Log a send that ended and measure its times."""
         now = self._context.clock.now()
         prompt = self._routed.caller.prompt
         metrics = self._context.metrics
--- a/verbenathread/gateway/reservations.py
+++ b/verbenathread/gateway/reservations.py
@@ -1,4 +1,4 @@
-"""Reserves memory on several workers for prompts that exceed one of them.
+"""Reserves memory on several workers for prompts that do not fit on one.
 
 A reservation is all or nothing and has a short lease, which is renewed while
 the prompt is served, so a gateway that dies leaves no memory reserved for
@@ -23,7 +23,7 @@
 
 _log = get_logger('gateway')
 
-# Workers answer these calls from memory.
+# Workers answer these calls at once, without running a generation.
 _CALL_TIMEOUT: Millis = 400
 # Renewals per lease: two may be lost in a row.
 _RENEWALS_PER_LEASE = 3
@@ -46,10 +46,11 @@
     def __init__(
         self, reservation_id: str, shares: Sequence[MemoryShare]
     ) -> None:
-        """Reserve ``shares`` under ``reservation_id``."""
+        """Describe ``shares``; :class:`ReservationManager` reserves them."""
         self.reservation_id = reservation_id
         self.shares = tuple(shares)
-        # Workers that left a call unanswered, so that it may run late.
+        # Ids of workers that did not respond to a call, which may still be
+        # executed.
         self.unconfirmed: set[str] = set()
         self.renewal: asyncio.Task[None] | None = None
 
@@ -87,7 +88,10 @@
         return reservation
 
     def release(self, reservation: Reservation) -> None:
-        """Release all shares in the background, retrying until certain."""
+        """Release all shares in the background.
+
+        A release that is not confirmed is retried for up to _RELEASE_PERIOD.
+        """
         if reservation.renewal is not None:
             reservation.renewal.cancel()
         for share in reservation.shares:
--- a/verbenathread/gateway/selection.py
+++ b/verbenathread/gateway/selection.py
@@ -1,4 +1,4 @@
-"""Selects a worker for a request, and again after each failed one."""
+"""Selects a worker for a request, and another one after each failure."""
 
 import asyncio
 from collections.abc import Sequence
@@ -25,7 +25,7 @@
 # refused then, the caller has time left to retry.
 _QUEUE_TIME_SHARE = 0.25
 # Callers abandon a stream without events after the longest of these times
-# (the platform's page on requests).
+# (see the platform's documentation of requests).
 _MIN_FIRST_EVENT_TIMEOUT: Millis = 2000
 _TIMEOUT_LATENCIES = 4
 _TIMEOUT_PAUSES = 8
@@ -284,7 +284,7 @@
         return f'{self._caller.attempt_id}-{self._sends}'
 
     def _first_event_timeout(self, now: Millis) -> Millis:
-        """Return the latest first event that is likely to be in time."""
+        """Return the longest acceptable forecast time to the first event."""
         route = self._route
         timeout = max(
             _MIN_FIRST_EVENT_TIMEOUT,
--- a/verbenathread/http1/client.py
+++ b/verbenathread/http1/client.py
@@ -62,8 +62,9 @@
         self._sink: Sink | None = None
         self._open = False
         self._aborted = False
-        # False once the connection may carry bytes that belong to no request.
-        self._clean = True
+        # False once the connection must not be reused: it is closed or may
+        # carry bytes that belong to no request.
+        self._reusable = True
         # The response body ends when the connection closes.
         self._until_close = False
         # The sink did not accept the current response.
@@ -82,7 +83,7 @@
     def connection_lost(self, error: Exception | None) -> None:
         """End the exchange in progress, if any."""
         self._open = False
-        self._clean = False
+        self._reusable = False
         complete = (
             error is None
             and not self._aborted
@@ -93,7 +94,7 @@
 
     def is_reusable(self, now: Millis) -> bool:
         """Return whether another request can be sent."""
-        if not self._open or not self._clean or self._sink is not None:
+        if not self._open or not self._reusable or self._sink is not None:
             return False
         if self._transport is None or self._transport.is_closing():
             return False
@@ -111,7 +112,7 @@
 
     def close(self) -> None:
         """Abort the connection; an exchange in progress ends as broken."""
-        self._clean = False
+        self._reusable = False
         self._aborted = True
         if self._transport is not None:
             self._transport.abort()
@@ -149,7 +150,7 @@
         self._headers = []
         self._head_complete = False
         if self._sink is None:
-            self._clean = False
+            self._reusable = False
 
     def on_header(self, name: bytes, text: bytes) -> None:
         """Store a header; trailers are dropped."""
@@ -167,7 +168,7 @@
         head = ResponseHead(status, headers, value_by_name)
         self._skipping = not self._sink.accepts(head)
         if self._skipping:
-            self._clean = False
+            self._reusable = False
             return
         self._read_keep_alive(value_by_name)
         framed = _LENGTH in value_by_name or _ENCODING in value_by_name
@@ -188,16 +189,16 @@
             self._skipping = False
             return
         if not self._parser.should_keep_alive():
-            self._clean = False
+            self._reusable = False
         transport = self._transport
         if transport is not None and transport.get_write_buffer_size():
             # The upstream answered before it read the whole request.
-            self._clean = False
+            self._reusable = False
         self._end(Ending.COMPLETE)
 
     def _read_keep_alive(self, value_by_name: dict[bytes, bytes]) -> None:
         if value_by_name.get(_CONNECTION, b'').lower() == b'close':
-            self._clean = False
+            self._reusable = False
         for part in value_by_name.get(_KEEP_ALIVE, b'').split(b','):
             name, _, text = part.strip().partition(b'=')
             if name.lower() == b'timeout' and text.isdigit():
@@ -209,7 +210,7 @@
         self._last_used = self._clock.now()
         sink = self._sink
         self._sink = None
-        if not self._clean:
+        if not self._reusable:
             self.close()
         if sink is not None:
             sink.on_end(ending)
--- a/verbenathread/http1/server.py
+++ b/verbenathread/http1/server.py
@@ -40,6 +40,7 @@
 
     header_bytes: int = 16384
     body_bytes: int = 0x400000
+    # For the whole head, and for each pause while the body arrives.
     header_timeout: Millis = 3000
     idle_timeout: Millis = 15000
 
@@ -183,9 +184,9 @@
         try:
             self._parser.feed_data(content)
         except httptools.HttpParserUpgrade:
-            self._set_error(_BAD_REQUEST, b'upgrades are not served')
+            self._set_error(_BAD_REQUEST, b'upgrades are not supported')
         except httptools.HttpParserError:
-            self._set_error(_BAD_REQUEST, b'the request can not be read')
+            self._set_error(_BAD_REQUEST, b'the request is not valid HTTP')
         if self._partial.head_too_large(self._server.limits):
             self._set_error(_HEAD_TOO_LARGE, b'the headers are too large')
         if len(self._queue) > _MAX_PIPELINED:
@@ -221,9 +222,12 @@
             self._set_error(_BAD_REQUEST, b'there are two Host headers')
         if _UPGRADE in names or self._parser.get_method() == _CONNECT:
             # The parser would treat a body as data of the new protocol.
-            self._set_error(_BAD_REQUEST, b'upgrades are not served')
+            self._set_error(_BAD_REQUEST, b'upgrades are not supported')
         if self._parser.get_http_version() not in _SUPPORTED_VERSIONS:
-            self._set_error(_BAD_REQUEST, b'send HTTP/1.1')
+            self._set_error(
+                _BAD_REQUEST,
+                b'the HTTP version is not supported; send HTTP/1.1',
+            )
         for name, text in partial.headers:
             if name.lower() == b'expect' and text.lower() == b'100-continue':
                 self._transport.write(_CONTINUE)
@@ -254,6 +258,7 @@
             )
         )
         if not self._parser.should_keep_alive():
+            # No error, but the connection closes after this response.
             self._error = _RequestError(0, b'')
         partial.raw_bytes = 0
         partial.started_at = 0
@@ -283,7 +288,7 @@
         else:
             timed_out = now - started_at > limits.header_timeout
         if timed_out:
-            self._set_error(_TIMED_OUT, b'the request came too slowly')
+            self._set_error(_TIMED_OUT, b'the request arrived too slowly')
             self._serve_next()
 
     def closes_after_response(self) -> bool:
--- a/verbenathread/platform/bodies.py
+++ b/verbenathread/platform/bodies.py
@@ -25,6 +25,7 @@
     }
 )
 _MS_PER_SECOND: Final = 1000
+# In the order of the fields of ClientLimits.
 _LIMIT_DEFAULTS: Final = (
     ('max-header-bytes', 16384),
     ('max-body-bytes', 4194304),
@@ -38,7 +39,7 @@
 
 
 class InvalidBodyError(SettingsError):
-    """A request body is invalid; the message states the reason."""
+    """A JSON body is invalid; the message states the reason."""
 
 
 def decode_config(body: bytes) -> ServingConfig:
--- a/verbenathread/platform/headers.py
+++ b/verbenathread/platform/headers.py
@@ -38,7 +38,7 @@
 # Holds the prompt tokens and the output token limit, not actual usage.
 _TOKEN_USAGE: Final = b'token-usage'
 _LENGTH_HINT: Final = b'length-hint'
-_SIGNATURE: Final = b'response-stamp'
+_RESPONSE_STAMP: Final = b'response-stamp'
 _FAULTY_WORKER: Final = b'at-server'
 _NOT_RUN: Final = b'not-executed'
 _RETRY_AFTER: Final = b'Retry-After'
@@ -49,7 +49,7 @@
 _BAD_REQUEST: Final = 400
 _CONFLICT: Final = 409
 _MS_PER_SECOND: Final = 1000
-# Set by the gateway; values from the caller are dropped.
+# Not forwarded from the caller; the gateway writes its own values.
 _GATEWAY_HEADERS: Final = frozenset(
     (
         _DEADLINE,
@@ -84,7 +84,10 @@
                 last_event_id=_parse_number(values.get(_LAST_EVENT_ID)),
             )
         except ValueError:
-            return BadRequest('a numeric header is not a number')
+            return BadRequest(
+                'a Deadline-Ms, Last-Event-Id, Token-Usage or Length-Hint'
+                ' header is not a number'
+            )
 
     def worker_headers(
         self, request: Request, context: ForwardContext
@@ -113,7 +116,7 @@
         values = head.value_by_name
         return WorkerResponse(
             attempt_id=values.get(_ATTEMPT_ID, b'').decode('latin-1'),
-            signed=_SIGNATURE in values,
+            has_stamp=_RESPONSE_STAMP in values,
             not_run=_NOT_RUN in values or head.status == _MISDIRECTED,
             faulty_worker=values.get(_FAULTY_WORKER, b'').decode('latin-1'),
         )
--- a/verbenathread/serving/dialect.py
+++ b/verbenathread/serving/dialect.py
@@ -54,8 +54,8 @@
     """The parsed headers of a worker's response."""
 
     attempt_id: str
-    # A success without a worker's signature does not come from a worker.
-    signed: bool
+    # A success without a response stamp does not come from a worker.
+    has_stamp: bool
     # The worker states that it has not run and will not run the request.
     not_run: bool
     # Address of another worker that caused the failure, or empty.
--- a/verbenathread/serving/fleet_load.py
+++ b/verbenathread/serving/fleet_load.py
@@ -46,7 +46,7 @@
     end_at: Millis = 0
     # Prefill time on each of its engines.
     prefill_time: Millis = 0
-    # It is already late, by forecast.
+    # Its first event or a pause in its stream is late, by forecast.
     is_late: bool = False
     # Helpers; the prompt is prefilled in equal parts by its engine and these.
     parts: tuple[PromptPart, ...] = ()
--- a/verbenathread/serving/placement.py
+++ b/verbenathread/serving/placement.py
@@ -28,9 +28,11 @@
 _MEMORY_MARGIN = 512
 # Numbers of parts to try; an engine accepts at most 16 helpers.
 _PART_COUNTS = (2, 3, 4, 6, 8, 12, 17)
-# The prefill of a shorter part saves nothing over the iterations around it.
+# Shorter parts save no time, since each part also waits for an iteration of
+# its engine.
 _MIN_PART_TIME: Millis = 40
-# Cost per part: each adds an engine whose failure breaks the stream.
+# Cost per part, in the unit of answer_value: each part adds an engine whose
+# failure breaks the stream.
 _PART_COST = 0.006
 
 
@@ -58,7 +60,8 @@
 class NoCapacity(NamedTuple):
     """No engine can take the request now."""
 
-    # Forecast time until a slot is free; None if no engine will ever fit it.
+    # Forecast time until the first running request ends; None if none runs or
+    # the prompt exceeds the memory of all engines.
     free_in: Millis | None
 
 
@@ -80,6 +83,8 @@
     if gateway.is_warming_up:
         ordered.sort(key=functools.partial(gateway_order, gateway.node_id))
     if request.prompt.tokens > LONG_PROMPT_TOKENS:
+        # Ties go to the first engine: this keeps long prompts away from short
+        # ones.
         ordered.reverse()
     search = _PlacementSearch(
         request, engine, ordered, fleet, now, gateway.node_id
@@ -106,7 +111,7 @@
 
 
 class _PlacementSearch:
-    """Searches the best placement of one request."""
+    """Searches for the best placement of one request."""
 
     def __init__(
         self,
@@ -169,7 +174,10 @@
         return Placement(primary.worker, int(first_event_in), cost, chosen)
 
     def no_capacity(self) -> NoCapacity:
-        """Return the forecast time until the first running request ends."""
+        """Return when the first running request ends, by forecast.
+
+        The time is None if waiting does not help.
+        """
         prompt = self._request.prompt
         memory = self._engine.memory_tokens * len(self._workers)
         if required_tokens(prompt) > memory:
@@ -262,5 +270,5 @@
 
 
 def _common_order(worker: Worker) -> str:
-    # Equal on every gateway, and mixes the data centres.
+    # The same order on every gateway, independent of the data centre.
     return worker.worker_id
