--- a/verbenathread/entry/announce_service.py
+++ b/verbenathread/entry/announce_service.py
@@ -66,7 +66,7 @@
         )
 
     def leave(self, exchange: Exchange) -> None:
-        """Apply a leave; reply once it is replicated to other entries."""
+        """Mark an upstream as leaving; reply once other entries have it."""
         members = _parse_body(exchange)
         self._authenticated(exchange, members)
         upstream_id = members['upstream_id']
--- a/verbenathread/entry/blocking_adapters.py
+++ b/verbenathread/entry/blocking_adapters.py
@@ -46,7 +46,7 @@
         return self._loop.run(self._announce(record), _LOOP_CALL_TIMEOUT_MS)
 
     def leave(self, upstream_id: str, incarnation: int) -> bool:
-        """Apply a leave; return once it is replicated to other entries."""
+        """Mark an upstream as leaving; return once other entries have it."""
         return self._loop.run(
             self._cell.leave(upstream_id, incarnation), _LEAVE_TIMEOUT_MS
         )
--- a/verbenathread/entry/connections.py
+++ b/verbenathread/entry/connections.py
@@ -168,16 +168,18 @@
         deadline: Millis,
         body: bytes | None = None,
         headers: Mapping[str, str] | None = None,
-        fresh: bool = False,
+        new_connection: bool = False,
     ) -> UpstreamExchange:
         """Send a complete request.
 
         Raises :class:`ConnectError` if nothing was sent and
-        :class:`BrokenExchangeError` otherwise. With ``fresh``, a new
+        :class:`BrokenExchangeError` otherwise. With ``new_connection``, a new
         connection is opened: unlike an idle one, the upstream cannot already
         have closed it.
         """
-        connection = self.connect(address, deadline, fresh=fresh)
+        connection = self.connect(
+            address, deadline, new_connection=new_connection
+        )
         connection.timeout = self.seconds_left(deadline)
         try:
             connection.request(
@@ -196,10 +198,14 @@
         return UpstreamExchange(self, address, connection)
 
     def connect(
-        self, address: Address, deadline: Millis, *, fresh: bool = False
+        self,
+        address: Address,
+        deadline: Millis,
+        *,
+        new_connection: bool = False,
     ) -> HTTPConnection:
         """Return an open connection, preferably an idle one."""
-        if not fresh:
+        if not new_connection:
             idle = self._take_idle(address)
             if idle is not None:
                 return idle
--- a/verbenathread/entry/http_server.py
+++ b/verbenathread/entry/http_server.py
@@ -31,8 +31,8 @@
 from verbenathread.observability.logs import get_logger
 from verbenathread.types import Address, Millis
 
-# Workers beyond the limit of streams: they let upstreams renew their leases
-# and callers read a refusal while every stream is in use.
+# Threads beyond ``limits.streams``: with them, upstreams can renew their leases
+# and callers get a refusal while all other threads are busy.
 RESERVED_WORKERS = 4
 _MAX_HEADER_BYTES = 32768
 _BACKLOG = 1024
@@ -205,7 +205,7 @@
         self.context = context
         self.lingering_closer = LingeringCloser(context.clock)
         self.max_request_body_size = context.limits.body_bytes
-        # Idle connections occupy no worker, but a file descriptor each.
+        # Idle connections occupy no thread, but a file descriptor each.
         self.keep_alive_conn_limit = 4 * context.limits.streams
         workers = context.limits.streams + RESERVED_WORKERS
         self.requests = ThreadPool(self, min=workers, max=workers)
@@ -239,9 +239,9 @@
         self.lingering_closer.stop()
 
     def process_conn(self, conn: _CallerConnection) -> None:
-        """Pass a readable connection to a worker, or refuse it at once."""
+        """Pass a readable connection to a thread, or refuse it at once."""
         if not conn.seen_by_selector:
-            # A new connection gets a worker only after its first byte.
+            # A new connection gets a thread only after its first byte.
             conn.seen_by_selector = True
             self._wait_for_bytes(conn)
             return
@@ -260,7 +260,7 @@
         )
 
     def release_worker(self) -> None:
-        """Count one worker less as busy."""
+        """Count one thread less as busy."""
         with self._changed:
             self._busy -= 1
             self._changed.notify_all()
@@ -293,7 +293,7 @@
 
 
 def overloaded_error() -> HttpError:
-    """Return the error for a request that no worker is free for."""
+    """Return the error for a request that arrives while no thread is free."""
     return HttpError(
         http.HTTPStatus.SERVICE_UNAVAILABLE,
         'overloaded',
@@ -323,8 +323,7 @@
         return HttpError(
             status,
             'request_too_slow',
-            f'The request did not arrive within '
-            f'{seconds(_HEADER_TIMEOUT)} s; send it faster.',
+            'The request did not arrive in time; send it faster.',
         )
     if status == http.HTTPStatus.INTERNAL_SERVER_ERROR:
         return _internal_error()
--- a/verbenathread/entry/interfaces.py
+++ b/verbenathread/entry/interfaces.py
@@ -50,7 +50,7 @@
         """Apply an announcement or a renewal; return the current record."""
 
     def leave(self, upstream_id: str, incarnation: int) -> bool:
-        """Apply a leave; return once it is replicated to other entries.
+        """Mark an upstream as leaving; return once other entries have it.
 
         Returns False if no other entry could be reached in time.
         """
--- a/verbenathread/entry/ledger_host.py
+++ b/verbenathread/entry/ledger_host.py
@@ -12,7 +12,7 @@
 
 from verbenathread.clock import Clock, seconds
 from verbenathread.entry import reservation_messages
-from verbenathread.entry.owned_engine import ARRIVAL_MS, OwnedEngine
+from verbenathread.entry.owned_engine import LISTING_DELAY_MS, OwnedEngine
 from verbenathread.exceptions import UnavailableError
 from verbenathread.membership.cell import Cell
 from verbenathread.membership.engine_leases import safe_wait
@@ -151,7 +151,9 @@
             _log.info('Engine lease ended.', engine=upstream_id)
 
     async def _take_over(self, upstream_id: UpstreamId, term: int) -> None:
-        await asyncio.sleep(seconds(safe_wait(START_TIMEOUT) + ARRIVAL_MS))
+        await asyncio.sleep(
+            seconds(safe_wait(START_TIMEOUT) + LISTING_DELAY_MS)
+        )
         while self._term_by_id.get(upstream_id) == term:
             record = self._cell.table.get(upstream_id)
             if record is None:
--- a/verbenathread/entry/owned_engine.py
+++ b/verbenathread/entry/owned_engine.py
@@ -1,10 +1,10 @@
 """One engine whose memory this entry owns: its ledger, grants and waiters.
 
-A grant counts as started at once, except for a part of a group, which may
-yield to another group until the whole group is reserved. Memory of a grant
+The ledger marks a grant as started at once, except for a part of a group, which
+may yield to another group until the whole group is reserved. Memory of a grant
 becomes free only when the entry that requested it releases it, or when the
-engine, read after the last moment at which the attempt could have reached it,
-does not list the attempt. So a lost message never causes the same memory to be
+engine does not list the attempt, which is checked only after the attempt's
+start_by has passed. So a lost message never causes the same memory to be
 granted twice.
 """
 
@@ -26,7 +26,7 @@
 )
 
 # Time that an engine may take to list an attempt that reached it in time.
-ARRIVAL_MS = 500
+LISTING_DELAY_MS = 500
 
 
 class Grant:
@@ -40,14 +40,15 @@
         incarnation: int,
         start_by: Millis,
     ) -> None:
-        """Start as not yet confirmed to run on the engine."""
+        """Start as not yet confirmed to have reached the engine."""
         self.reservation_id = reservation_id
         self.attempt_id = attempt_id
         self.entry_id = entry_id
         # 0 if the incarnation of the requesting entry is unknown.
         self.incarnation = incarnation
         self.start_by = start_by
-        self.started = False
+        # Reported as started by the entry, or listed by the engine.
+        self.confirmed = False
 
 
 class _Waiter:
@@ -92,7 +93,7 @@
                 0,
                 self._clock.now(),
             )
-            grant.started = True
+            grant.confirmed = True
             self._grant_by_id[grant.reservation_id] = grant
 
     async def reserve(
@@ -164,22 +165,22 @@
         now = self._clock.now()
         unconfirmed = []
         for grant in self._grant_by_id.values():
-            if now <= grant.start_by + ARRIVAL_MS:
+            if now <= grant.start_by + LISTING_DELAY_MS:
                 continue
             # It may be running: the ledger must not let it expire or yield.
             self.ledger.mark_started(grant.reservation_id)
-            if grant.started and is_alive(grant.entry_id, grant.incarnation):
+            if grant.confirmed and is_alive(grant.entry_id, grant.incarnation):
                 continue
             unconfirmed.append(grant)
         return tuple(unconfirmed)
 
     def reconcile(self, grant: Grant, listed_ids: frozenset[str]) -> None:
         """Keep or release an unconfirmed grant by what the engine lists."""
-        if self._clock.now() <= grant.start_by + ARRIVAL_MS:
+        if self._clock.now() <= grant.start_by + LISTING_DELAY_MS:
             # The grant was renewed while the engine was read.
             return
         if grant.attempt_id in listed_ids:
-            grant.started = True
+            grant.confirmed = True
         elif grant.reservation_id in self._grant_by_id:
             self._drop(grant, 0)
 
@@ -198,8 +199,8 @@
             return reservation_messages.encode_refusal(
                 Refusal(
                     RefusalReason.DEADLINE,
-                    'No memory came free within the time limit; retry later '
-                    + 'or allow more.',
+                    'No memory became free within the time limit; retry later '
+                    + 'or with a longer limit.',
                     0,
                 )
             )
@@ -214,7 +215,8 @@
             self._waiter_by_attempt.pop(attempt_id)
         if answered:
             return
-        # The wait was cancelled; release a grant made in the meantime.
+        # The wait timed out or was cancelled; release a grant made in the
+        # meantime.
         self.ledger.cancel(attempt_id)
         grant = self._grant_by_id.get(
             make_reservation_id(self.ledger.upstream_id, attempt_id)
@@ -259,14 +261,14 @@
         grant = self._grant_by_id.get(
             make_reservation_id(self.ledger.upstream_id, attempt_id)
         )
-        if grant is None or grant.started:
+        if grant is None or grant.confirmed:
             return
         if self.ledger.renew(grant.reservation_id) is None:
             self._grant_by_id.pop(grant.reservation_id)
             self.grant_waiting()
 
     def _mark_started(self, grant: Grant) -> None:
-        grant.started = True
+        grant.confirmed = True
         self.ledger.mark_started(grant.reservation_id)
 
     def _drop(self, grant: Grant, output_tokens: int) -> None:
--- a/verbenathread/entry/plain_client.py
+++ b/verbenathread/entry/plain_client.py
@@ -83,13 +83,13 @@
         deadline: Deadline,
         disconnect: CallerDisconnect,
         *,
-        fresh: bool,
+        new_connection: bool,
     ) -> PlainAttempt:
         """Send a call once.
 
-        Calls that may not be repeated need a ``fresh`` connection: the
-        upstream may have closed an idle one, and then it is not known
-        whether the call was received.
+        Calls that may not be repeated need a new connection: the upstream may
+        have closed an idle one, and then it is not known whether the call was
+        received.
         """
         headers = {
             **call.headers,
@@ -104,7 +104,7 @@
                 deadline=deadline.expires_at,
                 body=call.body or None,
                 headers=headers,
-                fresh=fresh,
+                new_connection=new_connection,
             )
         except ConnectError as exc:
             return PlainAttempt(Outcome.NOT_RUN, None, str(exc))
@@ -112,7 +112,7 @@
             return PlainAttempt(Outcome.UNKNOWN, None, str(exc))
         # A call that may not be repeated completes even if its caller
         # disconnects.
-        disconnect.set_callback(None if fresh else sent.interrupt)
+        disconnect.set_callback(None if new_connection else sent.interrupt)
         try:
             sent.read_head(deadline.expires_at)
             body = sent.read_all(_MAX_RESPONSE_BYTES, deadline.expires_at)
--- a/verbenathread/entry/plain_service.py
+++ b/verbenathread/entry/plain_service.py
@@ -197,11 +197,11 @@
             uuid.uuid4().hex,
             request.deadline,
             request.disconnect,
-            fresh=False,
+            new_connection=False,
         )
 
     def _send_once(self, request: _Request, attempt_id: str) -> PlainAttempt:
-        """Send a non-idempotent call to the first upstream that connects."""
+        """Send a non-idempotent call to upstreams until one may have run it."""
         last = _NO_UPSTREAM
         for upstream in self._shuffled_upstreams(request):
             if request.deadline.expired():
@@ -212,7 +212,7 @@
                 attempt_id,
                 request.deadline,
                 request.disconnect,
-                fresh=True,
+                new_connection=True,
             )
             if last.outcome != Outcome.NOT_RUN:
                 break
--- a/verbenathread/entry/relay.py
+++ b/verbenathread/entry/relay.py
@@ -113,7 +113,8 @@
         self._request = request
         self._sink = sink
         self._position = 0
-        # Position in the last progress report.
+        # Position in the last progress report; low at first, so that the first
+        # batch is reported.
         self._reported_position = -_PROGRESS_TOKENS
         self._finish: Finish | None = None
         self._texts: list[str] = []
@@ -296,7 +297,7 @@
         return sent and batch.finish is None
 
     def _new_chunks(self, batch: Batch) -> list[TokenChunk]:
-        """Return the chunks that have not been relayed yet."""
+        """Return the chunks not relayed yet and advance the position."""
         new: list[TokenChunk] = []
         for chunk in batch.chunks:
             end = chunk.position + chunk.token_count
--- a/verbenathread/entry/reservations.py
+++ b/verbenathread/entry/reservations.py
@@ -37,7 +37,7 @@
     Work,
 )
 
-# Pause before the next round when no owner could be reached.
+# Pause before engines are chosen again.
 _ROUND_PAUSE_MS = 100
 # How long a request waits for an engine to announce itself.
 _NO_ENGINE_TIMEOUT_MS = 1000
@@ -105,7 +105,7 @@
             self._task_by_request.pop(work.request_id, None)
         if task.cancelled():
             return Refusal(
-                RefusalReason.NO_UPSTREAM, 'The client disconnected.', 0
+                RefusalReason.NO_UPSTREAM, 'The caller disconnected.', 0
             )
         outcome = task.result()
         if isinstance(outcome, Reservation):
@@ -117,7 +117,7 @@
         return outcome
 
     def abandon(self, work: Work) -> None:
-        """Cancel a pending reservation because the client disconnected."""
+        """Cancel a pending reservation because the caller disconnected."""
         task = self._task_by_request.get(work.request_id)
         if task is not None:
             task.cancel()
@@ -140,7 +140,7 @@
     def release(
         self, reservation: Reservation, *, output_tokens: int, failed: bool
     ) -> None:
-        """Release the memory once the engines hold none of it."""
+        """Release the memory; the engines must no longer hold any of it."""
         held = self.held.remove(reservation.attempt_id)
         if held is None:
             return
@@ -162,7 +162,7 @@
         )
 
     def record_report(self, report: EngineReport) -> None:
-        """Pass the load that an owner reports on to the router."""
+        """Pass an owner's load report to the router."""
         record = self._cell.table.get(report.upstream_id)
         if record is not None:
             router = self._router(record.service)
@@ -177,7 +177,7 @@
                 return outcome
             now = self._clock.now()
             if candidates.engines:
-                # An owner existed but has gone in the meantime.
+                # An owner was found, so the wait for one starts again.
                 waiting_since = now
             timeout = _NO_ENGINE_TIMEOUT_MS
             if self._cell.table.ready(work.service):
@@ -185,7 +185,8 @@
             if now >= min(waiting_since + timeout, work.deadline):
                 return Refusal(
                     RefusalReason.NO_UPSTREAM,
-                    f'No engine of {work.service} takes work now; retry later.',
+                    f'No engine of {work.service} accepts requests now; retry '
+                    + 'later.',
                     _RETRY_AFTER_MS,
                 )
             await asyncio.sleep(seconds(_ROUND_PAUSE_MS))
@@ -193,7 +194,10 @@
     async def _try_candidates(
         self, work: Work, attempt_id: str, candidates: _Candidates
     ) -> _Outcome | None:
-        """Choose engines and try them once; None if no owner was reached."""
+        """Choose engines and try them once.
+
+        Returns None if no owner was reached or engines must be chosen again.
+        """
         engines = candidates.engines
         if not engines:
             return None
@@ -251,7 +255,7 @@
         request: ReservationRequest,
         expected_wait: Millis,
     ) -> _Outcome | None:
-        """Wait in one engine's queue; None if engines must be chosen anew."""
+        """Wait in one engine's queue; None to choose engines again."""
         policy = self._settings_store.policy(request.work.service)
         timeout = reroute_delay(request.work, expected_wait, policy, CURRENT)
         limit = None if timeout is None else seconds(timeout)
@@ -340,11 +344,12 @@
         failed_ids = self.held.failed_engine_ids(work.request_id)
         now = self._clock.now()
         ejected_ids = self._outliers.ejected(now)
+        # If every engine is ejected or has failed this request, try those
+        # anyway: first the ejected ones, then the failed ones.
         for excluded_ids in (ejected_ids.union(failed_ids), failed_ids, ()):
             order = router.choose(work, engines, now, excluded_ids)
             if order:
                 return order
-        # Only engines that failed this request are left: try them once more.
         return order
 
     def _router(self, service: str) -> Router:
--- a/verbenathread/membership/cell.py
+++ b/verbenathread/membership/cell.py
@@ -43,7 +43,7 @@
 # Intervals between checks of the engine and of the upstream leases.
 _ENGINE_LEASE_INTERVAL_MS = 200
 _UPSTREAM_LEASE_INTERVAL_MS = 500
-# How long a leave waits for confirmation by other entries.
+# How long leave() waits for a majority of the live entries.
 _LEAVE_TIMEOUT_MS = 2500
 _LEAVE_POLL_MS = 20
 
@@ -181,7 +181,10 @@
         return held
 
     async def leave(self, upstream_id: UpstreamId, incarnation: int) -> bool:
-        """Apply a leave; return whether a majority of live peers confirmed."""
+        """Mark an upstream as leaving and wait for the live peers.
+
+        Returns whether a majority of them confirmed it.
+        """
         held = self.table.get(upstream_id)
         if held is not None and held.incarnation > incarnation:
             return True
@@ -308,7 +311,7 @@
                 reply = await self._transport.exchange(peer_id, message)
         except TimeoutError:
             raise PeerUnreachableError(
-                f'{peer_id} did not reply in time: see whether it runs'
+                f'{peer_id} did not reply in time: check that it is running'
             ) from None
         now = self._clock.now()
         if not view.record_message(reply.incarnation, reply.stopping, now):
--- a/verbenathread/membership/engine_leases.py
+++ b/verbenathread/membership/engine_leases.py
@@ -50,6 +50,7 @@
     """One request of a proposer to one acceptor."""
 
     phase: Phase
+    # Hash of the upstream id.
     engine: int
     round: int
     # Incarnation under which the acceptor promised the proposed ballot.
@@ -73,6 +74,7 @@
 
     def __init__(self, upstream_id: UpstreamId) -> None:
         self.upstream_id = upstream_id
+        # The hash that identifies the engine in requests.
         self.engine = hash64(upstream_id)
         self.round = 0
         self.phase = Phase.RELEASE
@@ -109,6 +111,7 @@
         self._acceptor = acceptor
         self._clock = clock
         self._wake = wake
+        # By the hash of the upstream id.
         self._state_by_engine: dict[int, _EngineState] = {}
         self._requests_by_node: dict[NodeId, dict[int, LeaseRequest]] = {}
         self._highest_round = 0
@@ -156,12 +159,12 @@
     def run_step(
         self,
         upstream_ids: Iterable[UpstreamId],
-        alive_ids: frozenset[NodeId],
+        serving_ids: frozenset[NodeId],
         stable_ids: Collection[NodeId],
     ) -> None:
         """Acquire, renew and hand back the leases that are due.
 
-        ``alive_ids`` are the nodes that may own engines, including this one
+        ``serving_ids`` are the nodes that may own engines, including this one
         unless it is stopping; an engine is handed back only to one of
         ``stable_ids``, which are other nodes.
         """
@@ -175,9 +178,9 @@
             due_by += self.lease // _RENEWALS_PER_LEASE // 2
         for state in states:
             if now < state.held_until:
-                self._maintain(state, alive_ids, stable_ids, due_by)
-            elif now >= state.next_action_at and self._node_id in alive_ids:
-                self._acquire(state, alive_ids)
+                self._maintain(state, serving_ids, stable_ids, due_by)
+            elif now >= state.next_action_at and self._node_id in serving_ids:
+                self._acquire(state, serving_ids)
 
     def release(self, upstream_id: UpstreamId) -> None:
         """Release a lease; the caller must have stopped relying on it."""
@@ -244,9 +247,9 @@
         return self._acceptor.release(request.engine, ballot)
 
     def _acquire(
-        self, state: _EngineState, alive_ids: frozenset[NodeId]
+        self, state: _EngineState, serving_ids: frozenset[NodeId]
     ) -> None:
-        preferred = self._preferred_nodes.get(state.upstream_id, alive_ids)
+        preferred = self._preferred_nodes.get(state.upstream_id, serving_ids)
         if preferred != self._node_id:
             return
         if self.owner(state.upstream_id) is None:
@@ -255,19 +258,19 @@
     def _maintain(
         self,
         state: _EngineState,
-        alive_ids: frozenset[NodeId],
+        serving_ids: frozenset[NodeId],
         stable_ids: Collection[NodeId],
         due_by: Millis,
     ) -> None:
         now = self._clock.now()
-        preferred = self._preferred_nodes.get(state.upstream_id, alive_ids)
+        preferred = self._preferred_nodes.get(state.upstream_id, serving_ids)
         if preferred in stable_ids and now >= self._next_hand_back_at:
             self._next_hand_back_at = now + _HAND_BACK_INTERVAL_MS
             self.release(state.upstream_id)
             return
         if state.next_action_at > due_by:
             return
-        if state.incarnation_by_node.keys() >= alive_ids:
+        if state.incarnation_by_node.keys() >= serving_ids:
             state.renewing = True
             state.started_at = now
             self._propose(state)
