--- a/tests/test_control_orders.py
+++ b/tests/test_control_orders.py
@@ -144,7 +144,7 @@
     engine.accepted.clear()
     engine.reported = engine.reported._replace(role='both', fencing=0)
     with contextlib.suppress(LeadershipLostError, OrderRefusedError):
-        old.reconcile(wanted, 1, checked=checked)
+        old.reconcile(wanted, 1, checks_fencing=checked)
     accepted = list(engine.accepted)
     advance(new, clock, 60)
     stale_orders = [entry for entry in accepted if entry[1] == 'prefill']
@@ -225,7 +225,7 @@
                 advance(sender, clock, 30)
                 self.assertEqual(standin.state.order['role'], 'decode')
                 with contextlib.suppress(OrderRefusedError):
-                    sender.reconcile(stale, 1, checked=True)
+                    sender.reconcile(stale, 1, checks_fencing=True)
                 # Only an engine that ignores fencing accepts the old order.
                 accepted = 'adapter-7' in standin.state.order['models']
                 self.assertEqual(accepted, fencing == 'ignored')
--- a/verbenathread/admin/client.py
+++ b/verbenathread/admin/client.py
@@ -25,8 +25,8 @@
 
 # How long a call looks for a leader.
 DEFAULT_TIMEOUT: Millis = 15_000
-# A process that stalls is given up for another one after this time, which
-# doubles with each timeout. Resending is safe.
+# After this time without a reply, the call is sent to another process. The time
+# doubles with each timeout.
 _INITIAL_CALL_TIMEOUT: Millis = 1000
 _MAX_CALL_TIMEOUT: Millis = 8000
 _MEMBER_CALL_TIMEOUT: Millis = 35_000
@@ -54,7 +54,9 @@
     """Sends calls to whichever control process leads.
 
     A call whose reply was lost is sent again with the same operation ID, so
-    it takes effect only once and gets the original reply.
+    it takes effect only once and gets the original reply. A change of the
+    control group's members is the exception: control handles a resent one as
+    a new change.
     """
 
     def __init__(
@@ -167,8 +169,8 @@
             address=address,
             **self._credentials,
         )
-        # Long timeout: a new member takes a while to catch up, and a resent
-        # call would be a second change.
+        # Long timeout: a new member takes a while to catch up, and control
+        # would handle a resent call as a second change.
         await self._call(
             'ChangeMember',
             request,
--- a/verbenathread/consensus/election.py
+++ b/verbenathread/consensus/election.py
@@ -190,7 +190,10 @@
         state.changed.notify_all()
 
     def _allows_election(self, request: VoteRequest) -> bool:
-        """Return whether an election may disrupt the current leader."""
+        """Return whether an election would not disrupt a live leader.
+
+        True if no live leader is known or the leader transfers leadership.
+        """
         state = self._state
         if request.handed_over:
             return True
--- a/verbenathread/consensus/leader.py
+++ b/verbenathread/consensus/leader.py
@@ -57,7 +57,10 @@
         self._snapshots = SnapshotSender(state, transport, applier)
 
     async def lead(self, term: int, store_by_id: dict[str, str]) -> None:
-        """Begin a term that was won with the votes of these stores."""
+        """Begin a term that was won.
+
+        ``store_by_id`` holds the store id of each node that voted for it.
+        """
         state = self._state
         async with state.lock:
             if state.role is not Role.CANDIDATE or state.term != term:
@@ -147,7 +150,10 @@
     async def _write(
         self, leadership: Leadership, entries: list[LogEntry]
     ) -> None:
-        """Append in memory, start replication, then sync. Needs the lock."""
+        """Append in memory, start replication, then sync.
+
+        Call with ``state.lock`` held.
+        """
         state = self._state
         index = state.log.last_index
         for entry in entries:
@@ -193,16 +199,16 @@
         """Send heartbeats to one member until the term ends."""
         state = self._state
         while self._is_replicating_to(leadership, progress):
-            sent = state.clock.now()
+            sent_at = state.clock.now()
             try:
-                await self._send_heartbeat(leadership, progress, sent)
+                await self._send_heartbeat(leadership, progress, sent_at)
             except UnavailableError:
                 await asyncio.sleep(seconds(state.settings.heartbeat) / 2)
-            rest = sent + state.settings.heartbeat - state.clock.now()
+            rest = sent_at + state.settings.heartbeat - state.clock.now()
             await wait_event(progress.heartbeat_due, max(1, rest))
 
     async def _send_heartbeat(
-        self, leadership: Leadership, progress: Progress, sent: int
+        self, leadership: Leadership, progress: Progress, sent_at: int
     ) -> None:
         state = self._state
         commit = min(state.commit_index, progress.match_index)
@@ -218,7 +224,7 @@
         )
         if not await self._accept_reply(leadership, progress, reply.head):
             return
-        progress.last_contact = max(progress.last_contact, sent)
+        progress.last_contact = max(progress.last_contact, sent_at)
         progress.round = max(progress.round, reply.round)
         state.changed.notify_all()
 
--- a/verbenathread/consensus/state.py
+++ b/verbenathread/consensus/state.py
@@ -262,8 +262,8 @@
             self.changed.notify_all()
 
 
-# Until it first hears from a leader, a replica waits in steps of the election
-# timeout divided by this.
+# Until the first message from a leader, a replica waits in steps of the
+# election timeout divided by this.
 _STARTUP_WAIT_DIVISOR = 8
 
 
@@ -302,5 +302,5 @@
         self.restart()
 
     def has_recent_leader(self) -> bool:
-        """Return whether the leader was heard within the election timeout."""
+        """Return whether the last leader contact is within the timeout."""
         return self._clock.now() - self._last_contact < self._timeout
--- a/verbenathread/control/claims.py
+++ b/verbenathread/control/claims.py
@@ -1,10 +1,10 @@
 """Claims for calls that are not idempotent: each runs at most once.
 
-A claim is held by one attempt until it is settled. Only an attempt settled as
-"not run" lets another attempt in, and exactly one. A claim that was not
-settled within its time limit, or whose owner is gone, stays at an unknown
-outcome unless the attempt that held it reports the outcome later. All times
-are the wall times that commands carry.
+A claim is held by one attempt until it is settled. Only after an attempt is
+settled as "not run" can another attempt get the claim, and only one can. A
+claim that was not settled within its time limit, or whose owner is gone, keeps
+the state "outcome unknown" unless the attempt that held it reports the outcome
+later. All times are the wall times that commands carry.
 """
 
 import heapq
@@ -198,7 +198,7 @@
     ) -> control_pb2.ClaimReply | None:
         if not request.attempt_id or not request.idempotency_key:
             return invalid_claim(
-                'a claim needs an idempotency key and an attempt'
+                'a claim needs an idempotency key and an attempt ID'
             )
         if len(request.idempotency_key.encode()) > MAX_KEY_BYTES:
             return invalid_claim(
@@ -208,7 +208,8 @@
         newest = self._incarnation_by_node.get(request.node_id, 0)
         if request.node_incarnation < newest:
             return invalid_claim(
-                'this incarnation of the node was replaced; restart it'
+                'a newer incarnation of this node exists; stop or restart '
+                + 'this process'
             )
         self._record_incarnation(request.node_id, request.node_incarnation)
         return None
--- a/verbenathread/control/orders.py
+++ b/verbenathread/control/orders.py
@@ -123,12 +123,12 @@
         if self._task_by_upstream:
             await asyncio.wait(self._task_by_upstream.values())
 
-    def may_send(self, term: int, *, checked: bool) -> bool:
+    def may_send(self, term: int, *, checks_fencing: bool) -> bool:
         """Return whether an order of ``term`` may be sent now.
 
         Called from worker threads right before the first byte is sent.
         """
-        if not checked and self._clock.now() < self._takeover_ends:
+        if not checks_fencing and self._clock.now() < self._takeover_ends:
             return False
         try:
             status = self._log.status()
@@ -138,11 +138,17 @@
         return status.is_leader and status.term == term == self._term
 
     def reconcile(
-        self, wanted: commands_pb2.WantedImage, term: int, *, checked: bool
+        self,
+        wanted: commands_pb2.WantedImage,
+        term: int,
+        *,
+        checks_fencing: bool,
     ) -> str:
-        """Send one upstream its missing orders; return the slots still missing.
+        """Send one upstream its missing orders.
 
-        Blocks; runs in a worker thread.
+        Returns the slots of the orders that are not fulfilled yet; a slot is
+        the part of the wanted state that an order sets, such as the role or
+        one model. Blocks; runs in a worker thread.
         """
         reported = self._transport.read(wanted.address, ORDER_TIMEOUT)
         self._load_limiter.record_models(
@@ -150,7 +156,7 @@
         )
         fencing = newest_fencing(wanted)
         missing = []
-        may_send = partial(self.may_send, term, checked=checked)
+        may_send = partial(self.may_send, term, checks_fencing=checks_fencing)
         for wanted_item in wanted.items:
             if satisfies(reported, wanted_item, fencing):
                 continue
@@ -185,13 +191,15 @@
             return
         if len(self._task_by_upstream) >= MAX_CONCURRENT_UPSTREAMS:
             return
-        checked = self._checks_fencing(wanted.service)
-        if not checked and now < self._takeover_ends:
+        checks_fencing = self._checks_fencing(wanted.service)
+        if not checks_fencing and now < self._takeover_ends:
             return
         image = commands_pb2.WantedImage()
         image.CopyFrom(wanted)
         task = asyncio.create_task(
-            self._reconcile_upstream(image, progress, checked=checked)
+            self._reconcile_upstream(
+                image, progress, checks_fencing=checks_fencing
+            )
         )
         self._task_by_upstream[name] = task
         task.add_done_callback(lambda _: self._task_by_upstream.pop(name))
@@ -201,12 +209,12 @@
         wanted: commands_pb2.WantedImage,
         progress: _Progress,
         *,
-        checked: bool,
+        checks_fencing: bool,
     ) -> None:
         term = self._term
         try:
             missing = await asyncio.to_thread(
-                self.reconcile, wanted, term, checked=checked
+                self.reconcile, wanted, term, checks_fencing=checks_fencing
             )
         except LeadershipLostError:
             return
@@ -249,7 +257,7 @@
         return self._load_limiter.may_load(upstream_id, wanted_item.subject)
 
     def _load_limit(self) -> int:
-        # The fleet shares one weight store, so the root's policy applies.
+        # All upstreams share one weight store, so the root's policy applies.
         return self._machine.tree.effective().policy('').weight_loads
 
     def _checks_fencing(self, service: str) -> bool:
@@ -274,5 +282,6 @@
         return reported.role == wanted_item.subject
     if reported.drain:
         return reported.drain == wanted_item.subject
-    # An upstream without a drain state reports at least the fencing number.
+    # Without a drain state, an accepted fencing number shows that the order was
+    # received.
     return reported.fencing >= fencing
--- a/verbenathread/daemons.py
+++ b/verbenathread/daemons.py
@@ -120,6 +120,7 @@
     try:
         await daemon.start()
     except StorageError as damage:
+        # Start with an empty folder and join the group as a new member.
         quarantine_folder(settings.directory.data_folder, damage)
         settings.directory.bootstrap = False
         daemon = DirectoryDaemon(settings, path, DirectoryHandler)
--- a/verbenathread/directory/service.py
+++ b/verbenathread/directory/service.py
@@ -28,8 +28,9 @@
 # arrive within this interval only the latest is sent.
 _CONFIG_INTERVAL: Millis = 200
 _BARRIER_TIMEOUT: Millis = 1000
-# How long a watch request waits for an election to finish. A gateway that is
-# turned away polls all directory processes and takes CPU time from the voters.
+# How long a watch request waits for an election to finish. A gateway whose
+# request is refused polls all directory processes and takes CPU time from the
+# voters.
 # Must stay below 600 ms, after which a gateway treats a process as unresponsive.
 _ELECTION_TIMEOUT: Millis = 400
 
@@ -39,7 +40,7 @@
 
     config_version: int
     registry_changes: int = -1
-    fleet_changes: int = -1
+    node_changes: int = -1
 
 
 class DirectoryService(DirectoryBase):
@@ -59,7 +60,7 @@
         self._clock = clock
         self._changed = Signal(clock)
         self._gateway_by_id: dict[NodeId, messages.NodeAddress] = {}
-        self._fleet_changes = 0
+        self._node_changes = 0
         self._members: tuple[Peer, ...] = ()
 
     async def run(self) -> None:
@@ -75,7 +76,7 @@
             members = tuple(self.directory_peers())
             if members != self._members:
                 self._members = members
-                self._fleet_changes += 1
+                self._node_changes += 1
             self._changed.notify_all()
 
     def gateway_count(self) -> int:
@@ -83,7 +84,7 @@
         return len(self._gateway_by_id)
 
     def directory_peers(self) -> Iterable[Peer]:
-        """Return the members of the log, as seen by this replica."""
+        """Return the directory's replica group, as seen by this replica."""
         for member in self._replica.status().members:
             yield Peer(member.node_id, member.address)
 
@@ -105,7 +106,7 @@
         gateway = request.gateway
         _log.info('Gateway watch started.', gateway=gateway.node_id)
         self._gateway_by_id[gateway.node_id] = gateway
-        self._fleet_changes += 1
+        self._node_changes += 1
         with contextlib.ExitStack() as stack:
             stack.callback(self._remove_gateway, gateway)
             await self._send_updates(stream, _SentState(request.config_version))
@@ -130,7 +131,7 @@
         _log.info('Gateway watch ended.', gateway=gateway.node_id)
         if self._gateway_by_id.get(gateway.node_id) is gateway:
             self._gateway_by_id.pop(gateway.node_id)
-            self._fleet_changes += 1
+            self._node_changes += 1
 
     async def _send_updates(
         self,
@@ -152,7 +153,7 @@
         return (
             machine.config_version > sent.config_version
             or machine.registry_changes != sent.registry_changes
-            or self._fleet_changes != sent.fleet_changes
+            or self._node_changes != sent.node_changes
         )
 
     def _build_update(
@@ -167,14 +168,14 @@
             update.workers.SetInParent()
             for worker in machine.registry.live_workers():
                 update.workers.workers.append(encode_worker(worker))
-        if self._fleet_changes != sent.fleet_changes:
+        if self._node_changes != sent.node_changes:
             update.fleet.SetInParent()
             for peer in self.directory_peers():
                 update.fleet.directory.append(_encode_peer(peer))
             update.fleet.gateways.extend(self._gateway_by_id.values())
         latest_version = max(machine.config_version, sent.config_version)
         newly_sent = _SentState(
-            latest_version, machine.registry_changes, self._fleet_changes
+            latest_version, machine.registry_changes, self._node_changes
         )
         return update, newly_sent
 
--- a/verbenathread/settings/tree.py
+++ b/verbenathread/settings/tree.py
@@ -87,8 +87,8 @@
     yield ROOT_PATH
     names = [name for name in path.split('/') if name]
     for count in range(1, len(names) + 1):
-        below = '/'.join(names[:count])
-        yield f'/{below}'
+        relative_path = '/'.join(names[:count])
+        yield f'/{relative_path}'
 
 
 def parse_branch(path: str, text: str) -> tuple[ParsedBranch, list[Problem]]:
@@ -130,7 +130,7 @@
 
 
 def check_tree(text_by_path: Mapping[str, str]) -> list[Problem]:
-    """Return every problem of the tree; without any it can be applied."""
+    """Return every problem; a tree without problems can be applied."""
     problems = []
     branch_by_path = {}
     for path, text in sorted(text_by_path.items()):
@@ -147,10 +147,10 @@
 
 
 class EffectiveTree:
-    """The tree as nodes use it, built from texts that were validated."""
+    """The tree as nodes use it, built from accepted texts."""
 
     def __init__(self, text_by_path: Mapping[str, str]) -> None:
-        """Index the branches; invalid parts of a text are skipped."""
+        """Index the branches; parts that this version rejects are skipped."""
         self._branch_by_path = {
             path: parse_branch(path, text)[0]
             for path, text in sorted(text_by_path.items())
@@ -226,8 +226,8 @@
     policy = settings_pb2.PolicySettings()
     fill_defaults(policy)
     option_by_name = {option.name: option for option in options_of(policy)}
-    for above in ancestors(path):
-        branch = branch_by_path.get(above)
+    for ancestor in ancestors(path):
+        branch = branch_by_path.get(ancestor)
         if branch is None:
             continue
         for name, text in branch.written_policy.items():
@@ -294,17 +294,17 @@
     branch_by_path: Mapping[str, ParsedBranch],
 ) -> list[Problem]:
     problems = []
-    path_by_place: dict[tuple[str, str], str] = {}
+    path_by_name: dict[tuple[str, str], str] = {}
     for path, branch in branch_by_path.items():
         for title, name in _unique_names(branch.settings):
-            earlier = path_by_place.setdefault((title, name), path)
+            earlier = path_by_name.setdefault((title, name), path)
             if earlier == path:
                 continue
-            shown = 'key_sha256' if title == 'key' else f'{title} {name}'
+            heading = 'key_sha256' if title == 'key' else f'{title} {name}'
             problems.append(
                 Problem(
                     path,
-                    shown,
+                    heading,
                     '',
                     f'it is already defined in branch {earlier}',
                     'choose another',
--- a/verbenathread/types.py
+++ b/verbenathread/types.py
@@ -27,7 +27,7 @@
 
 
 class UpstreamState(enum.IntEnum):
-    """State that an upstream last reported; higher values take precedence."""
+    """State of an upstream; of one incarnation, the higher value wins."""
 
     READY = 1
     # Receives no new work; running requests continue.
@@ -95,11 +95,12 @@
 
 
 class Outcome(enum.Enum):
-    """How an attempt ended; the values stay distinct from end to end."""
+    """How an attempt ended."""
 
     COMPLETED = 'completed'
-    # Proven: the request had no effect.
+    # Certainly not run, so that it is safe to send it again.
     NOT_RUN = 'not-run'
+    # It may have run; never reported as not run.
     UNKNOWN = 'unknown'
 
 
