--- a/verbenathread/observability/request_history.py
+++ b/verbenathread/observability/request_history.py
@@ -1,4 +1,8 @@
-"""History of one request, extracted from the log lines of all nodes."""
+"""History of one request, extracted from the log lines of all nodes.
+
+Only lines with the key ``request_id`` name the request; others are included if
+they belong to one of its workers or nodes.
+"""
 
 import json
 from collections.abc import Iterable
@@ -76,7 +80,7 @@
         part * unit
         for part, unit in zip(parts, _CLOCK_UNIT_SECONDS, strict=False)
     )
-    # The benchmark puts its own timestamp before the node.
+    # The node name is the last word; the benchmark writes a time before it.
     source = text[:start].split()
     return LogLine(
         int(seconds * _MS_PER_SECOND), source[-1] if source else '', fields
--- a/verbenathread/replay/entry.py
+++ b/verbenathread/replay/entry.py
@@ -36,8 +36,8 @@
     UpstreamId,
 )
 
-# Number of engine sets to try for one prompt.
-_MAX_GROUP_ATTEMPTS = 6
+# Failures, by refusal or lost engine, after which a group request ends.
+_MAX_GROUP_FAILURES = 6
 
 
 class EntryComponents(NamedTuple):
@@ -127,6 +127,7 @@
         for pending in tuple(self._pending_by_request.values()):
             involved = pending.waiting_at.union(pending.upstream_ids())
             if pending.run is None and not involved.isdisjoint(upstream_ids):
+                # One refusal is enough: it reroutes the whole request.
                 for waiting_at in tuple(pending.waiting_at)[:1]:
                     self.receive_answer(waiting_at, pending.attempt_id, gone)
 
@@ -324,7 +325,7 @@
         self._owners.cancel_all(pending)
         pending.failed_engines.add(upstream_id)
         pending.failures += 1
-        if pending.failures < _MAX_GROUP_ATTEMPTS:
+        if pending.failures < _MAX_GROUP_FAILURES:
             self._start_attempt(pending)
             return
         self._end_unplaced(pending)
--- a/verbenathread/replay/owner.py
+++ b/verbenathread/replay/owner.py
@@ -38,7 +38,7 @@
         self._loop = loop
         self._sender = sender
         self._entry_by_queued: dict[tuple[UpstreamId, str], NodeId] = {}
-        self._tick_by_id: dict[UpstreamId, float] = {}
+        self._tick_time_by_id: dict[UpstreamId, float] = {}
 
     def reserve(
         self, upstream_id: UpstreamId, request: ReservationRequest
@@ -109,16 +109,16 @@
         time = ledger.next_tick()
         if time is None:
             return
-        scheduled = self._tick_by_id.get(upstream_id, 0)
+        scheduled = self._tick_time_by_id.get(upstream_id, 0)
         if self._loop.now < scheduled <= time:
             return
         # A reservation expires only after its start_by, hence the 1 ms.
-        self._tick_by_id[upstream_id] = time + 1
+        self._tick_time_by_id[upstream_id] = time + 1
         self._loop.call_at(time + 1, self._on_tick, upstream_id, time + 1)
 
     def _on_tick(self, upstream_id: UpstreamId, time: float) -> None:
-        if self._tick_by_id.get(upstream_id) != time:
+        if self._tick_time_by_id.get(upstream_id) != time:
             # Superseded by an earlier tick.
             return
-        self._tick_by_id.pop(upstream_id)
+        self._tick_time_by_id.pop(upstream_id)
         self.send_grants(upstream_id)
--- a/verbenathread/scheduling/forecast.py
+++ b/verbenathread/scheduling/forecast.py
@@ -56,7 +56,10 @@
         return max(self._slowed(prefill, queued.level), memory_wait)
 
     def prefill_time(self, queued: QueuedRequest) -> float:
-        """Return expected ms of prefill, shared with more urgent levels."""
+        """Return expected ms of prefill beside more urgent levels.
+
+        These take their share of the engine meanwhile.
+        """
         return self._slowed(queued.prefill_ms, queued.level)
 
     def half_drain_time(self) -> Millis:
@@ -76,8 +79,8 @@
             token_ms += time * other.request.memory_tokens
         return token_ms / self._holds.memory_tokens
 
-    def _slowed(self, prefill: float, level: int) -> float:
-        return prefill / (1 - self._usage.more_urgent_share(level, self._now))
+    def _slowed(self, time: float, level: int) -> float:
+        return time / (1 - self._usage.more_urgent_share(level, self._now))
 
 
 class PrefillWindows:
--- a/verbenathread/scheduling/granting.py
+++ b/verbenathread/scheduling/granting.py
@@ -1,10 +1,11 @@
 """Decides which queued requests are granted memory of an engine now.
 
 The most urgent go first. The oldest request above the short class is
-protected: a later one may overtake it only if it is expected to end before
-the protected one can start, or if its memory fits beside it (EASY
-backfilling, Lifka 1995). So a long prompt waits for the current holds, not
-for everything that arrives after it.
+protected: a later one of those may overtake it only if it is expected to end
+before the protected one can start, or if its memory fits beside it (EASY
+backfilling, Lifka 1995). Short prompts may always overtake it. So a long
+prompt waits for the current holds and for short prompts, not for everything
+that arrives after it.
 """
 
 from collections.abc import Iterable
@@ -34,10 +35,10 @@
 
 
 class ProtectedStart:
-    """Expected start of the protected request, fixed when first forecast.
+    """Expected start of the protected request, never after its first forecast.
 
-    Requests that overtake it may run longer than expected. A new forecast
-    each time would then let others overtake it forever.
+    Requests that overtake it may run longer than expected. If the start moved
+    later with each forecast, others could overtake it forever.
     """
 
     def __init__(self) -> None:
@@ -94,6 +95,8 @@
         self._starts_in = protected_start.remaining(
             oldest, forecast.wait, self._now
         )
+        # Once the expected start has passed without enough memory, none is
+        # spare for others.
         if forecast.wait <= 0 or self._starts_in > 0:
             self._spare_tokens = max(0, forecast.surplus)
 
