--- a/verbenathread/control/claim_replies.py
+++ b/verbenathread/control/claim_replies.py
@@ -40,7 +40,7 @@
 
 
 def table_full() -> control_pb2.ClaimReply:
-    """Return the reply to a claim that does not fit; nothing was run."""
+    """Return the reply to a claim without room in the table; nothing ran."""
     return control_pb2.ClaimReply(
         answer=control_pb2.Answer(
             code=control_pb2.NO_QUORUM,
--- a/verbenathread/control/load_limit.py
+++ b/verbenathread/control/load_limit.py
@@ -48,7 +48,7 @@
                 self._queue.finish(WeightLoad(upstream_id, model))
 
     def forget(self, upstream_id: str) -> None:
-        """Free the slots of an engine that does not answer or refuses."""
+        """Free the slots of an engine that is silent or refuses an order."""
         with self._lock:
             self._models_by_upstream.pop(upstream_id, None)
             self._queue.forget(upstream_id)
--- a/verbenathread/control/orders.py
+++ b/verbenathread/control/orders.py
@@ -43,7 +43,7 @@
 
 
 class _Progress(NamedTuple):
-    """When one upstream is checked next, and the result of the last check."""
+    """Time of the next check of one upstream, and the last result."""
 
     fencing: int
     next_check: Millis
--- a/verbenathread/entry/engine_errors.py
+++ b/verbenathread/entry/engine_errors.py
@@ -8,7 +8,7 @@
     """The engine is known not to have run it: no connection, or it said so."""
 
     def __init__(self, message: str, retry_after: Millis = 0) -> None:
-        """Store the delay in ms that the engine asked for, 0 without one."""
+        """Store the delay in ms that the engine requested, 0 without one."""
         super().__init__(message)
         self.retry_after = retry_after
 
