--- a/tests/consensus_network.py
+++ b/tests/consensus_network.py
@@ -8,11 +8,12 @@
 import random
 from collections.abc import Callable
 
-from verbenathread.clock import LoopClock, seconds
+from verbenathread.clock import LoopClock
 from verbenathread.consensus.disk import RecordStorage
 from verbenathread.consensus.replica import Replica
 from verbenathread.consensus.settings import ReplicaSettings
 from verbenathread.exceptions import UnavailableError
+from verbenathread.rpc_channel import call_within
 from verbenathread.types import Address, Peer
 
 TIMEOUT_MS = 20_000
@@ -163,9 +164,7 @@
     async def send_duplicate(self, kind, sender, receiver, request):
         await asyncio.sleep(self.rng.uniform(0, 0.5))
         try:
-            await asyncio.wait_for(
-                self.call(kind, sender, receiver, request), 1
-            )
+            await call_within(self.call(kind, sender, receiver, request), 1000)
         except (TimeoutError, UnavailableError):
             return
 
@@ -186,9 +185,9 @@
                 )
                 network.duplicates.append(asyncio.create_task(again))
             try:
-                return await asyncio.wait_for(
+                return await call_within(
                     network.call(kind, self.sender, peer.node_id, request),
-                    seconds(limit),
+                    limit,
                 )
             except TimeoutError:
                 raise UnavailableError('The call timed out.') from None
--- a/verbenathread/admin/client.py
+++ b/verbenathread/admin/client.py
@@ -17,7 +17,7 @@
     UnknownOutcomeError,
     UsageError,
 )
-from verbenathread.rpc_channel import RPC_ERRORS, PeerChannel
+from verbenathread.rpc_channel import RPC_ERRORS, PeerChannel, call_within
 from verbenathread.schema import control_pb2
 from verbenathread.schema.control_grpc import ControlStub
 from verbenathread.settings.node import parse_address
@@ -217,11 +217,11 @@
     ) -> Any:
         """Call the next process and return its reply, or None on failure."""
         address = search.next_address()
-        timeout = seconds(max(1, min(remaining, search.call_timeout())))
+        timeout = max(1, min(remaining, search.call_timeout()))
         call = getattr(ControlStub(self._channel(address)), method)
         try:
-            return await asyncio.wait_for(
-                call(request, timeout=timeout), timeout
+            return await call_within(
+                call(request, timeout=seconds(timeout)), timeout
             )
         except RPC_ERRORS as error:
             search.record_failure(address, error)
--- a/verbenathread/background_tasks.py
+++ b/verbenathread/background_tasks.py
@@ -1,7 +1,7 @@
 """Background tasks that run as long as the process."""
 
 import asyncio
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Iterable
 
 from verbenathread.clock import seconds
 from verbenathread.observability.logs import get_logger
@@ -12,6 +12,9 @@
 # Limits an error that recurs immediately to two log lines per second.
 _RESTART_DELAY: Millis = 500
 
+# Between two attempts to cancel a task that handled the first one.
+_CANCEL_INTERVAL: Millis = 200
+
 BackgroundTask = Callable[[], Awaitable[None]]
 
 
@@ -33,6 +36,22 @@
             await asyncio.sleep(seconds(_RESTART_DELAY))
 
 
+async def cancel_all(tasks: Iterable[asyncio.Task[None]]) -> None:
+    """Cancel ``tasks`` and wait until all have ended.
+
+    A cancel is repeated because it may be lost: grpclib raises
+    StreamTerminatedError in its place if the connection is lost in the same
+    step of the loop, and a task that handles this error runs on.
+    """
+    pending = set(tasks)
+    while pending:
+        for task in pending:
+            task.cancel()
+        _, pending = await asyncio.wait(
+            pending, timeout=seconds(_CANCEL_INTERVAL)
+        )
+
+
 async def _run_once(task: BackgroundTask) -> bool:
     await task()
     return True
--- a/verbenathread/consensus/replica.py
+++ b/verbenathread/consensus/replica.py
@@ -118,7 +118,8 @@
         leadership = self._state.require_leadership()
         proposal = queue_proposal(self._state, leadership, command)
         try:
-            return await asyncio.wait_for(proposal.future, seconds(limit))
+            async with asyncio.timeout(seconds(limit)):
+                return await proposal.future
         except TimeoutError:
             if proposal.appended:
                 raise UnknownOutcomeError(
--- a/verbenathread/consensus/rpc.py
+++ b/verbenathread/consensus/rpc.py
@@ -4,7 +4,6 @@
 and uses the single channel kept for its peer.
 """
 
-import asyncio
 import hmac
 from collections.abc import Awaitable, Callable, Mapping
 from typing import TypeVar
@@ -17,7 +16,7 @@
 from verbenathread.clock import seconds
 from verbenathread.consensus.transport import Handler
 from verbenathread.exceptions import UnavailableError
-from verbenathread.rpc_channel import RPC_ERRORS, PeerChannel
+from verbenathread.rpc_channel import RPC_ERRORS, PeerChannel, call_within
 from verbenathread.schema import consensus_pb2 as messages
 from verbenathread.schema.consensus_grpc import ConsensusBase, ConsensusStub
 from verbenathread.types import Millis, Peer
@@ -112,11 +111,11 @@
     ) -> _Reply:
         try:
             # Also bounds a connection attempt that never completes.
-            return await asyncio.wait_for(
+            return await call_within(
                 method(
                     request, timeout=seconds(limit), metadata=self._metadata
                 ),
-                seconds(limit),
+                limit,
             )
         except RPC_ERRORS as error:
             raise _unavailable(peer, error) from error
--- a/verbenathread/consensus/waiting.py
+++ b/verbenathread/consensus/waiting.py
@@ -53,7 +53,8 @@
     """Wait up to ``limit`` ms for ``event``, and clear it if set."""
     if not event.is_set():
         try:
-            await asyncio.wait_for(event.wait(), seconds(limit))
+            async with asyncio.timeout(seconds(limit)):
+                await event.wait()
         except TimeoutError:
             return
     event.clear()
--- a/verbenathread/control/node_reports.py
+++ b/verbenathread/control/node_reports.py
@@ -1,11 +1,9 @@
 """Reports the nodes with a session at this process to the leader."""
 
-import asyncio
-
 from grpclib.client import Channel
 
 from verbenathread.control.nodes import NodeTable
-from verbenathread.rpc_channel import RPC_ERRORS, PeerChannel
+from verbenathread.rpc_channel import RPC_ERRORS, PeerChannel, call_within
 from verbenathread.schema import control_pb2
 from verbenathread.schema.control_grpc import ControlStub
 from verbenathread.settings.node import parse_address
@@ -13,7 +11,7 @@
 
 # Interval between reports to the leader, in ms.
 REPORT_INTERVAL: Millis = 1000
-_REPORT_TIMEOUT_S = 2.0
+_REPORT_TIMEOUT: Millis = 2000
 
 
 class NodeReporter:
@@ -45,9 +43,9 @@
             upstreams=upstreams,
         )
         try:
-            await asyncio.wait_for(
+            await call_within(
                 ControlStub(self._channel).ReportNodes(request),
-                _REPORT_TIMEOUT_S,
+                _REPORT_TIMEOUT,
             )
         except RPC_ERRORS:
             return False
--- a/verbenathread/control/sessions.py
+++ b/verbenathread/control/sessions.py
@@ -8,6 +8,7 @@
 from verbenathread.control.nodes import NodeTable
 from verbenathread.control.tree import BranchTree
 from verbenathread.observability.logs import get_logger
+from verbenathread.rpc_channel import call_within
 from verbenathread.schema import control_pb2
 from verbenathread.types import Millis
 
@@ -107,8 +108,8 @@
     ) -> None:
         while True:
             try:
-                report = await asyncio.wait_for(
-                    stream.recv_message(), seconds(SESSION_TIMEOUT)
+                report = await call_within(
+                    stream.recv_message(), SESSION_TIMEOUT
                 )
             except TimeoutError:
                 return
@@ -156,9 +157,8 @@
         end = loop.time() + seconds(limit)
         while True:
             try:
-                await asyncio.wait_for(
-                    self._changed.wait(), max(0, end - loop.time())
-                )
+                async with asyncio.timeout_at(end):
+                    await self._changed.wait()
             except TimeoutError:
                 return
             self._changed.clear()
--- a/verbenathread/directory/daemon.py
+++ b/verbenathread/directory/daemon.py
@@ -6,7 +6,7 @@
 
 from grpclib.server import Server
 
-from verbenathread.background_tasks import restart_on_error
+from verbenathread.background_tasks import cancel_all, restart_on_error
 from verbenathread.clock import Clock, SystemClock, seconds
 from verbenathread.consensus.disk import FileStorage
 from verbenathread.consensus.replica import Replica
@@ -21,7 +21,7 @@
 from verbenathread.http1.server import Handler, HttpServer, Limits
 from verbenathread.observability.logs import get_logger
 from verbenathread.observability.status_handler import StatusHandler
-from verbenathread.rpc_channel import PeerChannel
+from verbenathread.rpc_channel import PeerChannel, call_within
 from verbenathread.schema import directory_pb2 as messages
 from verbenathread.schema import settings_pb2
 from verbenathread.schema.directory_grpc import DirectoryStub
@@ -130,9 +130,7 @@
         """Transfer leadership, finish calls in progress and shut down."""
         self._http_server.stopping = True
         await self.replica.stop(transfer_leadership=hand_over)
-        for task in self._tasks:
-            task.cancel()
-        await asyncio.gather(*self._tasks, return_exceptions=True)
+        await cancel_all(self._tasks)
         await asyncio.sleep(seconds(_FLUSH_TIME))
         self._http_server.close()
         self._metrics_server.close()
@@ -238,8 +236,8 @@
         )
         channel = PeerChannel(address.host, address.port)
         try:
-            return await asyncio.wait_for(
-                DirectoryStub(channel).Join(request), seconds(_JOIN_TIMEOUT)
+            return await call_within(
+                DirectoryStub(channel).Join(request), _JOIN_TIMEOUT
             )
         except Exception as error:  # noqa: BLE001  any failure is retried
             _log.debug(
--- a/verbenathread/gateway/daemon.py
+++ b/verbenathread/gateway/daemon.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Callable
 
-from verbenathread.background_tasks import restart_on_error
+from verbenathread.background_tasks import cancel_all, restart_on_error
 from verbenathread.clock import Clock, SystemClock, seconds
 from verbenathread.directory.seeds import SeedFile
 from verbenathread.gateway.context import build_context
@@ -93,9 +93,7 @@
         await asyncio.sleep(seconds(notice))
         await self.server.drain(until)
         await self.context.reservations.close()
-        for task in self._tasks:
-            task.cancel()
-        await asyncio.gather(*self._tasks, return_exceptions=True)
+        await cancel_all(self._tasks)
         _log.info('Gateway stopped.', cut=self.server.busy_count())
         self.server.close()
         self._status.close()
--- a/verbenathread/http1/client.py
+++ b/verbenathread/http1/client.py
@@ -221,10 +221,8 @@
 ) -> ClientConnection:
     """Open a connection; raises OSError or TimeoutError on failure."""
     loop = asyncio.get_running_loop()
-    _, connection = await asyncio.wait_for(
-        loop.create_connection(
+    async with asyncio.timeout(seconds(timeout)):
+        _, connection = await loop.create_connection(
             lambda: ClientConnection(clock), address.host, address.port
-        ),
-        seconds(timeout),
-    )
+        )
     return connection
--- a/verbenathread/rpc_channel.py
+++ b/verbenathread/rpc_channel.py
@@ -1,15 +1,53 @@
-"""The gRPC channel for calls between processes of the cluster."""
+"""The gRPC channel and time limits for calls between processes."""
 
-from typing import Any
+import asyncio
+from collections.abc import Awaitable
+from typing import Any, TypeVar
 
 from grpclib.client import Channel
 from grpclib.exceptions import GRPCError, ProtocolError, StreamTerminatedError
 from grpclib.protocol import H2Protocol
 
+from verbenathread.clock import seconds
+from verbenathread.types import Millis
+
+_Result = TypeVar('_Result')
+
 # The peer may still have executed a call that failed with one of these.
 RPC_ERRORS = (GRPCError, ProtocolError, StreamTerminatedError, OSError)
 
 
+async def call_within(call: Awaitable[_Result], limit: Millis) -> _Result:
+    """Return the reply to ``call``; raises TimeoutError after ``limit`` ms.
+
+    The call runs in a task of its own, and has ended when this function
+    returns or raises. Unlike asyncio.wait_for of Python 3.11, a cancelled
+    caller always gets CancelledError: wait_for returns normally if the call
+    ends in the same step of the loop, and a caller that loops would run on.
+    """
+    task = asyncio.ensure_future(call)
+    try:
+        await asyncio.wait((task,), timeout=seconds(limit))
+    except asyncio.CancelledError:
+        await _cancel(task)
+        raise
+    if task.done():
+        return task.result()
+    await _cancel(task)
+    if task.cancelled():
+        raise TimeoutError
+    return task.result()
+
+
+async def _cancel(task: asyncio.Task[Any]) -> None:
+    """Cancel ``task`` and wait until it has ended."""
+    task.cancel()
+    await asyncio.wait((task,))
+    if not task.cancelled():
+        # Marks an error as retrieved, so that the loop does not report it.
+        task.exception()
+
+
 class PeerChannel(Channel):
     """A grpclib channel that handles connections lost while opening.
 
