--- a/tests/test_directory_cluster.py
+++ b/tests/test_directory_cluster.py
@@ -1,14 +1,17 @@
 """Tests of a directory cluster on loopback, one address per process."""
 
 import asyncio
+import contextlib
 import json
-import os
 import shutil
 import tempfile
 import unittest
 from pathlib import Path
 
+from h2.exceptions import StreamClosedError
+
 from tests.gateway_harness import Response, read_response
+from tools.local_cluster import LOOPBACK_NET
 from verbenathread.clock import SystemClock
 from verbenathread.directory.daemon import DirectoryDaemon
 from verbenathread.directory.damage import quarantine_folder
@@ -87,9 +90,6 @@
 class ClusterTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.folder = Path(tempfile.mkdtemp())
-        # A separate /24 network within 127.0.0.0/8 for each test process.
-        first, second = divmod(os.getpid() % 50_000, 250)
-        self.net = f'127.{first + 10}.{second + 1}'
         self.daemon_by_number = {}
         self.watching = None
 
@@ -101,7 +101,7 @@
         shutil.rmtree(self.folder)
 
     def host(self, number):
-        return f'{self.net}.{number}'
+        return f'{LOOPBACK_NET}.{number}'
 
     def seeds(self, numbers):
         return ','.join(
@@ -308,7 +308,9 @@
         async with DirectoryStub(channel).Watch.open() as stream:
             await stream.send_message(WatchRequest(), end=True)
             update = await stream.recv_message()
-            await stream.cancel()
+            # A server that is not the leader ends the stream itself.
+            with contextlib.suppress(StreamClosedError):
+                await stream.cancel()
         channel.close()
         return update
 
