--- a/tests/control_processes.py
+++ b/tests/control_processes.py
@@ -4,7 +4,6 @@
 import contextlib
 import shutil
 import signal
-import socket
 import time
 from pathlib import Path
 
@@ -12,25 +11,19 @@
 from grpclib.exceptions import GRPCError, StreamTerminatedError
 
 from tests.control_commands import ROOT_KEY, ROOT_SHA
+from tools.local_cluster import LOOPBACK_NET
 from tools.processes import ManagedProcess, Processes
 from verbenathread.admin.client import ControlClient
+from verbenathread.rpc_channel import call_within
 from verbenathread.schema import control_pb2
 from verbenathread.schema.control_grpc import ControlStub
 from verbenathread.types import Address, Millis
 
 NODE_KEY = 'node-key'
 CLUSTER = 'proof'
-
-
-def free_ports(count: int) -> list[int]:
-    """Return ports that were free a moment ago."""
-    socks = [socket.socket() for _ in range(count)]
-    for sock in socks:
-        sock.bind(('127.0.0.1', 0))
-    ports = [sock.getsockname()[1] for sock in socks]
-    for sock in socks:
-        sock.close()
-    return ports
+# Below the range from which the system takes ports for outgoing connections.
+_PORT = 18_470
+_METRICS_PORT = 18_471
 
 
 class ControlGroup:
@@ -40,22 +33,20 @@
         self, processes: Processes, *, count: int = 3, records: int = 50
     ) -> None:
         self.processes = processes
-        ports = free_ports(count)
         self.address_by_name = {
-            f'c{number}': Address('127.0.0.1', port)
-            for number, port in enumerate(ports)
+            f'c{number}': Address(f'{LOOPBACK_NET}.{number + 1}', _PORT)
+            for number in range(count)
         }
         voters = ','.join(
             f'{name}@{address}'
             for name, address in self.address_by_name.items()
         )
         for name, address in self.address_by_name.items():
-            metrics = free_ports(1)[0]
             self._path(name).write_text(
                 f'[node]\nid = {name}\ndata_centre = jackson-ms\n'
                 f'cluster = {CLUSTER}\nnode_key = {NODE_KEY}\n'
                 f'[control]\nlisten = {address}\nvoters = {voters}\n'
-                f'metrics_listen = 127.0.0.1:{metrics}\n'
+                f'metrics_listen = {address.host}:{_METRICS_PORT}\n'
                 f'data_folder = {processes.folder / name}-data\n'
                 f'root_key_sha256 = {ROOT_SHA}\n'
                 'election_timeout = 500\nheartbeat = 100\n'
@@ -110,10 +101,13 @@
         while True:
             address = self._addresses[attempts % len(self._addresses)]
             attempts += 1
-            channel = Channel(address.host, address.port)
-            with contextlib.suppress(GRPCError, StreamTerminatedError, OSError):
-                await self._exchange_messages(ControlStub(channel))
-            channel.close()
+            with contextlib.closing(
+                Channel(address.host, address.port)
+            ) as channel:
+                with contextlib.suppress(
+                    GRPCError, StreamTerminatedError, OSError
+                ):
+                    await self._exchange_messages(ControlStub(channel))
             await asyncio.sleep(0.05)
 
     def apply_update(self, update: control_pb2.TreeUpdate) -> None:
@@ -141,7 +135,7 @@
         async with stub.Session.open() as stream:
             while True:
                 await stream.send_message(self.report())
-                update = await asyncio.wait_for(stream.recv_message(), 4)
+                update = await call_within(stream.recv_message(), 4000)
                 if update is None:
                     return
                 self.apply_update(update)
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -23,10 +23,13 @@
 from tests.standins.processes import LocalStandIn
 from tools.processes import running_processes
 from verbenathread.admin.client import BranchConflictError
+from verbenathread.rpc_channel import call_within
 from verbenathread.schema import control_pb2
 from verbenathread.schema.control_grpc import ControlStub
 
 NAMES = ('c0', 'c1', 'c2')
+# Far longer than any run, in ms; a group that never forms fails its test.
+SCENARIO_LIMIT = 120_000
 
 
 async def until(condition):
@@ -110,7 +113,12 @@
         with tempfile.TemporaryDirectory() as name:
             with running_processes(Path(name)) as processes:
                 group = ControlGroup(processes, **options)
-                asyncio.run(scenario(group, processes, group.client()))
+                asyncio.run(
+                    call_within(
+                        scenario(group, processes, group.client()),
+                        SCENARIO_LIMIT,
+                    )
+                )
 
     def test_change_survives_leader_loss_and_restart(self):
         async def scenario(group, processes, client):
