--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -1,19 +1,55 @@
 """Run the tests and count failures that KNOWN-RED.txt does not list.
 
+A test that exceeds the time limit ends the run: its name and the stack of each
+thread are printed, and the exit code is 1.
+
 The last line is ``N passed, N failed``; the exit code is 0 only when every
 test that is not listed passed.
 """
 
 import argparse
+import faulthandler
+import os
 import sys
+import threading
 import unittest
 from pathlib import Path
+from typing import Any
 
 from verbenathread.observability import logs
 
 _ROOT = Path(__file__).resolve().parent.parent
 _KNOWN_RED = _ROOT / 'KNOWN-RED.txt'
 _TEST_KEY = 'test:'
+# Limit of one test with all of its subtests, in seconds.
+_TEST_LIMIT = 240
+
+
+class _TimeLimitedResult(unittest.TextTestResult):
+    """Ends the process if a test hangs, instead of waiting for ever."""
+
+    def __init__(self, stream: Any, descriptions: bool, verbosity: int) -> None:
+        super().__init__(stream, descriptions, verbosity)
+        self._timer: threading.Timer | None = None
+
+    def startTest(self, test: unittest.TestCase) -> None:  # noqa: N802
+        super().startTest(test)
+        self._timer = threading.Timer(_TEST_LIMIT, _end_run, (test.id(),))
+        self._timer.daemon = True
+        self._timer.start()
+
+    def stopTest(self, test: unittest.TestCase) -> None:  # noqa: N802
+        if self._timer is not None:
+            self._timer.cancel()
+        super().stopTest(test)
+
+
+def _end_run(test_id: str) -> None:
+    """Report a test that hangs and end the process."""
+    sys.stderr.write(f'{test_id} exceeded {_TEST_LIMIT} s:\n')
+    sys.stderr.flush()
+    faulthandler.dump_traceback()
+    os._exit(1)
 
 
 def known_failures(page: Path) -> frozenset[str]:
@@ -50,6 +86,7 @@
         suite = loader.discover('tests', top_level_dir=str(_ROOT))
     logs.configure('critical', 'text')
     runner = unittest.TextTestRunner(verbosity=2 if options.verbose else 1)
+    runner.resultclass = _TimeLimitedResult
     outcome = runner.run(suite)
     expected = known_failures(_KNOWN_RED)
     failed = failed_names(outcome)
