--- a/tests/control_processes.py
+++ b/tests/control_processes.py
@@ -7,14 +7,13 @@
 import time
 from pathlib import Path
 
-from grpclib.client import Channel
 from grpclib.exceptions import GRPCError, StreamTerminatedError
 
 from tests.control_commands import ROOT_KEY, ROOT_SHA
 from tools.local_cluster import LOOPBACK_NET
 from tools.processes import ManagedProcess, Processes
 from verbenathread.admin.client import ControlClient
-from verbenathread.rpc_channel import call_within
+from verbenathread.rpc_channel import PeerChannel, call_within
 from verbenathread.schema import control_pb2
 from verbenathread.schema.control_grpc import ControlStub
 from verbenathread.types import Address, Millis
@@ -102,7 +101,7 @@
             address = self._addresses[attempts % len(self._addresses)]
             attempts += 1
             with contextlib.closing(
-                Channel(address.host, address.port)
+                PeerChannel(address.host, address.port)
             ) as channel:
                 with contextlib.suppress(
                     GRPCError, StreamTerminatedError, OSError
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -10,7 +10,6 @@
 import unittest
 from pathlib import Path
 
-from grpclib.client import Channel
 from grpclib.exceptions import GRPCError, StreamTerminatedError
 
 from tests.control_commands import ROOT_KEY, ROOT_SHA, account_text
@@ -23,7 +22,7 @@
 from tests.standins.processes import LocalStandIn
 from tools.processes import running_processes
 from verbenathread.admin.client import BranchConflictError
-from verbenathread.rpc_channel import call_within
+from verbenathread.rpc_channel import PeerChannel, call_within
 from verbenathread.schema import control_pb2
 from verbenathread.schema.control_grpc import ControlStub
 
@@ -48,7 +47,7 @@
 async def leader_hint(group, name):
     """Return the leader according to one process."""
     address = group.address_by_name[name]
-    with contextlib.closing(Channel(address.host, address.port)) as channel:
+    with contextlib.closing(PeerChannel(address.host, address.port)) as channel:
         reply = await ControlStub(channel).Status(
             control_pb2.StatusRequest(
                 operator_name='root', operator_key=ROOT_KEY
@@ -77,10 +76,10 @@
     while True:
         address = group.address_by_name[NAMES[attempts % 3]]
         attempts += 1
-        channel = Channel(address.host, address.port)
+        channel = PeerChannel(address.host, address.port)
         method = getattr(ControlStub(channel), call)
         try:
-            reply = await asyncio.wait_for(method(request, timeout=4), 4)
+            reply = await call_within(method(request, timeout=4), 4000)
         except (OSError, StreamTerminatedError):
             # The process was killed; retry the same attempt.
             reply = control_pb2.ClaimReply()
