--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -87,7 +87,7 @@
             (
                 NODE.replace('cell = e1@', 'cell = e2@'),
                 'e1.ini: [entry] cell: this node, e1, is not in its own cell;'
-                ' add e1@ its peer_listen address',
+                ' add e1@ and its peer_listen address',
             ),
             (
                 NODE.replace('cluster = tillery\n', ''),
--- a/tools/settings_page.py
+++ b/tools/settings_page.py
@@ -35,15 +35,15 @@
 ## The file of one node
 
 Read once when the process starts; `seeds` are read again while it runs. A node
-has the section of the program that it runs: `[entry]`, `[control]`, `[gateway]`
-or `[directory]`.
+has the section of the role that it runs: `[entry]`, `[control]`, `[gateway]` or
+`[directory]`.
 """
 _TREE_HEAD = """\
 ## Branches of the shared tree
 
-Kept by control and changed with `verbenathread config`; each branch is one
-team's INI text at a path such as `/tillery/outreach`. All of these change at
-run time.
+Kept by the control processes and changed with `verbenathread config`; each
+branch is one team's INI text at a path such as `/tillery/outreach`. All of these
+options can be changed at run time.
 """
 
 
--- a/verbenathread/settings/ini.py
+++ b/verbenathread/settings/ini.py
@@ -102,7 +102,7 @@
 def check_section_name(
     source: str, section: ParsedSection, target: Message
 ) -> Problem | None:
-    """Return a problem if a required name is missing or not allowed."""
+    """Return a problem if the name is missing or not allowed."""
     named = section_of(target).named
     if named and not section.name:
         message = 'the section has no name'
--- a/verbenathread/settings/node.py
+++ b/verbenathread/settings/node.py
@@ -190,7 +190,7 @@
             'entry',
             'cell',
             f'this node, {node.node.id}, is not in its own cell',
-            f'add {node.node.id}@ its peer_listen address',
+            f'add {node.node.id}@ and its peer_listen address',
         )
     ]
 
--- a/verbenathread/settings/rules.py
+++ b/verbenathread/settings/rules.py
@@ -127,7 +127,9 @@
             f'{shown} is not valid', f'write a value that matches {pattern}'
         )
     if option.rule.required and not text:
-        raise BadValueError('the value is empty', f'write {option.rule.help}')
+        raise BadValueError(
+            'the value is empty', f'write a value ({option.rule.help})'
+        )
     return text
 
 
