--- a/tests/entry_fakes.py
+++ b/tests/entry_fakes.py
@@ -304,7 +304,10 @@
 
 
 def wait_until(condition, limit=10.0):
-    """Wait until ``condition`` holds; return whether it does."""
+    """Wait up to ``limit`` seconds until ``condition`` holds.
+
+    Returns whether it does.
+    """
     end = time.monotonic() + limit
     while time.monotonic() < end:
         if condition():
--- a/tests/test_entry_reservations.py
+++ b/tests/test_entry_reservations.py
@@ -12,8 +12,8 @@
 from verbenathread.types import RefusalReason, Reservation
 
 MEMORY = 400_000
-# Time for an engine to get its first owner: silence after a start, a message
-# round and the takeover delay.
+# Time for an engine to get its first owner: started acceptors reject requests
+# at first, then a message round and the takeover delay follow.
 OWNED_MS = 12_000
 
 
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -132,7 +132,7 @@
         wait_for('call', lambda: self.ledger()['came'], START_LIMIT_SECONDS)
         self.signal('entry-1', signal.SIGKILL)
         first.join()
-        # Before and after control declares the owner gone.
+        # Calls before and after control declares the entry of the claim gone.
         states = set()
         for _ in range(40):
             response = self.book(3)
--- a/verbenathread/entry/__init__.py
+++ b/verbenathread/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry daemon: callers on one side, upstreams on the other."""
+"""The entry daemon: serves callers by forwarding requests to upstreams."""
--- a/verbenathread/entry/admissions.py
+++ b/verbenathread/entry/admissions.py
@@ -58,7 +58,7 @@
         self._incarnation_by_peer: dict[NodeId, int] = {}
 
     def connect(self, upstreams: ReadyUpstreams) -> None:
-        """Refuse at admission what ``upstreams`` can't serve together."""
+        """Refuse requests that the ready ``upstreams`` can't serve together."""
         self._upstreams = upstreams
 
     def admit(
@@ -136,7 +136,7 @@
         message: peer_pb2.PeerMessage,
         reply: peer_pb2.PeerReply,
     ) -> None:
-        """Record what a peer received; after its restart, nothing."""
+        """Record what a peer received; its restart clears the record."""
         confirmed = self._confirmed_by_peer.get(peer_id)
         if confirmed is not None and confirmed.incarnation != reply.incarnation:
             self._confirmed_by_peer.pop(peer_id)
--- a/verbenathread/entry/blocking_adapters.py
+++ b/verbenathread/entry/blocking_adapters.py
@@ -1,4 +1,4 @@
-"""Blocking adapters for worker threads to parts on the node's event loop.
+"""Blocking adapters that let worker threads call parts on the event loop.
 
 They implement the protocols of :mod:`verbenathread.entry.interfaces`.
 """
--- a/verbenathread/entry/cell_node.py
+++ b/verbenathread/entry/cell_node.py
@@ -1,4 +1,4 @@
-"""Connects an entry to the peers of its cell and to the control plane."""
+"""Connects an entry to the peers of its cell and the control processes."""
 
 import asyncio
 import random
@@ -45,7 +45,7 @@
 
 
 class CellNode:
-    """The parts of one entry that talk to peers and to control."""
+    """The parts of one entry that talk to peers and control processes."""
 
     def __init__(
         self,
--- a/verbenathread/entry/claims_client.py
+++ b/verbenathread/entry/claims_client.py
@@ -1,4 +1,4 @@
-"""Client of the claims table of control; finds and calls its leader."""
+"""Client of the claims table; calls the leader of the control processes."""
 
 import asyncio
 import random
@@ -27,7 +27,7 @@
 
 
 class ClaimsClient:
-    """Records claims and outcomes with the leader of control.
+    """Records claims and outcomes with the leader of the control processes.
 
     Both calls are idempotent by their attempt identifier, so a call without
     a reply is retried until the time limit.
--- a/verbenathread/entry/engine_client.py
+++ b/verbenathread/entry/engine_client.py
@@ -127,6 +127,7 @@
 class OrderState(NamedTuple):
     """The last ordered state of an engine, as the engine reports it."""
 
+    # Fencing number of the last order that the engine accepted.
     fencing: int
     models: tuple[str, ...]
     role: str
@@ -135,6 +136,7 @@
 class EngineOrder(NamedTuple):
     """An order that changes the state of an engine."""
 
+    # Grows with each order; an engine that checks it rejects older orders.
     fencing: int
     # One of load, unload, role and drain.
     action: str
@@ -144,8 +146,8 @@
 class EngineClient(Protocol):
     """A client of engines; each call ends within its timeout.
 
-    Every call may raise :class:`.EngineNotRunError` or
-    :class:`.EngineBrokenError`.
+    Every call may raise the errors in
+    :mod:`verbenathread.entry.engine_errors`.
     """
 
     def generate(
@@ -184,4 +186,4 @@
     def order(
         self, engine: Address, order: EngineOrder, timeout: Millis
     ) -> OrderState:
-        """Send an order; raise ``EngineRejectedError`` if it is fenced off."""
+        """Send an order; raise ``EngineRejectedError`` if it is outdated."""
--- a/verbenathread/entry/engine_errors.py
+++ b/verbenathread/entry/engine_errors.py
@@ -5,7 +5,7 @@
 
 
 class EngineNotRunError(VerbenathreadError):
-    """The engine is known not to have run it: no connection, or it said so."""
+    """The engine did not run the request: no connection, or it said so."""
 
     def __init__(self, message: str, retry_after: Millis = 0) -> None:
         """Store the delay in ms that the engine requested, 0 without one."""
--- a/verbenathread/entry/engine_owners.py
+++ b/verbenathread/entry/engine_owners.py
@@ -16,7 +16,7 @@
 
 # Timeout of a request that must not queue.
 _IMMEDIATE_TIMEOUT_MS = 1000
-# Time beyond its deadline for the reply to a queued request to arrive.
+# How long after the deadline of a queued request its reply may arrive.
 _REPLY_SLACK_MS = 1000
 _HOLDINGS_TIMEOUT_MS = 500
 # How often to check that the owner of the queue is still alive.
--- a/verbenathread/entry/group_reservations.py
+++ b/verbenathread/entry/group_reservations.py
@@ -63,7 +63,7 @@
     ) -> ReservationRequest:
         while True:
             await asyncio.sleep(seconds(_RENEW_MS))
-            # A repeated request extends the time by which it must start.
+            # A repeated request extends the deadline for the start.
             outcome = await self._owners.reserve(
                 upstream_id, self._group.member_request, may_queue=False
             )
--- a/verbenathread/entry/interfaces.py
+++ b/verbenathread/entry/interfaces.py
@@ -52,7 +52,7 @@
     def leave(self, upstream_id: str, incarnation: int) -> bool:
         """Mark an upstream as leaving; return once other entries have it.
 
-        Returns False if no other entry could be reached in time.
+        Returns False if no majority of the live ones confirmed it in time.
         """
 
 
--- a/verbenathread/entry/lingering_close.py
+++ b/verbenathread/entry/lingering_close.py
@@ -1,4 +1,4 @@
-"""Closes connections in a way that the peer still receives the response.
+"""Closes connections so that the peer still receives the response.
 
 Closing a socket with unread input sends a TCP reset, which may discard a
 response that the peer has not read yet. So the response is sent, the write
--- a/verbenathread/entry/load_reports.py
+++ b/verbenathread/entry/load_reports.py
@@ -26,6 +26,7 @@
         """Start without reports."""
         self._clock = clock
         self._table = UpstreamTable()
+        # By the hash of the upstream id.
         self._load_by_engine: dict[int, peer_pb2.EngineLoad] = {}
         self._changed_at_by_engine: dict[int, Millis] = {}
         self._sent_at_by_peer: dict[NodeId, Millis] = {}
--- a/verbenathread/entry/loop_thread.py
+++ b/verbenathread/entry/loop_thread.py
@@ -12,7 +12,7 @@
 
 _Result = TypeVar('_Result')
 _Arguments = ParamSpec('_Arguments')
-# Time beyond the limit of a coroutine that its caller waits for the result.
+# How much longer than the limit of a coroutine its caller waits for a result.
 _RESULT_SLACK_MS = 2000
 
 
--- a/verbenathread/entry/node_reports.py
+++ b/verbenathread/entry/node_reports.py
@@ -1,4 +1,4 @@
-"""Status reports from an entry to control."""
+"""Status reports from an entry to the control processes."""
 
 from verbenathread.clock import Clock
 from verbenathread.entry.settings_store import SettingsStore
--- a/verbenathread/entry/node_thread.py
+++ b/verbenathread/entry/node_thread.py
@@ -1,6 +1,6 @@
 """Runs the cell node of an entry on an event loop in its own thread.
 
-Blocking worker threads use it through the ports, which pass each call to the
+Worker threads use it through blocking adapters, which pass each call to the
 event loop. See :mod:`verbenathread.entry.cell_node` for the node itself.
 """
 
@@ -44,7 +44,7 @@
 
 
 class NodeThread:
-    """A cell node on its own thread; its ports work once it is started."""
+    """A cell node on its own thread; its interfaces work once it is started."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         reader: BlockingHoldReader | None = None,
         clock: Clock | None = None,
     ) -> None:
-        """Create the node and its ports.
+        """Create the node and its interfaces.
 
         ``reader`` reads what engines hold, over HTTP by default.
         """
--- a/verbenathread/entry/peer_channels.py
+++ b/verbenathread/entry/peer_channels.py
@@ -95,7 +95,7 @@
 
 
 class PeerCalls(Protocol):
-    """Calls to the other entries; each raises PeerUnreachableError."""
+    """Calls to the other entries; each may raise PeerUnreachableError."""
 
     async def exchange(
         self, peer_id: NodeId, message: peer_pb2.PeerMessage
--- a/verbenathread/entry/plain_service.py
+++ b/verbenathread/entry/plain_service.py
@@ -68,7 +68,8 @@
 _MAX_KEY_LENGTH = 255
 # Index of the upstream's path in /services/NAME/PATH, split at slashes.
 _REST_INDEX = 3
-# Characters that need no quoting in a path (RFC 3986).
+# Characters that are not quoted in a path: those of RFC 3986, and the percent
+# sign, because cheroot leaves %2F encoded.
 _PATH_CHARACTERS = "/%:@!$&'()*+,;=~-._"
 _NO_UPSTREAM = PlainAttempt(Outcome.NOT_RUN, None, 'No upstream is ready.')
 
--- a/verbenathread/entry/reaper.py
+++ b/verbenathread/entry/reaper.py
@@ -54,8 +54,9 @@
 class Reaper(RetryThread):
     """Thread that cancels failed and orphaned attempts.
 
-    Cancels that are still pending after a stop are left to the reconciliation
-    of the engine's next owner.
+    Cancels that are still pending after a stop are left to the next
+    incarnation of this entry. The engine's owner releases the memory once the
+    engine no longer lists the attempts.
     """
 
     def __init__(
--- a/verbenathread/entry/reservation_messages.py
+++ b/verbenathread/entry/reservation_messages.py
@@ -14,7 +14,7 @@
     Work,
 )
 
-# Refusals between entries; they are never sent to clients.
+# Refusals between entries; they are never sent to callers.
 NOT_OWNER: Final = 'not_owner'
 QUEUED: Final = 'queued'
 
@@ -97,7 +97,7 @@
 
 
 def decode_refusal(reply: peer_pb2.ReserveReply) -> Refusal:
-    """Return the refusal in a reply, in a form that clients may see."""
+    """Return the refusal in a reply, in a form that callers may see."""
     reason = RefusalReason.OVERLOADED
     if reply.refusal not in {NOT_OWNER, QUEUED}:
         reason = RefusalReason(reply.refusal)
--- a/verbenathread/entry/reservations.py
+++ b/verbenathread/entry/reservations.py
@@ -123,7 +123,7 @@
             task.cancel()
 
     def report_started(self, reservation: Reservation) -> None:
-        """Report to the owners that the engine accepted the attempt."""
+        """Report to the owners that the attempt was sent to the engine."""
         self._send_update(reservation, peer_pb2.HoldUpdate(started=True))
 
     def report_progress(
--- a/verbenathread/entry/settings_fetcher.py
+++ b/verbenathread/entry/settings_fetcher.py
@@ -1,4 +1,4 @@
-"""Fetches shared settings from peers when control sends none.
+"""Fetches shared settings from peers when the control processes send none.
 
 Every message between entries carries the sender's revision in force. An entry
 that stays behind for a while fetches the newer settings from that peer.
--- a/verbenathread/entry/settler.py
+++ b/verbenathread/entry/settler.py
@@ -84,6 +84,7 @@
             backoff = min(backoff * 2, _MAX_BACKOFF)
 
     def _try_settle(self, pending: _Pending, limit: Millis) -> bool:
+        """Return whether no further attempt is needed."""
         if self._clock.now() > pending.expires_at:
             _log.warning('Recording an outcome timed out.')
             return True
--- a/verbenathread/entry/trace_recorder.py
+++ b/verbenathread/entry/trace_recorder.py
@@ -31,7 +31,7 @@
             self._file = _open_file(path)
 
     def record(self, work: Work, output_tokens: int) -> None:
-        """Write one request; ``output_tokens`` is 0 if it was refused."""
+        """Write one request, with its expected output if it produced none."""
         if self._file is None:
             return
         request = TraceRequest(
--- a/verbenathread/membership/cell.py
+++ b/verbenathread/membership/cell.py
@@ -222,6 +222,7 @@
             extension.handle_message(message, reply)
         for upstream_hash in message.heard_asks:
             age = self._upstream_leases.renewal_age(upstream_hash, now)
+            # Sent plus one, since 0 stands for no renewal.
             reply.heard_ages.append(0 if age is None else age + 1)
         wire.add_responses(
             reply,
--- a/verbenathread/membership/lease_acceptor.py
+++ b/verbenathread/membership/lease_acceptor.py
@@ -69,6 +69,8 @@
 class LeaseAcceptor:
     """Handles requests of proposers; each node of a cell runs one.
 
+    An engine is identified by the hash of its upstream id.
+
     State is kept for every engine until the process ends, since dropping it
     would lose the promise. It takes a few hundred bytes for each engine.
     """
--- a/verbenathread/membership/peer_view.py
+++ b/verbenathread/membership/peer_view.py
@@ -58,11 +58,11 @@
         self._peer_clock = peer_clock
 
     def earliest_local_time(self, peer_time: Millis) -> Millis | None:
-        """Return a lower bound of a peer's clock time on the local clock.
+        """Return a lower bound, in local time, of a time on the peer's clock.
 
-        The peer read its clock after the message was sent, so ``peer_time``
-        is at least as long after the sending as it is after that reading;
-        the maximum drift in between is subtracted.
+        The peer read its clock no earlier than the message was sent. So the
+        time from that reading to ``peer_time`` is added to the sending time,
+        less the maximum drift. None if the peer's clock is not known.
         """
         if self._peer_clock is None:
             return None
--- a/verbenathread/membership/upstream_leases.py
+++ b/verbenathread/membership/upstream_leases.py
@@ -1,11 +1,11 @@
-"""Leases of upstreams, whose renewals reach any entry behind the balancer.
-
-Renewals are not gossiped. Each entry records when it last received a renewal
-of an upstream, and one entry, the coordinator of the upstream, queries the
-others once its own record grows old. It declares the lease expired only when
-every entry that it can reach, and a majority of the cell, replied after the
-end of the lease that they received no later renewal. So an isolated entry
-expires no lease.
+"""Leases of upstreams, whose renewals may reach any entry of the cell.
+
+A load balancer chooses the entry for each renewal, and renewals are not
+gossiped. Each entry records when it last received a renewal of an upstream,
+and one entry, the coordinator of the upstream, queries the others once its
+own record grows old. It declares the lease expired only when every entry that
+it can reach, and a majority of the cell, replied after the end of the lease
+that they received no later renewal. So an isolated entry expires no lease.
 """
 
 from collections.abc import Callable, Iterable
--- a/verbenathread/membership/wire.py
+++ b/verbenathread/membership/wire.py
@@ -153,7 +153,10 @@
 def decode_renewal_ages(
     message: peer_pb2.PeerMessage, reply: peer_pb2.PeerReply
 ) -> tuple[RenewalAge, ...]:
-    """Decode the renewal ages of the upstreams that a message queried."""
+    """Decode the renewal ages of the upstreams that a message queried.
+
+    An age is sent plus one, since 0 stands for no renewal.
+    """
     return tuple(
         RenewalAge(upstream_hash, age - 1 if age else None)
         for upstream_hash, age in zip(
