--- a/verbenathread/entry/http_frontend.py
+++ b/verbenathread/entry/http_frontend.py
@@ -77,7 +77,7 @@
         )
         self._recorder = recorder or TraceRecorder('', 0, clock)
         self.disconnect_watcher = DisconnectWatcher()
-        self._pump = StreamPoller(clock)
+        self._poller = StreamPoller(clock)
         self.reaper = Reaper(
             self.engine_client,
             interfaces.reservations,
@@ -100,7 +100,7 @@
     def start(self) -> None:
         """Start serving."""
         self.disconnect_watcher.start()
-        self._pump.start()
+        self._poller.start()
         self.reaper.start()
         self.settler.start()
         self.server.start()
@@ -122,7 +122,7 @@
         self.server.stop()
         self.settler.stop(max(0, deadline - self._clock.now()))
         self.reaper.stop(max(0, deadline - self._clock.now()))
-        self._pump.stop()
+        self._poller.stop()
         self.disconnect_watcher.stop()
         self._pool.close()
         self._recorder.close()
@@ -139,7 +139,7 @@
             interfaces.reservations,
             interfaces.upstreams,
             self.reaper,
-            self._pump,
+            self._poller,
             retries,
             metrics,
             owner,
--- a/verbenathread/entry/ledger_host.py
+++ b/verbenathread/entry/ledger_host.py
@@ -37,7 +37,7 @@
     """Reads what an engine holds."""
 
     async def holds(
-        self, record: UpstreamRecord, limit: Millis
+        self, record: UpstreamRecord, timeout: Millis
     ) -> Sequence[EngineHold]:
         """Return the attempts for which the engine holds memory.
 
--- a/verbenathread/entry/model_service.py
+++ b/verbenathread/entry/model_service.py
@@ -40,7 +40,7 @@
 from verbenathread.types import UpstreamKind, Work
 
 # Time after the deadline in which the timeout error can still be written.
-_FINAL_ANSWER_MS = 2000
+_FINAL_RESPONSE_MS = 2000
 
 
 class ModelDependencies(NamedTuple):
@@ -185,7 +185,7 @@
             UpstreamKind.ENGINE.value,
         )
         deadline = request_deadline(exchange, service, self._deps.clock)
-        exchange.set_write_deadline(deadline.expires_at + _FINAL_ANSWER_MS)
+        exchange.set_write_deadline(deadline.expires_at + _FINAL_RESPONSE_MS)
         work = self._build_work(exchange, account, call, service, deadline)
         disconnect = CallerDisconnect()
         request = ModelRequest(
--- a/verbenathread/entry/node_thread.py
+++ b/verbenathread/entry/node_thread.py
@@ -35,7 +35,7 @@
     """Reads what an engine holds, in a thread that may block."""
 
     def holds(
-        self, record: UpstreamRecord, limit: Millis
+        self, record: UpstreamRecord, timeout: Millis
     ) -> Sequence[EngineHold]:
         """Return the attempts for which the engine holds memory.
 
@@ -106,6 +106,6 @@
         self._reader = reader
 
     async def holds(
-        self, record: UpstreamRecord, limit: Millis
+        self, record: UpstreamRecord, timeout: Millis
     ) -> Sequence[EngineHold]:
-        return await asyncio.to_thread(self._reader.holds, record, limit)
+        return await asyncio.to_thread(self._reader.holds, record, timeout)
--- a/verbenathread/entry/plain_service.py
+++ b/verbenathread/entry/plain_service.py
@@ -59,11 +59,11 @@
     UpstreamRecord,
 )
 
-# Time in ms after the deadline to write the timeout response.
-_FINAL_RESPONSE_TIME = 2000
-# Time in ms after the deadline to keep trying to record an outcome.
-_SETTLE_TIME = 60_000
-_CLAIM_TIMEOUT = 5000
+# Time after the deadline to write the timeout response.
+_FINAL_RESPONSE_MS = 2000
+# Time after the deadline to keep trying to record an outcome.
+_SETTLE_TIMEOUT_MS = 60_000
+_CLAIM_TIMEOUT_MS = 5000
 _RETRY_AFTER_MS = 1000
 _MAX_KEY_LENGTH = 255
 # Index of the upstream's path in /services/NAME/PATH, split at slashes.
@@ -142,7 +142,7 @@
         )
         deadline = request_deadline(exchange, service, self._dependencies.clock)
         body = exchange.read_body()
-        exchange.set_write_deadline(deadline.expires_at + _FINAL_RESPONSE_TIME)
+        exchange.set_write_deadline(deadline.expires_at + _FINAL_RESPONSE_MS)
         call = build_plain_call(exchange, target, exchange.request_id, body)
         return _Request(
             exchange, account, name, service, call, deadline, CallerDisconnect()
@@ -222,7 +222,7 @@
     def _send_with_claim(self, request: _Request, key: str) -> None:
         attempt_id = uuid.uuid4().hex
         claim = self._claim_request(request, key, attempt_id)
-        limit = min(_CLAIM_TIMEOUT, request.deadline.remaining())
+        limit = min(_CLAIM_TIMEOUT_MS, request.deadline.remaining())
         try:
             reply = self._dependencies.claims.claim(claim, limit)
         except (VerbenathreadError, OSError) as exc:
@@ -275,7 +275,7 @@
             state=outcome,
             stored=stored,
         )
-        keep_for = request.deadline.remaining() + _SETTLE_TIME
+        keep_for = request.deadline.remaining() + _SETTLE_TIMEOUT_MS
         self._dependencies.settler.settle(settle, keep_for)
 
     def _claim_request(
