--- a/tests/entry_fakes.py
+++ b/tests/entry_fakes.py
@@ -218,7 +218,7 @@
         self.settles_to_fail = 0
         self.has_quorum = True
 
-    def claim(self, request, limit):
+    def claim(self, request, timeout):
         key = (request.account, request.service, request.idempotency_key)
         ok = control_pb2.Answer(code=control_pb2.OK)
         if not self.has_quorum:
@@ -248,7 +248,7 @@
                 answer=ok, state=settled.state, stored=settled.stored
             )
 
-    def settle(self, request, limit):
+    def settle(self, request, timeout):
         key = (request.account, request.service, request.idempotency_key)
         with self.lock:
             if self.settles_to_fail:
--- a/tests/node_network.py
+++ b/tests/node_network.py
@@ -53,7 +53,7 @@
         self.holds_by_id: dict[str, dict[str, EngineHold]] = {}
         self.unreadable: set[str] = set()
 
-    async def holds(self, record, limit):
+    async def holds(self, record, timeout):
         if record.upstream_id in self.unreadable:
             raise UnavailableError('the engine is unavailable')
         return tuple(self.holds_by_id.get(record.upstream_id, {}).values())
--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -40,7 +40,7 @@
         self.received = 0
         self.broken_streams = 0
         self.cancelled = set()
-        self.prefill = threading.Lock()
+        self.prefill_lock = threading.Lock()
 
     def reserve(self, request):
         """Hold memory for an attempt; return False if none is free.
@@ -104,7 +104,7 @@
                         'tokens': (start + _BLOCK_BYTES) // _BYTES_PER_TOKEN,
                     }
                 )
-        with self.prefill:
+        with self.prefill_lock:
             time.sleep(
                 uncached_bytes / _BYTES_PER_TOKEN / self.options.prefill_rate
             )
@@ -290,13 +290,19 @@
         action='store_true',
         help='use chunked encoding and keep the connection open',
     )
+    # End the answer without its final record.
     parser.add_argument('--truncate', action='store_true')
+    # Faults at one output position each; -1 for none: abort, name another
+    # attempt from there on, repeat a token, skip one.
     parser.add_argument('--die-at', type=int, default=-1)
     parser.add_argument('--cross-at', type=int, default=-1)
     parser.add_argument('--double-at', type=int, default=-1)
     parser.add_argument('--skip-at', type=int, default=-1)
+    # Seconds before a request is accepted.
     parser.add_argument('--late', type=float, default=0)
+    # Accept a request although its cancel arrived before it.
     parser.add_argument('--forget-cancels', action='store_true')
+    # Number of cancels, counted from the first, that have no effect.
     parser.add_argument('--refuse-cancels', type=int, default=0)
     return parser
 
--- a/tests/standins/service.py
+++ b/tests/standins/service.py
@@ -72,12 +72,16 @@
 def service_parser():
     parser = serving_parser(__doc__)
     parser.add_argument('--service', default='cot-ledger')
+    # Seconds that each booking takes.
     parser.add_argument('--slow', type=float, default=0)
+    # Abort before or after the booking, abort a GET, or answer with the
+    # identifier of another attempt.
     parser.add_argument(
         '--fault',
         choices=('none', 'die-before', 'die-after', 'drop-get', 'cross'),
         default='none',
     )
+    # How many calls get the fault.
     parser.add_argument('--faults', type=int, default=1)
     return parser
 
--- a/tests/test_entry_bad_input.py
+++ b/tests/test_entry_bad_input.py
@@ -37,13 +37,13 @@
 BAD_INPUTS = (
     ('no key', raw(COMPLETIONS, b'{}'), 401, 'invalid_api_key'),
     (
-        'wrong key',
+        'wrong method',
         raw('/v1/models', b'', ('Authorization', 'Bearer x')),
         404,
         'unknown_path',
     ),
     (
-        'wrong key, models',
+        'wrong key',
         raw('/v1/models', b'', ('Authorization', 'Bearer x'), method='GET'),
         401,
         'invalid_api_key',
@@ -212,8 +212,8 @@
                 self.assertTrue(error['message'])
         actual_status, members, _ = exchange(self.entry.address, call(CALL))
         self.assertEqual(actual_status, 200)
-        side = self.entry.frontend
-        self.assertTrue(wait_until(lambda: not side.server.busy))
-        self.assertEqual(side.body_budget.used_bytes, 0)
+        frontend = self.entry.frontend
+        self.assertTrue(wait_until(lambda: not frontend.server.busy))
+        self.assertEqual(frontend.body_budget.used_bytes, 0)
         self.assertEqual(self.entry.reservations.opened, 1)
         self.assertEqual(self.entry.reservations.released, 1)
--- a/tests/test_entry_cell_node.py
+++ b/tests/test_entry_cell_node.py
@@ -310,24 +310,27 @@
 
 
 class NodeThreadTest(unittest.TestCase):
-    def test_ports_work_from_worker_threads(self):
+    def test_interfaces_work_from_worker_threads(self):
         settings = node_settings('entry-0', 'entry-0@127.0.0.1:1')
         thread = NodeThread(settings)
         thread.start()
         self.assertFalse(thread.ready())
-        ports = thread.interfaces
-        ports.upstreams.announce(engine_record('e1'))
+        interfaces = thread.interfaces
+        interfaces.upstreams.announce(engine_record('e1'))
         self.assertEqual(
-            ports.upstreams.by_service('draft-desk'), (engine_record('e1'),)
+            interfaces.upstreams.by_service('draft-desk'),
+            (engine_record('e1'),),
         )
-        self.assertTrue(ports.upstreams.leave('e1', 1))
-        self.assertIs(ports.upstreams.get('e1').state, UpstreamState.LEAVING)
-        refused = ports.reservations.reserve(
+        self.assertTrue(interfaces.upstreams.leave('e1', 1))
+        self.assertIs(
+            interfaces.upstreams.get('e1').state, UpstreamState.LEAVING
+        )
+        refused = interfaces.reservations.reserve(
             Work('r', 'a', 'draft-desk', 9, 9, 9, SystemClock().now(), 0), 'a1'
         )
         self.assertIsInstance(refused, Refusal)
         with self.assertRaises(UnavailableError):
-            ports.claims.claim(control_pb2.ClaimRequest(), 200)
+            interfaces.claims.claim(control_pb2.ClaimRequest(), 200)
         thread.stop()
         with self.assertRaises(UnavailableError):
-            ports.upstreams.leave('e1', 1)
+            interfaces.upstreams.leave('e1', 1)
--- a/tests/test_membership_cell.py
+++ b/tests/test_membership_cell.py
@@ -10,7 +10,7 @@
 
 STARTUP_S = 9
 SPREAD_MS = 3000
-# Shorter than the comparison of digests takes, so that only a relay meets it.
+# Shorter than a repair by digests takes, so that only relayed records meet it.
 RELAY_MS = 500
 
 
