--- a/tests/entry_fakes.py
+++ b/tests/entry_fakes.py
@@ -218,7 +218,7 @@
         self.settles_to_fail = 0
         self.has_quorum = True
 
-    def claim(self, request, limit):
+    def claim(self, request, timeout):
         key = (request.account, request.service, request.idempotency_key)
         ok = control_pb2.Answer(code=control_pb2.OK)
         if not self.has_quorum:
@@ -248,7 +248,7 @@
                 answer=ok, state=settled.state, stored=settled.stored
             )
 
-    def settle(self, request, limit):
+    def settle(self, request, timeout):
         key = (request.account, request.service, request.idempotency_key)
         with self.lock:
             if self.settles_to_fail:
@@ -304,7 +304,10 @@
 
 
 def wait_until(condition, limit=10.0):
-    """Wait until ``condition`` holds; return whether it does."""
+    """Wait up to ``limit`` seconds until ``condition`` holds.
+
+    Returns whether it does.
+    """
     end = time.monotonic() + limit
     while time.monotonic() < end:
         if condition():
