--- a/tools/make_trace.py
+++ b/tools/make_trace.py
@@ -12,7 +12,7 @@
 )
 from verbenathread.replay.trace import write_trace
 
-_MS = 1000
+_MS_PER_SECOND = 1000
 
 
 def main() -> int:
@@ -26,7 +26,9 @@
     options = parser.parse_args()
     deployment = DEPLOYMENT_BY_NAME[options.deployment]
     mix = MIX_BY_DEPLOYMENT[options.deployment]
-    shape = LoadShape(options.load, options.seconds * _MS, options.seed)
+    shape = LoadShape(
+        options.load, options.seconds * _MS_PER_SECOND, options.seed
+    )
     requests = TraceGenerator(deployment, mix, shape).requests()
     write_trace(options.path, requests)
     sys.stdout.write(f'{len(requests)} requests in {options.path}\n')
--- a/verbenathread/replay/command.py
+++ b/verbenathread/replay/command.py
@@ -12,10 +12,10 @@
 from verbenathread.replay.results import Violations
 from verbenathread.replay.trace import read_trace
 
-_EXIT_BROKEN = 1
+_EXIT_VIOLATION = 1
 # Account limits as a multiple of the mean rate in the trace.
 _LIMIT_MULTIPLE = 3
-_MS = 1000
+_MS_PER_SECOND = 1000
 
 
 def run_replay(options: argparse.Namespace) -> CommandOutput:
@@ -36,14 +36,14 @@
         ),
     )
     measures = measure(result, deployment.client_latency_ms)
-    is_broken = any(result.violations) or measures.missed
+    has_violation = any(result.violations) or measures.missed
     data = {
         **measures._asdict(),
         'first_tokens': [first._asdict() for first in measures.first_tokens],
         'violations': result.violations._asdict(),
     }
     text = _text(measures, result.violations)
-    return CommandOutput(text, data, _EXIT_BROKEN if is_broken else 0)
+    return CommandOutput(text, data, _EXIT_VIOLATION if has_violation else 0)
 
 
 def _parse_deaths(words: list[str]) -> list[tuple[int, int]]:
@@ -55,7 +55,7 @@
             raise UsageError(
                 f'{word} is not POSITION@SECONDS, for example 3@30.'
             )
-        pairs.append((int(position), int(seconds) * _MS))
+        pairs.append((int(position), int(seconds) * _MS_PER_SECOND))
     return pairs
 
 
--- a/verbenathread/replay/deployment.py
+++ b/verbenathread/replay/deployment.py
@@ -30,7 +30,7 @@
 
 _TILLERY_ENGINES = 20
 _FBIS_ENGINES = 15
-_WITHIN_CENTRE_MS = 0.2
+_INTRA_CENTRE_MS = 0.2
 
 TILLERY = Deployment(
     name='tillery-night',
@@ -39,7 +39,7 @@
     entries=9,
     data_centres=('jackson-ms', 'mobile-al', 'shreveport-la'),
     inter_centre_ms=0.5,
-    intra_centre_ms=_WITHIN_CENTRE_MS,
+    intra_centre_ms=_INTRA_CENTRE_MS,
     client_latency_ms=3,
 )
 FBIS = Deployment(
@@ -49,7 +49,7 @@
     entries=9,
     data_centres=('be-central-a', 'be-central-b', 'be-central-c'),
     inter_centre_ms=1,
-    intra_centre_ms=_WITHIN_CENTRE_MS,
+    intra_centre_ms=_INTRA_CENTRE_MS,
     client_latency_ms=1,
 )
 DEPLOYMENT_BY_NAME = MappingProxyType(
--- a/verbenathread/replay/engine.py
+++ b/verbenathread/replay/engine.py
@@ -15,6 +15,7 @@
 from verbenathread.scheduling.prefixes import BLOCK_TOKENS, covered_tokens
 from verbenathread.types import NodeId, UpstreamId
 
+# Rounding error that is allowed in steps and in tokens of work.
 _TOLERANCE = 1e-6
 # Sorts a prefill in its last chunk before every other priority.
 _LAST_CHUNK_PRIORITY = -1000
@@ -91,7 +92,9 @@
     def __init__(self, job: Job, listener: JobListener, work: float) -> None:
         self.job = job
         self.listener = listener
+        # In tokens of a short prompt, as from EngineRates.prefill_work.
         self.remaining_work = work
+        # Step of the engine in which the last token is decoded.
         self.finish_step: float = 0
         self.is_prefilled = False
 
@@ -164,7 +167,7 @@
         self._advance()
         self._decoding.pop(attempt_id, None)
         self._prefilling = [
-            entry for entry in self._prefilling if entry[2] is not run
+            queued for queued in self._prefilling if queued[2] is not run
         ]
         if run.is_prefilled:
             free_tokens = self.rates.memory_tokens - self.used_tokens()
@@ -222,6 +225,8 @@
         )
         self._prefilling.sort(key=lambda queued: queued[:2])
         if self._prefilling[0][2] is run:
+            # The new prefill starts once the current chunk has ended, so the
+            # work that is left of that chunk is moved to it.
             chunk_rest = head.remaining_work % chunk
             head.remaining_work -= chunk_rest
             run.remaining_work += chunk_rest
--- a/verbenathread/replay/event_loop.py
+++ b/verbenathread/replay/event_loop.py
@@ -46,7 +46,7 @@
         self.now = until
 
 
-class LoopClock:
+class VirtualClock:
     """Clock of an event loop, in the form that the scheduling code takes."""
 
     def __init__(self, loop: EventLoop) -> None:
--- a/verbenathread/replay/fleet.py
+++ b/verbenathread/replay/fleet.py
@@ -10,7 +10,7 @@
 )
 from verbenathread.replay.engine import Engine, Job
 from verbenathread.replay.entry import Entry
-from verbenathread.replay.event_loop import EventLoop, LoopClock
+from verbenathread.replay.event_loop import EventLoop, VirtualClock
 from verbenathread.replay.group_run import GroupRun
 from verbenathread.replay.owner import Answer, EngineOwner, LedgerAction
 from verbenathread.replay.results import RequestResult
@@ -85,7 +85,7 @@
             upstream_id,
             engine.rates.memory_tokens,
             self._policy,
-            LoopClock(self.loop),
+            VirtualClock(self.loop),
             self._tuning,
         )
         ledger.restore(engine.holds())
--- a/verbenathread/replay/generator.py
+++ b/verbenathread/replay/generator.py
@@ -14,8 +14,8 @@
 _MAX_PROMPT_TOKENS = 1000000
 _LONG_PROMPT_TOKENS = 100000
 _MAX_OUTPUT_TOKENS = 1024
-_MS = 1000
-_SAMPLES = 4000
+_MS_PER_SECOND = 1000
+_SAMPLES_PER_BAND = 4000
 _HASH_BITS = 63
 _HASH_BYTES = 8
 # Standard deviation of the logarithm of the output length.
@@ -151,7 +151,7 @@
         drawn: list[TraceRequest] = []
         time = float(begin)
         while True:
-            time += self._rng.expovariate(rate) * _MS
+            time += self._rng.expovariate(rate) * _MS_PER_SECOND
             if time >= end:
                 return drawn
             drawn.append(self._draw_request(int(time), band, account))
@@ -204,6 +204,7 @@
 
     def _draw_hashes(self, account: str, tokens: int) -> tuple[int, ...]:
         rng = self._rng
+        # Prefixes end after 1, 2, 4, ... blocks.
         count = 0
         while _BLOCK_TOKENS << count <= tokens:
             count += 1
@@ -249,7 +250,9 @@
     output = sum(mix.median_output_range) / 2
     streams = rates.chunk_tokens * output / work
     step = rates.step_ms(int(streams), prefilling=True)
-    return deployment.engines * _MS * rates.chunk_tokens / (work * step)
+    return (
+        deployment.engines * _MS_PER_SECOND * rates.chunk_tokens / (work * step)
+    )
 
 
 def _band_work(
@@ -257,10 +260,10 @@
 ) -> float:
     """Return a band's contribution to the mean prefill work per request."""
     total: float = 0
-    for _ in range(_SAMPLES):
+    for _ in range(_SAMPLES_PER_BAND):
         tokens = draw_length(band, rng)
         work = rates.prefill_work(tokens)
         if tokens + _MAX_OUTPUT_TOKENS > rates.memory_tokens:
             work *= rates.group_overhead
         total += work
-    return total / _SAMPLES * band.share
+    return total / _SAMPLES_PER_BAND * band.share
--- a/verbenathread/replay/measures.py
+++ b/verbenathread/replay/measures.py
@@ -13,7 +13,7 @@
 _MIDDLE_PROMPT_TOKENS = 32768
 _LONGER_PROMPT_TOKENS = 131072
 _LONGEST_PROMPT_TOKENS = 1048576
-_MS = 1000
+_MS_PER_SECOND = 1000
 _P50 = 0.5
 _P95 = 0.95
 _P99 = 0.99
@@ -60,12 +60,12 @@
     failed: int
     missed: int
     lost: int
-    # Prompts over 100,000 tokens.
+    # Requests with prompts over 100,000 tokens.
     long_requests: int
     long_refused: int
     long_unfinished: int
-    # Requests per second that met their deadline before the last arrival.
-    # Later ones are left out, since the load drops once the trace ends.
+    # Requests per second that completed before the last arrival. Later ones
+    # are left out, since the load drops once the trace ends.
     good_rate: float
     attempts: int
 
@@ -95,7 +95,9 @@
         long_unfinished=len(long)
         - _count(long, RequestOutcome.REFUSED)
         - _count(long, RequestOutcome.COMPLETED),
-        good_rate=_completed_during(result) * _MS / max(1, result.duration),
+        good_rate=_completed_during(result)
+        * _MS_PER_SECOND
+        / max(1, result.duration),
         attempts=result.attempts,
     )
 
--- a/verbenathread/replay/pending.py
+++ b/verbenathread/replay/pending.py
@@ -147,7 +147,7 @@
     ) -> None:
         """Renew a reservation; ``lost`` runs if the owner has dropped it."""
 
-        def apply(ledger: EngineLedger) -> None:  # noqa: WPS430 - binds.
+        def apply(ledger: EngineLedger) -> None:  # noqa: WPS430 - closure
             if ledger.renew(reservation.reservation_id) is None:
                 self._environment.call_later(_RENEWAL_REPLY_MS, lost)
 
--- a/verbenathread/replay/policies.py
+++ b/verbenathread/replay/policies.py
@@ -147,7 +147,7 @@
 def tuned_policy(name: str, tuning: Tuning) -> Policy:
     """Return the production policy with the given tuning."""
 
-    def make(inputs: ChooserInputs) -> EngineChooser:  # noqa: WPS430 - binds.
+    def make(inputs: ChooserInputs) -> EngineChooser:  # noqa: WPS430 - closure
         return Router(inputs.policy, inputs.rng, tuning, inputs.prefixes)
 
     return Policy(name, make, tuning)
--- a/verbenathread/replay/replay.py
+++ b/verbenathread/replay/replay.py
@@ -33,11 +33,12 @@
 # Time in ms after the last deadline for cancels to be confirmed and leases to
 # expire.
 _SETTLE_TIME: Millis = 10000
-_MS = 1000
-# Lower bounds of an account's rate limits.
+_MS_PER_SECOND = 1000
+# Lowest rate limits of an account.
 _MIN_REQUESTS_PER_SECOND = 5
 _MIN_TOKENS_PER_SECOND = 100000
-_LONG_PROMPTS = 32
+# Limit of the long prompts that an account has in progress.
+_MAX_LONG_PROMPTS = 32
 
 
 def default_policy() -> settings_pb2.PolicySettings:
@@ -94,7 +95,7 @@
     def run(
         self, trace: Sequence[TraceRequest], faults: Faults = NO_FAULTS
     ) -> ReplayResult:
-        """Run the trace until every request has ended and leases expired."""
+        """Run the trace until all requests have ended and all leases expired."""
         for number, request in enumerate(trace):
             self._loop.call_at(request.arrival, self._arrive, number, request)
         last_limit = max(
@@ -150,7 +151,10 @@
 def limits_for(
     trace: Sequence[TraceRequest], multiple: float = 1e6
 ) -> dict[str, settings_pb2.AccountSettings]:
-    """Return limits that are a multiple of each account's mean rate."""
+    """Return limits that are a multiple of each account's mean rate.
+
+    The default multiple is too large to limit anything.
+    """
     duration = max((request.arrival for request in trace), default=1)
     count_by_account: dict[str, int] = {}
     tokens_by_account: dict[str, int] = {}
@@ -162,13 +166,14 @@
     return {
         name: settings_pb2.AccountSettings(
             requests_per_second=max(
-                _MIN_REQUESTS_PER_SECOND, count * _MS / duration * multiple
+                _MIN_REQUESTS_PER_SECOND,
+                count * _MS_PER_SECOND / duration * multiple,
             ),
             tokens_per_second=max(
                 _MIN_TOKENS_PER_SECOND,
-                tokens_by_account[name] * _MS / duration * multiple,
+                tokens_by_account[name] * _MS_PER_SECOND / duration * multiple,
             ),
-            long_prompts=_LONG_PROMPTS,
+            long_prompts=_MAX_LONG_PROMPTS,
             weight=1,
         )
         for name, count in count_by_account.items()
--- a/verbenathread/replay/results.py
+++ b/verbenathread/replay/results.py
@@ -36,10 +36,15 @@
 class Violations(NamedTuple):
     """Counts of violated invariants in a replay; each must be zero."""
 
+    # Requests that ended after their time limit.
     past_limit: int
+    # Jobs whose start exceeded the memory of their engine.
     memory_over: int
+    # Engines and ledgers with memory still in use at the end.
     holds_left: int
+    # Attempts that started while another of their request was running.
     run_twice: int
+    # Difference between the number of requests and of results.
     unanswered: int
 
 
@@ -49,4 +54,5 @@
     results: tuple[RequestResult, ...]
     violations: Violations
     attempts: int
+    # Time of the last arrival, in ms.
     duration: float
