--- a/tests/test_entry_connections.py
+++ b/tests/test_entry_connections.py
@@ -3,7 +3,7 @@
 import unittest
 
 from tests.standins.processes import LocalStandIn
-from tools.bench import generate_order
+from tools.bench import generate_request
 from verbenathread.clock import SystemClock
 from verbenathread.entry.connections import ConnectionPool
 from verbenathread.settings.node import parse_address
@@ -16,7 +16,7 @@
         engine = LocalStandIn('engine', '--chunked', '--decode-rate', '200')
         self.addCleanup(engine.stop)
         address = parse_address(engine.address)
-        body = generate_order(0).partition(b'\r\n\r\n')[2]
+        body = generate_request(0).partition(b'\r\n\r\n')[2]
         clock = SystemClock()
         for whole, clean in ((True, True), (False, True), (True, False)):
             with self.subTest(whole=whole, clean=clean):
--- a/tools/bench.py
+++ b/tools/bench.py
@@ -125,7 +125,7 @@
         direct_ms = []
         relayed_ms = []
         for number in range(_PAIRS):
-            direct_ms.append(_timed(engine, generate_order(number)))
+            direct_ms.append(_timed(engine, generate_request(number)))
             relayed_ms.append(_timed(self._address, completion(1, stream=True)))
         direct_median = statistics.median(direct_ms)
         return [
@@ -199,7 +199,7 @@
     return _request('/v1/completions', json.dumps(call).encode())
 
 
-def generate_order(number: int) -> bytes:
+def generate_request(number: int) -> bytes:
     """Return the same request as sent to an engine."""
     order = {
         'attempt_id': f'bench-{number}',
