--- a/tools/bench.py
+++ b/tools/bench.py
@@ -1,7 +1,7 @@
 """Measure the cost of one entry process: CPU, memory and added delay.
 
 An entry with in-memory peers and engine stand-ins run as processes on
-loopback. Prints figures beside their targets and passes no verdict.
+loopback. Prints the figures beside their targets but doesn't compare them.
 """
 
 import argparse
@@ -25,15 +25,16 @@
 _STREAMS = 200
 _TOKENS_PER_STREAM = 110
 _TOKENS_PER_SECOND = 22
-_STARTED_SHARE = 0.15
-_STEADY_SHARE = 0.9
+# Shares of all tokens between which the streams are measured.
+_MEASURE_FROM_SHARE = 0.15
+_MEASURE_UNTIL_SHARE = 0.9
 _ENGINES = 4
 _REQUESTS = 1000
 _PAIRS = 300
 _READ_BYTES = 65536
-_SOCKET_SECONDS = 10
-# Limit for all streams to end.
-_LOAD_SECONDS = 60
+_SOCKET_TIMEOUT_SECONDS = 10
+# Time limit for all streams to end.
+_LOAD_TIMEOUT_SECONDS = 60
 _MICROS_PER_MS = 1000
 _MS_PER_SECOND = 1000
 _CALIBRATION_STEPS = 2_000_000
@@ -59,7 +60,9 @@
         """Start the entry."""
         self._entry = StandIn('entry', '--streams', str(_STREAMS + 56))
         self._address = parse_address(self._entry.address)
-        self._started = ManagedProcess('entry', self._entry.process, Path())
+        self._managed_entry = ManagedProcess(
+            'entry', self._entry.process, Path()
+        )
         self._engines: list[StandIn] = []
 
     def close(self) -> None:
@@ -69,7 +72,7 @@
         self._entry.kill()
 
     def use_engines(self, count: int, *options: str) -> Address:
-        """Replace the engines by new ones; return the address of the first."""
+        """Replace the engines with new ones; return the first one's address."""
         for engine in self._engines:
             engine.announce(self._address, verb='leave')
             engine.kill()
@@ -82,12 +85,14 @@
         """Measure short requests, sent in sequence on one connection."""
         self.use_engines(1, '--answer-tokens', '1')
         content = completion(1, stream=False)
-        with socket.create_connection(self._address, _SOCKET_SECONDS) as sock:
+        with socket.create_connection(
+            self._address, _SOCKET_TIMEOUT_SECONDS
+        ) as sock:
             _exchange(sock, content)
-            before = self._started.cpu_ms()
+            before = self._managed_entry.cpu_ms()
             for _ in range(_REQUESTS):
                 _exchange(sock, content)
-            used = self._started.cpu_ms() - before
+            used = self._managed_entry.cpu_ms() - before
         return [Figure('request', used / _REQUESTS, 'ms', 5)]
 
     def streams(self) -> list[Figure]:
@@ -98,18 +103,18 @@
             f'--answer-tokens={_TOKENS_PER_STREAM}',
         )
         load = Load(self._address, _STREAMS)
-        # Leaves out the start and end of the streams, which are costs per
-        # request.
+        # Leaves out the start and end of the streams, whose cost grows with
+        # the number of requests rather than that of tokens.
         all_tokens = _STREAMS * _TOKENS_PER_STREAM
-        load.run_until(lambda: load.tokens >= _STARTED_SHARE * all_tokens)
-        before = self._started.cpu_ms()
+        load.run_until(lambda: load.tokens >= _MEASURE_FROM_SHARE * all_tokens)
+        before = self._managed_entry.cpu_ms()
         tokens_before = load.tokens
         peak = 0
         since = time.monotonic()
-        while load.tokens < _STEADY_SHARE * all_tokens:
+        while load.tokens < _MEASURE_UNTIL_SHARE * all_tokens:
             load.poll()
-            peak = max(peak, self._started.resident_bytes())
-        used = self._started.cpu_ms() - before
+            peak = max(peak, self._managed_entry.resident_bytes())
+        used = self._managed_entry.cpu_ms() - before
         took = time.monotonic() - since
         tokens = load.tokens - tokens_before
         load.run_until(lambda: load.ended == _STREAMS)
@@ -145,11 +150,11 @@
         """Open ``count`` connections and send a request on each."""
         self.tokens = 0
         self.ended = 0
-        self._until = time.monotonic() + _LOAD_SECONDS
+        self._until = time.monotonic() + _LOAD_TIMEOUT_SECONDS
         self._selector = selectors.DefaultSelector()
         content = completion(_TOKENS_PER_STREAM, stream=True)
         for _ in range(count):
-            sock = socket.create_connection(address, _SOCKET_SECONDS)
+            sock = socket.create_connection(address, _SOCKET_TIMEOUT_SECONDS)
             sock.sendall(content)
             self._selector.register(sock, selectors.EVENT_READ)
 
@@ -200,8 +205,8 @@
 
 
 def generate_request(number: int) -> bytes:
-    """Return the same request as sent to an engine."""
-    order = {
+    """Return the same request as an entry sends it to an engine."""
+    fields = {
         'attempt_id': f'bench-{number}',
         'request_id': 'bench',
         'prompt': 'any cot tonight?',
@@ -209,7 +214,7 @@
         'owner': {'node': 'bench', 'incarnation': 1},
         'resume_from': {'position': 0, 'text': ''},
     }
-    return _request('/v1/generate', json.dumps(order).encode())
+    return _request('/v1/generate', json.dumps(fields).encode())
 
 
 def _request(path: str, content: bytes) -> bytes:
@@ -235,7 +240,7 @@
 
 def _timed(address: Address, content: bytes) -> float:
     """Return ms until the first token on a new connection."""
-    with socket.create_connection(address, _SOCKET_SECONDS) as sock:
+    with socket.create_connection(address, _SOCKET_TIMEOUT_SECONDS) as sock:
         started = time.perf_counter()
         sock.sendall(content)
         received = b''
--- a/tools/bench_consensus.py
+++ b/tools/bench_consensus.py
@@ -30,12 +30,12 @@
 
 _CHANGES = 640
 _CHANGE = bytes(200)
-_MANY = 32
+_MANY_PROPOSERS = 32
 _LOOPBACK = '127.0.0.1'
 _SEEDS = 20
 _IDLE_SECONDS = 30
-_LIMIT_MS = 30_000
-_ERROR_LEVEL = 50
+_TIME_LIMIT_MS = 30_000
+_CRITICAL_LEVEL = 50
 
 
 def print_figure(name: str, figure: object) -> None:
@@ -55,7 +55,7 @@
     """Propose ``count`` changes in sequence."""
     remaining = count
     while remaining:
-        await replica.propose(_CHANGE, _LIMIT_MS)
+        await replica.propose(_CHANGE, _TIME_LIMIT_MS)
         remaining -= 1
 
 
@@ -63,7 +63,7 @@
     """Return the number of syncs of the leader per change."""
     async with Group(snapshot_records=10 * _CHANGES) as group:
         leader: Replica = group.replicas[await group.leader()]
-        await leader.propose(b'first', _LIMIT_MS)
+        await leader.propose(b'first', _TIME_LIMIT_MS)
         before = leader.status().sync_count
         await propose_in(proposers, leader)
         return (leader.status().sync_count - before) / _CHANGES
@@ -110,9 +110,9 @@
     async def _accept(self, reader: Any, writer: Any) -> None:
         target = await asyncio.open_connection(_LOOPBACK, self.target)
         for source, sink in ((reader, target[1]), (target[0], writer)):
-            self.tasks.append(asyncio.create_task(self._pass(source, sink)))
+            self.tasks.append(asyncio.create_task(self._forward(source, sink)))
 
-    async def _pass(self, source: Any, sink: Any) -> None:
+    async def _forward(self, source: Any, sink: Any) -> None:
         content = await source.read(65536)
         while content:
             self.bytes += len(content)
@@ -122,16 +122,16 @@
 
 
 async def start_node(
-    me: Peer, peers: tuple[Peer, ...], relay: Relay, folder: Path
+    local_peer: Peer, peers: tuple[Peer, ...], relay: Relay, folder: Path
 ) -> Replica:
     """Start one replica, reachable through its relay."""
     replica = Replica(
-        settings=ReplicaSettings(me, 'bench', peers),
-        storage=FileStorage(folder / me.node_id),
+        settings=ReplicaSettings(local_peer, 'bench', peers),
+        storage=FileStorage(folder / local_peer.node_id),
         machine=ListMachine(),
         transport=RpcTransport('bench', 'key'),
         clock=SystemClock(),
-        random=random.Random(me.node_id),
+        random=random.Random(local_peer.node_id),
     )
     # With an explicit protocol: otherwise the event loop doesn't recognise TCP
     # and leaves Nagle's algorithm enabled.
@@ -152,12 +152,12 @@
     for number, address in enumerate(addresses):
         peers.append(Peer(f'n{number}', address))
     nodes = []
-    for me, relay in zip(peers, relays, strict=True):
-        nodes.append(start_node(me, tuple(peers), relay, folder))
+    for local_peer, relay in zip(peers, relays, strict=True):
+        nodes.append(start_node(local_peer, tuple(peers), relay, folder))
     replicas = await asyncio.gather(*nodes)
     leader = await find_leader(replicas)
     await measure_throughput(1, leader)
-    await measure_throughput(_MANY, leader)
+    await measure_throughput(_MANY_PROPOSERS, leader)
     await measure_idle(relays)
     await asyncio.gather(*(replica.stop() for replica in replicas))
 
@@ -186,8 +186,8 @@
     print_figure(
         'idle group of 3 on sockets',
         f'{sent / _IDLE_SECONDS:.0f} bytes/s in all, '
-        f'{used / _IDLE_SECONDS * 1000:.1f} ms/s of processor for all three '
-        'and the counting relays',
+        f'{used / _IDLE_SECONDS * 1000:.1f} ms/s of processor time for all '
+        'three and the relays that count bytes',
     )
 
 
@@ -203,9 +203,9 @@
 def main() -> int:
     """Print every figure."""
     structlog.configure(
-        wrapper_class=structlog.make_filtering_bound_logger(_ERROR_LEVEL)
+        wrapper_class=structlog.make_filtering_bound_logger(_CRITICAL_LEVEL)
     )
-    for proposers in (1, _MANY):
+    for proposers in (1, _MANY_PROPOSERS):
         print_figure(
             f'leader syncs per change, {proposers} proposers',
             f'{run_virtual(count_syncs(proposers)):.2f}',
--- a/tools/bench_decisions.py
+++ b/tools/bench_decisions.py
@@ -1,6 +1,6 @@
 """Measure processor time per decision, by workers and client accounts.
 
-Prints figures and passes no verdict. Run it on an idle machine.
+Prints the figures without checking them. Run it on an idle machine.
 """
 
 import argparse
@@ -26,11 +26,11 @@
 _ACCOUNTS = (10, 570)
 _ROUNDS = 2000
 _ENTRIES = 9
-_PROMPT = 3000
-_OUTPUT = 200
-_LIMIT: int = 60000
+_PROMPT_TOKENS = 3000
+_OUTPUT_TOKENS = 200
+_TIME_LIMIT_MS: int = 60000
 _US_PER_S = 1e6
-_LIMITS = settings_pb2.AccountSettings(
+_ACCOUNT_LIMITS = settings_pb2.AccountSettings(
     requests_per_second=1e6, tokens_per_second=1e12, long_prompts=100
 )
 
@@ -49,10 +49,10 @@
         request_id=f'r{number}',
         account=f'a{number % accounts}',
         service='model',
-        prompt_tokens=_PROMPT,
-        most_output_tokens=_OUTPUT,
-        expected_output_tokens=_OUTPUT,
-        deadline=number + _LIMIT,
+        prompt_tokens=_PROMPT_TOKENS,
+        most_output_tokens=_OUTPUT_TOKENS,
+        expected_output_tokens=_OUTPUT_TOKENS,
+        deadline=number + _TIME_LIMIT_MS,
         arrival=number,
     )
 
@@ -91,8 +91,8 @@
 
     def admit(number: int) -> None:  # noqa: WPS430 - the call to be timed.
         work = _work(number, accounts)
-        admission.admit(work, _LIMITS, policy, records, number)
-        admission.finish(work, policy, _OUTPUT, number)
+        admission.admit(work, _ACCOUNT_LIMITS, policy, records, number)
+        admission.finish(work, policy, _OUTPUT_TOKENS, number)
 
     return admit
 
@@ -115,15 +115,17 @@
         if isinstance(outcome, Reservation):
             ledger.mark_started(outcome.reservation_id)
             ledger.record_progress(outcome.reservation_id, 1)
-            ledger.release(outcome.reservation_id, _OUTPUT)
+            ledger.release(outcome.reservation_id, _OUTPUT_TOKENS)
         ledger.take_grants()
 
     return reserve
 
 
 def _reservation_request(number: int) -> ReservationRequest:
-    work = _work(number, 1)._replace(deadline=_LIMIT * _ROUNDS)
-    return ReservationRequest(work, work.request_id, 'n1', _PROMPT + _OUTPUT)
+    work = _work(number, 1)._replace(deadline=_TIME_LIMIT_MS * _ROUNDS)
+    return ReservationRequest(
+        work, work.request_id, 'n1', _PROMPT_TOKENS + _OUTPUT_TOKENS
+    )
 
 
 def measure() -> list[Cost]:
--- a/tools/bounds.py
+++ b/tools/bounds.py
@@ -1,5 +1,6 @@
-"""Replay the scenarios and the baselines and check the stated bounds.
+"""Replay the scenarios and check the bounds that the current policy must keep.
 
+The load scenarios also run under the baseline policies, for comparison.
 Prints one line per scenario and policy. KNOWN-RED.txt may list bounds that
 are known to fail, each as a line ``bound: NAME``; the exit code is 0 when no
 other bound fails.
@@ -38,7 +39,9 @@
 _SHORT_FIRST_TOKEN_MS = 630
 _SHORT_SLOWDOWN = 1.25
 _LONG_REFUSED_SHARE = 0.02
+# Goodput at 120 % of the capacity relative to that at 95 %.
 _GOODPUT_KEPT = 0.9
+# p95 first token of the other accounts in a flood, relative to that without.
 _FLOOD_CHANGE = 1.1
 
 
--- a/tools/build_binary.py
+++ b/tools/build_binary.py
@@ -1,7 +1,8 @@
 """Build dist/verbenathread, a single-file executable archive.
 
 It contains the package and its pinned run-time libraries, as installed in this
-environment, and runs in the process of the interpreter.
+environment, and runs inside the interpreter that starts it, without a child
+process.
 """
 
 import shutil
--- a/tools/cell_cost.py
+++ b/tools/cell_cost.py
@@ -35,7 +35,6 @@
     engines: int
 
 
-# Sizes to measure: entries and engines.
 _SIZES = (
     Size(3, 20),
     Size(9, 20),
@@ -45,15 +44,16 @@
     Size(12, 60),
     Size(12, 100),
 )
-_WARM_S = 12
-_RENEW_S = 2
+_SETTLE_SECONDS = 12
+# Every engine renews once in this time.
+_RENEW_SECONDS = 2
 _CHANGES = 40
-_CHANGE_S = 0.25
+_CHANGE_SECONDS = 0.25
 _RESERVATIONS = 400
 _CONCURRENCY = 32
-# Requests a second of one entry: 5,500 in all over 320 nodes.
-_RATE = 17
-_HOLD_S = 0.25
+# Requests a second of one entry: 5,500 in total over 320 nodes.
+_REQUEST_RATE = 17
+_HALF_HOLD_SECONDS = 0.25
 _DEADLINE_MS = 600_000
 _PERCENT = 100
 _MS_PER_SECOND = 1000
@@ -121,7 +121,7 @@
             self.nodes.append(node)
             await node.start(listener)  # noqa: WPS476 - one at a time
         self._renewals = asyncio.create_task(self._renew())
-        await asyncio.sleep(_WARM_S)
+        await asyncio.sleep(_SETTLE_SECONDS)
 
     async def close(self) -> None:
         """Close every entry."""
@@ -141,7 +141,7 @@
         node.cell.announce(engine_record(name)._replace(models=models))
 
     async def _renew(self) -> None:
-        pause = _RENEW_S / len(self._names)
+        pause = _RENEW_SECONDS / len(self._names)
         for name in itertools.cycle(self._names):
             node = self._rng.choice(self.nodes)
             record = node.cell.table.get(name) or engine_record(name)
@@ -156,7 +156,7 @@
         task = asyncio.create_task(_hold_shortly(node, f'{prefix}-{number}'))
         running.add(task)
         task.add_done_callback(running.discard)
-        await asyncio.sleep(1 / _RATE)  # noqa: WPS476 - a steady rate
+        await asyncio.sleep(1 / _REQUEST_RATE)  # noqa: WPS476 - a steady rate
 
 
 async def _hold_shortly(node: CellNode, name: str) -> None:
@@ -164,9 +164,9 @@
     if not isinstance(granted, Reservation):
         raise RuntimeError(f'not granted: {granted}')
     node.reservations.report_started(granted)
-    await asyncio.sleep(_HOLD_S)
+    await asyncio.sleep(_HALF_HOLD_SECONDS)
     node.reservations.report_progress(granted, 1)
-    await asyncio.sleep(_HOLD_S)
+    await asyncio.sleep(_HALF_HOLD_SECONDS)
     node.reservations.release(granted, output_tokens=100, failed=False)
 
 
@@ -198,7 +198,7 @@
     before = _take_snapshot()
     for _ in range(_CHANGES):
         cell.change()
-        await asyncio.sleep(_CHANGE_S)  # noqa: WPS476 - a steady rate
+        await asyncio.sleep(_CHANGE_SECONDS)  # noqa: WPS476 - a steady rate
     busy = _cost(before, entries)
     loads = [
         asyncio.create_task(_serve_steadily(node, str(number)))
@@ -210,11 +210,13 @@
     steady = _cost(before, entries)
     for load in loads:
         load.cancel()
-    per_change = (busy.bytes_per_second - idle.bytes_per_second) * _CHANGE_S
+    per_change = (
+        busy.bytes_per_second - idle.bytes_per_second
+    ) * _CHANGE_SECONDS
     for line in (
         f'{entries} entries, {engines} engines, {cell.owned()} owned:',
         f'  idle: {idle}',
-        f'  {_RATE} requests a second: {steady}',
+        f'  {_REQUEST_RATE} requests a second: {steady}',
         f'  {per_change:.0f} bytes a change',
     ):
         sys.stdout.write(f'{line}\n')
@@ -267,8 +269,8 @@
         count = _RESERVATIONS // concurrency * concurrency
         sys.stdout.write(
             f'{name}: {(now.at - before.at) / count * _MS_PER_SECOND:.2f} ms '
-            f'each, {(now.cpu - before.cpu) / count * _MS_PER_SECOND:.2f} ms of '
-            f'processor time over both ends, '
+            f'each, {(now.cpu - before.cpu) / count * _MS_PER_SECOND:.2f} ms '
+            f'of processor time at both ends, '
             f'{count / (now.at - before.at):.0f} a second\n'
         )
     await cell.close()
@@ -293,8 +295,12 @@
     """Print the cost of reservations, then the cost of each size."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--seconds', type=float, default=seconds(15_000))
-    parser.add_argument('--entries', type=int, default=0)
-    parser.add_argument('--engines', type=int, default=0)
+    parser.add_argument(
+        '--entries', type=int, default=0, help='measure one cell of this size'
+    )
+    parser.add_argument(
+        '--engines', type=int, default=0, help='engines of that cell'
+    )
     options = parser.parse_args(arguments)
     configure('warning', 'text')
     _count_traffic()
--- a/tools/control_cost.py
+++ b/tools/control_cost.py
@@ -1,8 +1,8 @@
 """Measure a control group: cost per session, change and claim, and memory.
 
 The group is three processes on loopback with synced disks. The sessions and
-the client run in this process, whose own time is not counted. Prints figures
-and passes no verdict.
+the client run in this process, whose own time is not counted. Prints the
+figures without checking them.
 """
 
 import argparse
@@ -45,7 +45,7 @@
 _BRANCHES = (10, 100, 570)
 _STORED_BYTES = 500
 _THOUSAND = 1000
-_APPLIED = 10
+_APPLIED_CHANGES = 10
 _BYTES = re.compile(r'\bbytes_(?:sent|received):(\d+)')
 
 
@@ -53,6 +53,7 @@
     """Total cost of one step over all three control processes."""
 
     cpu_ms: float
+    # Bytes that connections carried, in both directions.
     carried: int
     elapsed_ms: float
 
@@ -113,7 +114,7 @@
             order = names[turn:] + names[:turn]
             node = NodeSession(self.group, f'e{len(self.nodes)}', *order)
             self.nodes.append(node)
-            self.tasks.append(asyncio.create_task(self._beat(node)))
+            self.tasks.append(asyncio.create_task(self._run_session(node)))
 
     async def run(self, count: int) -> None:
         """Measure and report the costs with ``count`` sessions."""
@@ -161,7 +162,7 @@
             await stub.Settle(settle_request(key, 'attempt'))
         channel.close()
 
-    async def _beat(self, node: NodeSession) -> None:
+    async def _run_session(self, node: NodeSession) -> None:
         await node.run()
 
 
@@ -221,20 +222,21 @@
     cpu_rate = idle.cpu_ms / idle.elapsed_ms
     byte_rate = idle.carried / idle.elapsed_ms * MS_PER_SECOND
     delays = sorted(delays)
-    worst = delays[int(len(delays) * 0.99)]
+    p99 = delays[int(len(delays) * 0.99)]
     write(
         f'{count} sessions: idle {cpu_rate:.2%} of a core and '
         f'{byte_rate:.0f} B/s over three processes; '
-        f'change {net(changes.cpu_ms, cpu_rate, changes) / _CHANGES:.1f} ms '
-        f'cpu, {net_bytes(changes, byte_rate) / _CHANGES:.0f} B, in force '
-        f'after {statistics.median(delays):.0f} ms, p99 {worst:.0f} ms; '
-        f'claim and settle {net(claims.cpu_ms, cpu_rate, claims) / _CLAIMS:.1f}'
-        f' ms cpu, {net_bytes(claims, byte_rate) / _CLAIMS:.0f} B, '
+        f'change {net_cpu(changes.cpu_ms, cpu_rate, changes) / _CHANGES:.1f} '
+        f'ms cpu, {net_bytes(changes, byte_rate) / _CHANGES:.0f} B, in force '
+        f'after {statistics.median(delays):.0f} ms, p99 {p99:.0f} ms; '
+        f'claim and settle '
+        f'{net_cpu(claims.cpu_ms, cpu_rate, claims) / _CLAIMS:.1f} ms cpu, '
+        f'{net_bytes(claims, byte_rate) / _CLAIMS:.0f} B, '
         f'{claims.elapsed_ms / _CLAIMS:.1f} ms'
     )
 
 
-def net(cpu_ms: float, cpu_rate: float, cost: Cost) -> float:
+def net_cpu(cpu_ms: float, cpu_rate: float, cost: Cost) -> float:
     """Return the processor time in ms beyond that of an idle group."""
     return max(0, cpu_ms - cpu_rate * cost.elapsed_ms)
 
@@ -246,7 +248,7 @@
 
 
 def run_memory() -> None:
-    """Print the memory of claims and the cost of a change by branches."""
+    """Print the memory of claims and the cost of a change by tree size."""
     log = Log()
     before = own_resident()
     for number in range(_MEMORY_CLAIMS):
@@ -279,22 +281,27 @@
     for number in range(branches):
         text = account_text(1, f'a{number}')
         log.apply(change(f'{number}', text, 0, path=f'/team{number}'))
-    between = apply_cost(log, checked=False)
-    usual = apply_cost(log, checked=True)
+    rechecked_ms = apply_cost(log, checked=False)
+    checked_ms = apply_cost(log, checked=True)
     started = time.process_time()
     image = len(log.machine.snapshot())
     snapshot = (time.process_time() - started) * MS_PER_SECOND
     write(
-        f'{branches} branches of one account: {usual:.2f} ms cpu to apply a '
-        f'change, {between:.1f} ms if another came between, {snapshot:.1f} ms for a snapshot of '
+        f'{branches} branches of one account: {checked_ms:.2f} ms cpu to '
+        f'apply a change, {rechecked_ms:.1f} ms if another change came after '
+        f'its check, {snapshot:.1f} ms for a snapshot of '
         f'{image / 1024:.0f} KiB'
     )
 
 
 def apply_cost(log: Log, *, checked: bool) -> float:
-    """Return the processor time in ms to apply one change of a branch."""
+    """Return the processor time in ms to apply one change of a branch.
+
+    With ``checked`` the tree is still at the revision at which the proposer
+    checked the change, so that the machine does not check it again.
+    """
     started = time.process_time()
-    for number in range(_APPLIED):
+    for number in range(_APPLIED_CHANGES):
         path = f'/team{number}'
         tree = log.machine.tree
         text = account_text(len(log.commands), f'a{number}')
@@ -303,7 +310,7 @@
         if checked:
             command.change.checked_revision = tree.revision()
         log.apply(command)
-    return (time.process_time() - started) * MS_PER_SECOND / _APPLIED
+    return (time.process_time() - started) * MS_PER_SECOND / _APPLIED_CHANGES
 
 
 async def count_syncs() -> None:
@@ -352,7 +359,9 @@
 def main() -> int:
     """Run all measurements, or only those in this process."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument('--memory', action='store_true')
+    parser.add_argument(
+        '--memory', action='store_true', help='skip the group of processes'
+    )
     options = parser.parse_args()
     run_memory()
     run_virtual(count_syncs())
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -116,9 +116,9 @@
         'what',
         'tokens',
         'first token',
-        'whole',
-        'held',
-        'seen',
+        'total',
+        'ok',
+        'detail',
     )
     sys.stdout.write(f'{_ROW.format(*headings)}\n')
     for deployment in DEPLOYMENTS:
@@ -129,7 +129,7 @@
             sys.stdout.write(f'{_row(deployment, result)}\n')
         results.extend(deployment_results)
     succeeded = _count_succeeded(results)
-    sys.stdout.write(f'demo: {succeeded} of {len(results)} answered\n')
+    sys.stdout.write(f'demo: {succeeded} of {len(results)} succeeded\n')
     return 0 if succeeded == len(results) else 1
 
 
@@ -179,7 +179,7 @@
 def _stop(processes: Processes) -> CallResult:
     started = time.monotonic()
     code_by_name = processes.stop_all(_STOP_LIMIT_SECONDS)
-    # SIGTERM kills the stand-ins, which are not part of the system.
+    # SIGTERM kills the stand-ins, so their exit codes are not checked.
     code_by_node = {
         name: code
         for name, code in code_by_name.items()
--- a/tools/demo_control.py
+++ b/tools/demo_control.py
@@ -16,7 +16,7 @@
 _ENTRY_ROLE = 'entry'
 _IN_FORCE_LIMIT_SECONDS = 10
 _POLL_SECONDS = 0.02
-_Found = TypeVar('_Found')
+_Result = TypeVar('_Result')
 
 
 def has_leader(deployment: Deployment) -> bool:
@@ -78,7 +78,7 @@
 
 
 class _CountRunning:
-    """Counts the entries that run at least one revision."""
+    """Counts the entries that run a revision or a later one."""
 
     def __init__(self, revision: int) -> None:
         self._revision = revision
@@ -96,15 +96,15 @@
 
 def _call(
     deployment: Deployment,
-    step: Callable[[ControlClient], Awaitable[_Found]],
-) -> _Found:
+    step: Callable[[ControlClient], Awaitable[_Result]],
+) -> _Result:
     return asyncio.run(_run(deployment, step))
 
 
 async def _run(
     deployment: Deployment,
-    step: Callable[[ControlClient], Awaitable[_Found]],
-) -> _Found:
+    step: Callable[[ControlClient], Awaitable[_Result]],
+) -> _Result:
     client = ControlClient(
         parse_addresses(deployment.control()), 'root', deployment.root_key()
     )
--- a/tools/fitting.py
+++ b/tools/fitting.py
@@ -5,7 +5,8 @@
 
 import numpy
 
-# Half width of a 95 % interval in standard errors, for few points.
+# Half width of the slope's interval; two standard errors cover about 95 % only
+# if the points are many.
 _STANDARD_ERRORS = 2.0
 
 
@@ -14,7 +15,7 @@
 
     base: float
     slope: float
-    # Half width of the 95 % confidence interval of the slope.
+    # Half width of the slope's confidence interval, two standard errors.
     spread: float
 
     def at(self, size: float) -> float:
--- a/tools/local_cluster.py
+++ b/tools/local_cluster.py
@@ -68,8 +68,8 @@
 
 # Network within 127.0.0.0/8 for the nodes of this process, so that two
 # clusters on one machine do not receive each other's calls.
-_NET_SECOND, _NET_THIRD = divmod(os.getpid() % 0xC000 + 0x1000, 256)
-LOOPBACK_NET = f'127.{_NET_SECOND}.{_NET_THIRD}'
+_SECOND_OCTET, _THIRD_OCTET = divmod(os.getpid() % 0xC000 + 0x1000, 256)
+LOOPBACK_NET = f'127.{_SECOND_OCTET}.{_THIRD_OCTET}'
 # Last octets: control processes from 1, then entries, then upstreams.
 _FIRST_ENTRY = 10
 UPSTREAM_IP = f'{LOOPBACK_NET}.250'
--- a/tools/make_trace.py
+++ b/tools/make_trace.py
@@ -20,7 +20,9 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('path', type=Path, help='a .jsonl or .jsonl.gz file')
     parser.add_argument('deployment', choices=sorted(DEPLOYMENT_BY_NAME))
-    parser.add_argument('--load', type=float, default=0.8)
+    parser.add_argument(
+        '--load', type=float, default=0.8, help='share of the capacity'
+    )
     parser.add_argument('--seconds', type=int, default=30)
     parser.add_argument('--seed', type=int, default=7)
     options = parser.parse_args()
--- a/tools/processes.py
+++ b/tools/processes.py
@@ -1,4 +1,4 @@
-"""Start processes of verbenathread and of stand-ins; end them by id."""
+"""Start processes of verbenathread and of stand-ins, and end only these."""
 
 import contextlib
 import os
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -64,10 +64,9 @@
 
 
 def failed_names(outcome: unittest.TestResult) -> frozenset[str]:
-    """Return the dotted names of failed tests; subtests count as their test."""
+    """Return the dotted names of failed tests; a subtest counts as its test."""
     names = set()
     for case, _ in outcome.failures + outcome.errors:
-        # A subtest counts as the test that contains it.
         test = getattr(case, 'test_case', case)
         names.add(test.id())
     return frozenset(names)
--- a/tools/settings_page.py
+++ b/tools/settings_page.py
@@ -94,7 +94,9 @@
 def main() -> int:
     """Write the page, or with ``--check`` compare it with the file."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument('--check', action='store_true')
+    parser.add_argument(
+        '--check', action='store_true', help='compare, and write nothing'
+    )
     options = parser.parse_args()
     if not options.check:
         _PAGE.write_text(page(), encoding='utf-8')
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -22,8 +22,9 @@
 _END = '<!-- slopes: end -->'
 _ENTRIES = (3, 5, 7, 9)
 _ENGINES = (0, 20, 40, 60)
-_FEW_ENGINES = 20
-_FEW_ENTRIES = 5
+# Engines while the entries vary, and entries while the engines vary.
+_FIXED_ENGINES = 20
+_FIXED_ENTRIES = 5
 _ACCOUNTS = (50, 100, 200, 400)
 _BRANCHES = 10
 _REPEATS = 20
@@ -80,19 +81,19 @@
 
 def cell_slopes() -> Iterator[Slope]:
     """Measure idle cells by number of entries and of engines."""
-    by_entries = [measure(entries, _FEW_ENGINES) for entries in _ENTRIES]
-    by_engines = [measure(_FEW_ENTRIES, engines) for engines in _ENGINES]
+    by_entries = [measure(entries, _FIXED_ENGINES) for entries in _ENTRIES]
+    by_engines = [measure(_FIXED_ENTRIES, engines) for engines in _ENGINES]
     for what, unit, read in _CELL_FIGURES:
         yield fit_slope(
             what,
-            f'entries, {_FEW_ENGINES} engines',
+            f'entries, {_FIXED_ENGINES} engines',
             unit,
             [(cost.entries, read(cost)) for cost in by_entries],
             TARGET.cell_entries,
         )
         yield fit_slope(
             what,
-            f'engines, {_FEW_ENTRIES} entries',
+            f'engines, {_FIXED_ENTRIES} entries',
             unit,
             [(cost.engines, read(cost)) for cost in by_engines],
             TARGET.cell_engines,
@@ -157,7 +158,7 @@
 
 
 def _rebuild_ms(text_by_path: dict[str, str]) -> float:
-    """Return the ms that a change of one branch takes to come into force."""
+    """Return the processor time in ms to rebuild a tree after one change."""
     EffectiveTree(text_by_path)
     started = time.process_time()
     for repeat in range(_REPEATS):
@@ -169,6 +170,8 @@
 
 def _tree_kb(text_by_path: dict[str, str]) -> float:
     """Return the memory of a tree in KB."""
+    # Texts that the parser has not cached, so that the tree allocates all of
+    # its memory.
     distinct_texts = {
         path: f'{text}# held\n' for path, text in text_by_path.items()
     }
--- a/tools/slopes_cell.py
+++ b/tools/slopes_cell.py
@@ -56,13 +56,13 @@
         self._thread.join()
 
     def _run(self) -> None:
-        call = 'announce'
+        verb = 'announce'
         while not self._ended.wait(_RENEW_SECONDS):
             for engine in range(self._engines):
-                self._announce(engine, call)
-            call = 'renew'
+                self._announce(engine, verb)
+            verb = 'renew'
 
-    def _announce(self, engine: int, call: str) -> None:
+    def _announce(self, engine: int, verb: str) -> None:
         entry = engine % self._cluster.size.entries + 1
         body = {
             'upstream_id': f'engine-{engine}',
@@ -74,7 +74,7 @@
             'memory_tokens': 400_000,
         }
         address = f'{self._cluster.entry_ip(entry)}:18080'
-        post_announcement(address, call, ANNOUNCE_KEY, body)
+        post_announcement(address, verb, ANNOUNCE_KEY, body)
 
 
 def measure(entries: int, engines: int) -> CellCost:
--- a/tools/soak_log.py
+++ b/tools/soak_log.py
@@ -16,7 +16,7 @@
 _PAUSES_MS = (0, 3, 20, 80, 500)
 _FEWEST_STEPS = 10
 _MOST_STEPS = 60
-_ERROR_LEVEL = 50
+_CRITICAL_LEVEL = 50
 
 
 def random_steps(seed: int) -> list[Step]:
@@ -46,7 +46,7 @@
             failures += 1
             sys.stdout.write(f'seed {seed}: {violations}\n{steps}\n')
         seed += 1
-    sys.stdout.write(f'{seed - first_seed} schedules, {failures} broken\n')
+    sys.stdout.write(f'{seed - first_seed} schedules, {failures} failed\n')
     return failures
 
 
@@ -62,7 +62,7 @@
     if seed is None:
         seed = random.SystemRandom().randrange(1 << 30)
     structlog.configure(
-        wrapper_class=structlog.make_filtering_bound_logger(_ERROR_LEVEL)
+        wrapper_class=structlog.make_filtering_bound_logger(_CRITICAL_LEVEL)
     )
     sys.stdout.write(f'First seed {seed}.\n')
     return 1 if run_schedules(seed, options.minutes) else 0
--- a/verbenathread/replay/replay.py
+++ b/verbenathread/replay/replay.py
@@ -95,7 +95,7 @@
     def run(
         self, trace: Sequence[TraceRequest], faults: Faults = NO_FAULTS
     ) -> ReplayResult:
-        """Run the trace until all requests have ended and all leases expired."""
+        """Run the trace until every request and every lease has ended."""
         for number, request in enumerate(trace):
             self._loop.call_at(request.arrival, self._arrive, number, request)
         last_limit = max(
