--- a/tools/soak/__main__.py
+++ b/tools/soak/__main__.py
@@ -18,7 +18,9 @@
     parser.add_argument('--count', type=int, default=1, help='number of seeds')
     parser.add_argument('--gateways', type=int, default=Size().gateways)
     parser.add_argument('--callers', type=int, default=Size().callers)
-    parser.add_argument('--series', type=int, default=Size().series)
+    parser.add_argument(
+        '--series', type=int, default=Size().series, help='series of faults'
+    )
     parser.add_argument(
         '--keep', default='.', help='folder for the logs of failed runs'
     )
@@ -35,7 +37,7 @@
     for seed in range(first, first + options.count):
         if _run_seed(seed, size, Path(options.keep)):
             failed += 1
-    sys.stdout.write(f'{options.count} seeds, {failed} broken\n')
+    sys.stdout.write(f'{options.count} seeds, {failed} failed\n')
     return 1 if failed else 0
 
 
@@ -43,8 +45,8 @@
     folder = Path(tempfile.mkdtemp(prefix=f'soak-{seed}-'))
     findings = asyncio.run(run_soak(seed, folder, size))
     sys.stdout.write(f'seed {seed}: {dict(findings.outcomes)}\n')
-    for breach in findings.violations:
-        sys.stdout.write(f'seed {seed}: {breach}\n')
+    for violation in findings.violations:
+        sys.stdout.write(f'seed {seed}: {violation}\n')
     if findings.violations:
         kept = keep / f'soak-{seed}'
         shutil.copytree(folder, kept, dirs_exist_ok=True)
--- a/tools/soak/callers.py
+++ b/tools/soak/callers.py
@@ -20,10 +20,10 @@
 # Deadline that callers send; longer than the time limit of the routes.
 _CLIENT_TIMEOUT: Millis = 6000
 _MEAN_PAUSE: Millis = 120
-_STATUS_CLASS = 100
-_SUCCESS = 2
-_CLIENT_FAULT = 4
-_SERVER_FAULT = 500
+_STATUSES_PER_CLASS = 100
+_SUCCESS_CLASS = 2
+_CLIENT_ERROR_CLASS = 4
+_FIRST_SERVER_ERROR = 500
 _REDIRECT = 307
 _MAX_CALLS = 3
 # A fault may still affect requests this long after its end.
@@ -163,15 +163,18 @@
     def _check_response(
         self, kind: RequestKind, attempt_id: str, response: Response
     ) -> bool:
-        family = response.status // _STATUS_CLASS
+        status_class = response.status // _STATUSES_PER_CLASS
         self._findings.outcomes[f'{kind.name} {response.status}'] += 1
         if kind.name == 'hold':
             self._findings.record_answer(attempt_id, response.status)
-        if family == _CLIENT_FAULT and response.status not in NOT_RUN:
+        if (
+            status_class == _CLIENT_ERROR_CLASS
+            and response.status not in NOT_RUN
+        ):
             self._findings.report_violation(
                 'DENIED', f'{attempt_id} {response.status}'
             )
-        if family != _SUCCESS:
+        if status_class != _SUCCESS_CLASS:
             return False
         if not self._matches_attempt(attempt_id, response):
             self._findings.report_violation('MIXED', f'{attempt_id} {response}')
@@ -264,7 +267,7 @@
     """Return the first response below 500 of ``addresses``, or None."""
     for address in addresses:
         response = await _call_with_redirects(address, method, path, content)
-        if response is not None and response.status < _SERVER_FAULT:
+        if response is not None and response.status < _FIRST_SERVER_ERROR:
             return response
     return None
 
--- a/tools/soak/faults.py
+++ b/tools/soak/faults.py
@@ -14,7 +14,8 @@
 
 Fault = Callable[[], Awaitable[None]]
 
-_PAUSE_RANGE: tuple[Millis, Millis] = (100, 1500)
+# Time between the starts of two faults of a series.
+_INTERVAL_RANGE: tuple[Millis, Millis] = (100, 1500)
 _DURATION_RANGE: tuple[Millis, Millis] = (300, 3000)
 _DELAY_RANGE: tuple[Millis, Millis] = (20, 300)
 # A directory process that lost its disk counts as failed until it has had
@@ -69,8 +70,8 @@
             task = asyncio.create_task(self._inject(fault))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
-            pause = self._random.randint(*_PAUSE_RANGE)
-            await asyncio.sleep(seconds(pause))
+            interval = self._random.randint(*_INTERVAL_RANGE)
+            await asyncio.sleep(seconds(interval))
         await asyncio.gather(*self._tasks)
 
     async def run_planned_work(self) -> None:
--- a/tools/soak/findings.py
+++ b/tools/soak/findings.py
@@ -1,4 +1,25 @@
-"""Observations of callers, workers and the operator; violations found."""
+"""Observations of callers, workers and the operator; violations found.
+
+A violation begins with its time in ms and the name of its rule:
+
+CONFIG: a change of the configuration was lost, late, undone or wrongly
+    accepted, or too many final responses came after the time limit
+DENIED: a valid request got a 4xx status that is not a refusal
+DRAIN: a worker got a request long after its leave was acknowledged
+ENDED: a process exited on its own
+LEAK: an engine still holds a reservation at the end
+LIMIT: two requests used the same reservation at once
+LOG: a log has a traceback or an unexpected error
+LOST: a request got no complete response, and no unplanned fault explains it
+MIXED: a response belongs to another request
+ORDER: events of a stream are missing or out of order
+RECOVER: a request fails although all faults have ended
+REFUSED: a request ran although its response says that it never will
+SOAK: the soak itself failed or hangs
+STOP: a process did not end in time after SIGTERM
+TWICE: a request that may run at most once ran again
+UNASKED: a worker got the wrong account, or the key of a caller
+"""
 
 import collections
 from typing import NamedTuple
--- a/tools/soak/fleet.py
+++ b/tools/soak/fleet.py
@@ -53,7 +53,7 @@
 peer_listen = {ip}:{notice_port}
 seeds = {seeds}
 directory_port = {peer_port}
-stop_limit = {grace}
+stop_limit = {stop_limit}
 """
 
 
@@ -177,7 +177,7 @@
             notice_port=NOTICE_PORT,
             bootstrap='yes' if bootstrap else 'no',
             heartbeat=WORKER_HEARTBEAT,
-            grace=STOP_LIMIT,
+            stop_limit=STOP_LIMIT,
         )
         path = self._processes.folder / f'{node.name}.ini'
         path.write_text(text)
--- a/tools/soak/operator.py
+++ b/tools/soak/operator.py
@@ -28,8 +28,8 @@
 _APPLY_LIMIT: Millis = 2000
 # A fault may still delay a change this long after its end.
 _RECOVERY_TIME: Millis = 3000
-_BETWEEN_CHANGES = (300, 2500)
-_RESEND: Millis = 200
+_CHANGE_INTERVAL_RANGE: tuple[Millis, Millis] = (300, 2500)
+_CALL_INTERVAL: Millis = 200
 _MAX_VERSION_STEP = 9
 _SERVED = 200
 _NOT_FOUND = 404
@@ -123,7 +123,7 @@
         """Make one change after another until cancelled."""
         while True:
             await self.change()
-            pause = self._random.randint(*_BETWEEN_CHANGES)
+            pause = self._random.randint(*_CHANGE_INTERVAL_RANGE)
             await asyncio.sleep(seconds(pause))
 
     async def change(self) -> None:
@@ -131,7 +131,7 @@
         self._sent += self._random.randint(1, _MAX_VERSION_STEP)
         version = self._sent
         while await self._put(config_body(version)) != _SERVED:
-            await asyncio.sleep(seconds(_RESEND))
+            await asyncio.sleep(seconds(_CALL_INTERVAL))
         self.acknowledged = version
         self._acknowledged_at = self._clock.now()
         if self._random.random() < _INVALID_SHARE:
@@ -143,7 +143,7 @@
             node = self._random.choice(self._fleet.gateways)
             await self._probe_older(node)
             await self._probe_newest(node)
-            await asyncio.sleep(seconds(_RESEND))
+            await asyncio.sleep(seconds(_CALL_INTERVAL))
 
     async def read_back(self) -> None:
         """Check that the newest acknowledged change can be read back."""
@@ -156,7 +156,7 @@
             await asyncio.sleep(seconds(_APPLY_LIMIT // 2))
         if response is None:
             self._findings.report_violation(
-                'CONFIG', 'the configuration can not be read back'
+                'CONFIG', 'the configuration cannot be read back'
             )
             return
         version = json.loads(response.body)['version']
@@ -173,9 +173,10 @@
         return 0 if response is None else response.status
 
     async def _send_invalid_changes(self, version: int) -> None:
-        """Send changes to reject: an invalid one, and other content.
+        """Send two changes that must be rejected.
 
-        The other content reuses the acknowledged version number.
+        One is invalid; the other reuses the acknowledged version number with
+        other content.
         """
         status = await self._put(config_body(version + 1)[:-9])
         if status == _SERVED:
--- a/tools/soak/runner.py
+++ b/tools/soak/runner.py
@@ -92,6 +92,7 @@
 
     async def _finish(self) -> None:
         await asyncio.sleep(seconds(_QUIET_TIME))
+        # The first task continues: it sends the heartbeats of the workers.
         await self._cancel(keep=1)
         # Gateways detect within this time that the callers disconnected.
         await asyncio.sleep(seconds(_DISCONNECT_TIME))
--- a/tools/soak/worker_pool.py
+++ b/tools/soak/worker_pool.py
@@ -14,6 +14,7 @@
 from verbenathread.clock import Clock, seconds
 from verbenathread.types import Address, Millis
 
+# Last octet of the address of the first worker.
 _FIRST_WORKER = 170
 _WORKER_PORT = 18080
 _SLOTS = 8
--- a/tools/soak/workers.py
+++ b/tools/soak/workers.py
@@ -222,8 +222,8 @@
         self, request: ReceivedRequest
     ) -> list[tuple['SoakWorker', str]]:
         reservations = []
-        for holder in request.header_by_name.get('helpers', '').split(','):
-            address, _, reservation_id = holder.partition('/')
+        for helper in request.header_by_name.get('helpers', '').split(','):
+            address, _, reservation_id = helper.partition('/')
             engine = self.peer_by_address.get(address)
             if reservation_id and engine is not None:
                 reservations.append((engine, reservation_id))
