--- a/tools/bench.py
+++ b/tools/bench.py
@@ -38,7 +38,7 @@
 _MICROS_PER_MS = 1000
 _MS_PER_SECOND = 1000
 _CALIBRATION_STEPS = 2_000_000
-_NANOS = 1_000_000_000
+_NS_PER_SECOND = 1_000_000_000
 _MEBIBYTE = 1_048_576
 _EVENT = b'data: {'
 _END = b'data: [DONE]'
@@ -189,7 +189,7 @@
         remaining -= 1
     used = time.process_time() - before
     return Figure(
-        'step of a fixed loop', used * _NANOS / _CALIBRATION_STEPS, 'ns'
+        'step of a fixed loop', used * _NS_PER_SECOND / _CALIBRATION_STEPS, 'ns'
     )
 
 
--- a/tools/soak/workers.py
+++ b/tools/soak/workers.py
@@ -64,7 +64,7 @@
         self.drained_at: Millis | None = None
         self._reservation_by_id: dict[str, _Reservation] = {}
         self._used: set[str] = set()
-        # Other engines by address, for the reservations at helpers.
+        # All workers by address, to find the helpers of a request.
         self.peer_by_address: dict[str, SoakWorker] = {}
 
     async def start(self) -> None:
--- a/verbenathread/replay/engine.py
+++ b/verbenathread/replay/engine.py
@@ -263,8 +263,8 @@
             delay = max(0, min(steps)) * self._step_ms()
             self._loop.call_later(delay, self._on_wake, self._wake_number)
 
-    def _on_wake(self, wake: int) -> None:
-        if wake != self._wake_number or not self.alive:
+    def _on_wake(self, wake_number: int) -> None:
+        if wake_number != self._wake_number or not self.alive:
             return
         self._advance()
         done = [
--- a/verbenathread/replay/replay.py
+++ b/verbenathread/replay/replay.py
@@ -153,7 +153,7 @@
 ) -> dict[str, settings_pb2.AccountSettings]:
     """Return limits that are a multiple of each account's mean rate.
 
-    The default multiple is too large to limit anything.
+    The default multiple is too large to limit the rates.
     """
     duration = max((request.arrival for request in trace), default=1)
     count_by_account: dict[str, int] = {}
