--- a/tools/make_trace.py
+++ b/tools/make_trace.py
@@ -12,7 +12,7 @@
 )
 from verbenathread.replay.trace import write_trace
 
-_MS = 1000
+_MS_PER_SECOND = 1000
 
 
 def main() -> int:
@@ -20,13 +20,17 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('path', type=Path, help='a .jsonl or .jsonl.gz file')
     parser.add_argument('deployment', choices=sorted(DEPLOYMENT_BY_NAME))
-    parser.add_argument('--load', type=float, default=0.8)
+    parser.add_argument(
+        '--load', type=float, default=0.8, help='share of the capacity'
+    )
     parser.add_argument('--seconds', type=int, default=30)
     parser.add_argument('--seed', type=int, default=7)
     options = parser.parse_args()
     deployment = DEPLOYMENT_BY_NAME[options.deployment]
     mix = MIX_BY_DEPLOYMENT[options.deployment]
-    shape = LoadShape(options.load, options.seconds * _MS, options.seed)
+    shape = LoadShape(
+        options.load, options.seconds * _MS_PER_SECOND, options.seed
+    )
     requests = TraceGenerator(deployment, mix, shape).requests()
     write_trace(options.path, requests)
     sys.stdout.write(f'{len(requests)} requests in {options.path}\n')
--- a/tools/soak/workers.py
+++ b/tools/soak/workers.py
@@ -64,7 +64,7 @@
         self.drained_at: Millis | None = None
         self._reservation_by_id: dict[str, _Reservation] = {}
         self._used: set[str] = set()
-        # Other engines by address, for the reservations at helpers.
+        # All workers by address, to find the helpers of a request.
         self.peer_by_address: dict[str, SoakWorker] = {}
 
     async def start(self) -> None:
@@ -222,8 +222,8 @@
         self, request: ReceivedRequest
     ) -> list[tuple['SoakWorker', str]]:
         reservations = []
-        for holder in request.header_by_name.get('helpers', '').split(','):
-            address, _, reservation_id = holder.partition('/')
+        for helper in request.header_by_name.get('helpers', '').split(','):
+            address, _, reservation_id = helper.partition('/')
             engine = self.peer_by_address.get(address)
             if reservation_id and engine is not None:
                 reservations.append((engine, reservation_id))
