--- a/tests/consensus_network.py
+++ b/tests/consensus_network.py
@@ -271,8 +271,8 @@
         deadline = asyncio.get_running_loop().time() + 60
         while asyncio.get_running_loop().time() < deadline:
             for node_id, replica in self.replicas.items():
-                named = among is None or node_id in among
-                if named and replica.status().is_leader:
+                eligible = among is None or node_id in among
+                if eligible and replica.status().is_leader:
                     return node_id
             await asyncio.sleep(0.01)
         raise AssertionError('no leader in 60 s')
--- a/tests/consensus_schedule.py
+++ b/tests/consensus_schedule.py
@@ -37,10 +37,10 @@
 )
 _SNAPSHOT_RECORDS = 12
 _CHUNK_BYTES = 200
-_CALL_LIMIT = 1500
+_CALL_LIMIT_MS = 1500
 # Short, so that a short schedule covers many elections.
-_ELECTION_TIMEOUT = 200
-_HEARTBEAT = 40
+_ELECTION_TIMEOUT_MS = 200
+_HEARTBEAT_MS = 40
 _BURST = 3
 
 
@@ -48,6 +48,7 @@
     """One action on one node, and the pause after it."""
 
     action: str
+    # 0 for a replica that leads; any other number selects a replica.
     node: int
     pause_ms: int
 
@@ -59,7 +60,7 @@
         self.violations: list[str] = []
         self.leader_by_term: dict[int, str] = {}
         self.text_by_index: dict[int, str] = {}
-        self.answered: dict[int, str] = {}
+        self.acknowledged: dict[int, str] = {}
         self.rejected: set[str] = set()
 
     def record(self, kind, seen, key, value):
@@ -98,8 +99,8 @@
             seed=seed,
             snapshot_records=_SNAPSHOT_RECORDS,
             chunk_bytes=_CHUNK_BYTES,
-            election_timeout=_ELECTION_TIMEOUT,
-            heartbeat=_HEARTBEAT,
+            election_timeout=_ELECTION_TIMEOUT_MS,
+            heartbeat=_HEARTBEAT_MS,
         )
         self.checks = Checks()
         self.calls: list[asyncio.Task[None]] = []
@@ -113,29 +114,31 @@
             watcher = asyncio.create_task(self.watch())
             if steps and steps[0].action != 'crash':
                 # Otherwise the group is formed while faults occur.
-                await self.propose_until_answered('formed')
+                await self.propose_until_acknowledged('formed')
                 self.formed = True
             await run_in_order(self.step, steps)
             await self.recover()
-            await group.wait_applied(await self.propose_until_answered('last'))
+            await group.wait_applied(
+                await self.propose_until_acknowledged('last')
+            )
             watcher.cancel()
             self.checks.check_group(group)
             for node_id, machine in group.machine_by_id.items():
                 self.checks.check_machine(node_id, machine)
-            self.check_answers(
+            self.check_outcomes(
                 max(group.machine_by_id.values(), key=applied_count)
             )
             for task in group.network.duplicates:
                 task.cancel()
         return self.checks.violations
 
-    def check_answers(self, machine):
+    def check_outcomes(self, machine):
         final = dict(machine.applied)
-        for index, text in self.checks.answered.items():
+        for index, text in self.checks.acknowledged.items():
             if final.get(index) != text:
-                self.checks.violations.append(f'answered {text} was lost')
+                self.checks.violations.append(f'acknowledged {text} was lost')
         for text in self.checks.rejected & set(final.values()):
-            self.checks.violations.append(f'refused {text} was applied')
+            self.checks.violations.append(f'rejected {text} was applied')
 
     async def watch(self):
         while True:
@@ -174,9 +177,10 @@
 
     async def step(self, step):
         if step.node:
-            turn = self.group.rng.choice((0, 2))
+            # The number is at most 3; the offset reaches all of five replicas.
+            offset = self.group.rng.choice((0, 2))
             chosen = self.group.initial_peers[
-                (step.node + turn) % len(self.group.initial_peers)
+                (step.node + offset) % len(self.group.initial_peers)
             ]
             node_id = chosen.node_id
         else:
@@ -192,36 +196,36 @@
             self.counter += 1
             self.spawn(self.propose_one(f'c{self.counter}'))
 
-    async def propose_until_answered(self, text):
+    async def propose_until_acknowledged(self, text):
         """Propose until the command is acknowledged; return its index."""
         try:
             return (await self.group.propose(text)).index
         except UnknownOutcomeError:
-            return await self.propose_until_answered(text)
+            return await self.propose_until_acknowledged(text)
 
     async def propose_one(self, text):
         replica = self.leader_replica()
         if replica is None:
             return
         try:
-            applied = await replica.propose(text.encode(), _CALL_LIMIT)
+            applied = await replica.propose(text.encode(), _CALL_LIMIT_MS)
         except UnavailableError:
             self.checks.rejected.add(text)
         except UnknownOutcomeError:
             return
         else:
-            self.checks.answered[applied.index] = text
+            self.checks.acknowledged[applied.index] = text
 
     async def barrier(self, _):
         self.spawn(self.barrier_once())
 
     async def barrier_once(self):
         replica = self.leader_replica()
-        newest = max(self.checks.answered, default=0)
+        newest = max(self.checks.acknowledged, default=0)
         if replica is None:
             return
         try:
-            index = await replica.barrier(_CALL_LIMIT)
+            index = await replica.barrier(_CALL_LIMIT_MS)
         except UnavailableError:
             return
         if index < newest:
@@ -286,7 +290,7 @@
         files.sync_seconds = self.group.rng.choice((0.002, 0.03, 0.3))
 
     async def lose_disk(self, node_id):
-        """Lose one disk during faults; the node restarts under its name."""
+        """Lose one disk during faults; the node restarts with a new store."""
         if (
             self.formed
             and not self.lost_disk_id
@@ -303,7 +307,7 @@
         if self.lost_disk_id or len(group.replicas) < len(group.initial_peers):
             return
         # Ensures that the group is formed before a disk is lost.
-        await group.wait_applied(await self.propose_until_answered('whole'))
+        await group.wait_applied(await self.propose_until_acknowledged('whole'))
         await group.lose_disk(node_id)
         await group.start(node_id, join=True)
         await self.replace_member(node_id)
@@ -316,7 +320,7 @@
             leader = self.group.replicas[await self.group.leader(among=others)]
             try:
                 await leader.change_member(
-                    actions[0], peer(node_id), _CALL_LIMIT
+                    actions[0], peer(node_id), _CALL_LIMIT_MS
                 )
             except (UnavailableError, UnknownOutcomeError):
                 await asyncio.sleep(0.1)
--- a/tests/test_consensus_disk.py
+++ b/tests/test_consensus_disk.py
@@ -114,9 +114,9 @@
         path.write_bytes(change(bytearray(path.read_bytes())))
 
 
-def flip(place):
+def flip(offset):
     def change(content):
-        content[place] ^= 0x10
+        content[offset] ^= 0x10
         return bytes(content)
 
     return change
@@ -156,8 +156,8 @@
 
     def test_damaged_synced_records_prevent_the_start(self):
         table = (
-            ('middle record', 'segment-', flip(200), 'whole record follows'),
-            ('first record', 'segment-', flip(20), 'whole record follows'),
+            ('middle record', 'segment-', flip(200), 'valid record follows'),
+            ('first record', 'segment-', flip(20), 'valid record follows'),
             ('last record', 'segment-', flip(-3), 'bytes were synced'),
             ('cut short', 'segment-', lambda old: old[:-9], 'were synced'),
             ('snapshot', 'snapshot-', flip(-3), 'offset 0'),
@@ -175,7 +175,7 @@
         self.fill()
         (self.folder / 'mark').unlink()
         self.change(self.last_segment(), flip(200))
-        self.assert_refused('whole record follows')
+        self.assert_refused('valid record follows')
 
     def test_missing_files_prevent_the_start(self):
         for name, words in (
@@ -194,14 +194,14 @@
         async def rotate(storage):
             await storage.compact(LogSnapshot(index=3, term=1), 1)
 
-        for place in (0, -1):
-            with self.subTest(place=place):
+        for position in (0, -1):
+            with self.subTest(position=position):
                 self.setUp()
                 self.fill()
                 self.use(rotate)
                 segments = sorted(self.folder.glob('segment-*'))
                 self.assertEqual(len(segments), 2)
-                segments[place].unlink()
+                segments[position].unlink()
                 self.assert_refused('missing')
 
     def test_folder_of_another_cluster_or_node(self):
--- a/tests/test_consensus_members.py
+++ b/tests/test_consensus_members.py
@@ -6,7 +6,7 @@
 from tests.test_consensus_replica import GroupCase
 from verbenathread.exceptions import UnavailableError, UsageError
 
-LIMIT = 5000
+LIMIT_MS = 5000
 
 
 async def change(group, *actions):
@@ -14,7 +14,7 @@
 
     async def one(pair):
         leader = group.replicas[await group.leader()]
-        await leader.change_member(pair[0], peer(pair[1]), LIMIT)
+        await leader.change_member(pair[0], peer(pair[1]), LIMIT_MS)
 
     await run_in_order(one, actions)
 
@@ -154,7 +154,7 @@
             await group.start('n4', join=True)
             old = group.replicas[leader]
             group.files_by_id[leader].sync_seconds = 2
-            call = old.change_member('add', peer('n4'), LIMIT)
+            call = old.change_member('add', peer('n4'), LIMIT_MS)
             task = asyncio.create_task(call)
             while old.status().members[-1].node_id != 'n4':
                 await asyncio.sleep(0.001)
--- a/tests/test_consensus_replica.py
+++ b/tests/test_consensus_replica.py
@@ -20,7 +20,7 @@
     VoteRequest,
 )
 
-TIMEOUT_S = 1.0
+ELECTION_TIMEOUT_S = 1.0
 
 
 def loop_time():
@@ -66,7 +66,7 @@
         for victim, longest in (('leader', 4), ('follower', 0.5)):
             with self.subTest(victim=victim):
                 gap, applied = self.run_scenario(partial(scenario, victim))
-                self.assertLess(gap, longest * TIMEOUT_S)
+                self.assertLess(gap, longest * ELECTION_TIMEOUT_S)
                 for texts in applied:
                     self.assertEqual(texts, wanted)
 
@@ -86,8 +86,8 @@
         for seed in range(100):
             with self.subTest(seed=seed):
                 took = self.run_scenario(scenario, seed=seed)
-                # docs/design/consensus.md states 1.84 after a leader crash.
-                self.assertLess(took, 2 * TIMEOUT_S)
+                # docs/design/consensus.md states 1.84 s after a leader crash.
+                self.assertLess(took, 2 * ELECTION_TIMEOUT_S)
 
     def test_returning_voter_does_not_depose_the_leader(self):
         async def scenario(group):
@@ -112,18 +112,20 @@
             others = [one for one in group.replicas if one != leader]
             group.network.isolate(leader)
             lost = asyncio.create_task(old.propose(b'lost', 120_000))
-            await asyncio.sleep(2 * TIMEOUT_S)
-            still = old.status().is_leader or old._state.leadership is not None
+            await asyncio.sleep(2 * ELECTION_TIMEOUT_S)
+            still_leads = (
+                old.status().is_leader or old._state.leadership is not None
+            )
             refused = await self.outcome(old.propose(b'refused', 500))
             await group.leader(among=others)
             await asyncio.sleep(60)
             group.network.heal()
             await group.wait_applied(await group.propose_all(['kept']))
             first = await self.outcome(lost)
-            return still, refused, first, group.texts(leader)
+            return still_leads, refused, first, group.texts(leader)
 
-        still, refused, first, texts = self.run_scenario(scenario)
-        self.assertFalse(still)
+        still_leads, refused, first, texts = self.run_scenario(scenario)
+        self.assertFalse(still_leads)
         self.assertEqual((refused, first), (NotLeaderError, NotLeaderError))
         self.assertEqual(texts, ['first', 'kept'])
 
@@ -275,7 +277,7 @@
             # arrives.
             old._elections._check_quorum = lambda: None
             group.network.isolate(leader)
-            await asyncio.sleep(20 * TIMEOUT_S)
+            await asyncio.sleep(20 * ELECTION_TIMEOUT_S)
             frozen = old._state.leadership is not None
             calls = (old.propose(b'late', 500), old.barrier(500))
             woken = loop_time()
@@ -320,8 +322,8 @@
             return stopped - began, loop_time() - stopped, outcomes, len(texts)
 
         stopping, gap, outcomes, count = self.run_scenario(scenario)
-        self.assertLess(stopping, TIMEOUT_S)
-        self.assertLess(gap, TIMEOUT_S / 2)
+        self.assertLess(stopping, ELECTION_TIMEOUT_S)
+        self.assertLess(gap, ELECTION_TIMEOUT_S / 2)
         self.assertEqual(set(outcomes), {None})
         self.assertEqual(count, 42)
 
--- a/verbenathread/consensus/applier.py
+++ b/verbenathread/consensus/applier.py
@@ -98,12 +98,12 @@
     async def _compact_log(self) -> None:
         """Take a snapshot when due, keeping some entries before it."""
         state = self._state
-        wanted = state.settings.snapshot_records
-        if self.applied_index - state.log.base_index < 2 * wanted:
+        kept_records = state.settings.snapshot_records
+        if self.applied_index - state.log.base_index < 2 * kept_records:
             return
         async with state.lock:
             snapshot = self.make_snapshot()
-            keep_after = snapshot.index - wanted
+            keep_after = snapshot.index - kept_records
             await state.storage.compact(snapshot, keep_after)
             state.log.prune_members(snapshot.index)
             state.log.truncate_prefix(keep_after)
--- a/verbenathread/consensus/disk.py
+++ b/verbenathread/consensus/disk.py
@@ -126,9 +126,9 @@
         index = 0 if snapshot is None else snapshot.index
         if replay.base_index > index:
             raise StorageError(
-                f'{self._folder.path(_SNAPSHOT_PREFIX)}* up to '
-                f'{replay.base_index} is missing; the log begins after it. '
-                f'{REPLACE_MEMBER}'
+                f'{self._folder.path(_SNAPSHOT_PREFIX)}* of entry '
+                f'{replay.base_index} or a later one is missing; the log '
+                f'begins after that entry. {REPLACE_MEMBER}'
             )
         if snapshot is None:
             return
--- a/verbenathread/consensus/folder.py
+++ b/verbenathread/consensus/folder.py
@@ -10,7 +10,8 @@
 TEMPORARY_SUFFIX = '.tmp'
 REPLACE_MEMBER = (
     'Keep the folder for inspection, give this node an empty one with '
-    '"join = yes", and replace the member in the group.'
+    '"join = yes" (for a directory process, "bootstrap = no"), and replace the '
+    'member in the group.'
 )
 
 
@@ -113,7 +114,7 @@
             return work()
         except OSError as error:
             raise StorageError(
-                f'{self.path(name)} can not be read or written: {error}. '
+                f'{self.path(name)} cannot be read or written: {error}. '
                 'Check the permissions and the disk space, then start this '
                 'replica again.'
             ) from error
--- a/verbenathread/consensus/follower.py
+++ b/verbenathread/consensus/follower.py
@@ -26,7 +26,7 @@
     def __init__(
         self, state: ReplicaState, on_replaced: Callable[[int], None]
     ) -> None:
-        """Call ``on_replaced`` with the index after each append."""
+        """Call ``on_replaced`` with the index after the entries of an append."""
         self._state = state
         self._on_replaced = on_replaced
         self._warned = False
--- a/verbenathread/consensus/replica.py
+++ b/verbenathread/consensus/replica.py
@@ -277,7 +277,7 @@
         if not done:
             raise UnavailableError(
                 'No quorum confirmed this leader before the deadline; try '
-                'again, or call another control process.'
+                'again, or call another replica.'
             )
 
     def _is_round_confirmed(self, leadership: Leadership, wanted: int) -> bool:
--- a/verbenathread/consensus/segments.py
+++ b/verbenathread/consensus/segments.py
@@ -129,7 +129,7 @@
             raise self._damage_error(
                 number,
                 valid_length,
-                f'a whole record follows at {found.resync_offset}',
+                f'a valid record follows at offset {found.resync_offset}',
             )
         if valid_length < synced:
             raise self._damage_error(
--- a/verbenathread/consensus/settings.py
+++ b/verbenathread/consensus/settings.py
@@ -18,8 +18,8 @@
     # election. Each wait is randomized between this value and twice it.
     election_timeout: Millis = 1000
     heartbeat: Millis = 200
-    # Entries that are kept behind a snapshot; one is taken once twice as many
-    # have been applied.
+    # Applied entries that stay in the log when a snapshot is taken, which
+    # happens once the log holds twice as many.
     snapshot_records: int = 1000
     # Approximate size limit in bytes of the entries in one message or append.
     batch_bytes: int = 0x100000
@@ -35,8 +35,8 @@
     node_id: str
     address: Address
     voter: bool
-    # Last synced index. A replica that does not lead has only its own; the
-    # others are 0.
+    # Last index known to be in the member's log. A replica that does not lead
+    # knows only its own; the others are 0.
     match_index: int
     store_id: str
 
--- a/verbenathread/consensus/state.py
+++ b/verbenathread/consensus/state.py
@@ -199,7 +199,7 @@
         if not self.has_quorum_contact(leadership):
             raise UnavailableError(
                 'No quorum of replicas answers; check the network and the '
-                'other control processes, then try again.'
+                'other replicas, then try again.'
             )
         return leadership
 
--- a/verbenathread/consensus/waiting.py
+++ b/verbenathread/consensus/waiting.py
@@ -63,9 +63,9 @@
 class TaskSet:
     """The tasks of one replica, with a callback for their errors."""
 
-    def __init__(self, report: Callable[[BaseException], None]) -> None:
-        """Call ``report`` with the exception of each task that fails."""
-        self._on_error = report
+    def __init__(self, on_error: Callable[[BaseException], None]) -> None:
+        """Call ``on_error`` with the exception of each task that fails."""
+        self._on_error = on_error
         # A dict rather than a set, to preserve the start order.
         self._by_task: dict[asyncio.Task[Any], None] = {}
         self._closed = False
