--- a/tests/test_control_claims.py
+++ b/tests/test_control_claims.py
@@ -19,10 +19,11 @@
 HELD = control_pb2.CLAIM_HELD
 IN_PROGRESS = control_pb2.CLAIM_IN_PROGRESS
 COMPLETED = control_pb2.CLAIM_COMPLETED
+MISMATCH = control_pb2.CLAIM_MISMATCH
 NOT_RUN = control_pb2.CLAIM_NOT_RUN
 UNKNOWN = control_pb2.CLAIM_OUTCOME_UNKNOWN
-LIMIT = 1000
-RETENTION = 60_000
+LIMIT_MS = 1000
+RETENTION_MS = 60_000
 
 
 def claim(
@@ -36,7 +37,7 @@
         attempt_id=attempt,
         node_id=node,
         node_incarnation=incarnation,
-        time_limit_ms=LIMIT,
+        time_limit_ms=LIMIT_MS,
     )
 
 
@@ -62,18 +63,24 @@
             ('first', (), first, 0, HELD),
             ('resent', (first,), first, 5, HELD),
             ('second entry', (first,), claim('b', node='e2'), 5, IN_PROGRESS),
-            ('other body', (first,), claim('b', body='c'), 5, 6),
-            ('over its limit', (first,), claim('b'), LIMIT + 1, UNKNOWN),
+            ('other body', (first,), claim('b', body='c'), 5, MISMATCH),
+            ('over its limit', (first,), claim('b'), LIMIT_MS + 1, UNKNOWN),
             (
                 'own attempt, over its limit',
                 (first,),
                 first,
-                LIMIT + 1,
+                LIMIT_MS + 1,
                 UNKNOWN,
             ),
             ('restarted', (first,), claim('b', incarnation=2), 5, UNKNOWN),
             ('owner gone', (first, gone), claim('b', node='e2'), 5, UNKNOWN),
-            ('completed', (first, settle('a', COMPLETED)), claim('b'), 5, 3),
+            (
+                'completed',
+                (first, settle('a', COMPLETED)),
+                claim('b'),
+                5,
+                COMPLETED,
+            ),
             ('not run', (first, settle('a', NOT_RUN)), claim('b'), 5, HELD),
             (
                 'repeated after not run',
@@ -96,8 +103,14 @@
                 5,
                 COMPLETED,
             ),
-            ('retained', (first,), claim('b'), LIMIT + RETENTION - 1, UNKNOWN),
-            ('removed', (first,), claim('b'), LIMIT + RETENTION, HELD),
+            (
+                'retained',
+                (first,),
+                claim('b'),
+                LIMIT_MS + RETENTION_MS - 1,
+                UNKNOWN,
+            ),
+            ('removed', (first,), claim('b'), LIMIT_MS + RETENTION_MS, HELD),
         ):
             with self.subTest(name):
                 log = Log()
@@ -219,10 +232,10 @@
             self.log.apply(_command(gone), self.now)
         self.incarnation[node] += 1
 
-    @rule(step=st.sampled_from((1, LIMIT // 2, LIMIT + 1)))
+    @rule(step=st.sampled_from((1, LIMIT_MS // 2, LIMIT_MS + 1)))
     def wait(self, step: int) -> None:
         # The whole run stays within the retention time.
-        self.now = min(self.now + step, RETENTION)
+        self.now = min(self.now + step, RETENTION_MS)
 
     @rule()
     def restore(self) -> None:
--- a/tests/test_control_orders.py
+++ b/tests/test_control_orders.py
@@ -19,7 +19,7 @@
 from verbenathread.exceptions import UnavailableError
 from verbenathread.schema import commands_pb2
 
-LEASE = 1000
+LEASE_MS = 1000
 
 
 class FakeControlLog:
@@ -100,7 +100,7 @@
         machine=log.machine,
         transport=engine,
         clock=clock,
-        lease=LEASE,
+        lease=LEASE_MS,
     )
     return sender, control_log
 
@@ -111,7 +111,7 @@
         while left:
             left -= 1
             sender.step()
-            await sender.idle()
+            await sender.wait_idle()
             clock.advance(step)
 
     asyncio.run(scenario())
@@ -160,7 +160,7 @@
                 engine = FakeEngine(checked=not waits)
                 clock = ManualClock(1000)
                 sender, _ = make_sender(log, engine, clock, 2)
-                steps = (LEASE + ORDER_TIMEOUT) // 200
+                steps = (LEASE_MS + ORDER_TIMEOUT) // 200
                 advance(sender, clock, steps)
                 self.assertEqual(not engine.accepted, waits)
                 advance(sender, clock, 5)
--- a/verbenathread/control/changes.py
+++ b/verbenathread/control/changes.py
@@ -31,7 +31,7 @@
 ) -> control_pb2.ChangeReply:
     """Return the reply to a change; its revision is 0 if accepted.
 
-    The caller sets the revision, which is the index on the log.
+    The caller sets the revision, which is the index of the change in the log.
     """
     if change.checked_revision and tree.revision() == change.checked_revision:
         # No change came in between, so the decision of the proposer holds.
--- a/verbenathread/control/daemon.py
+++ b/verbenathread/control/daemon.py
@@ -29,9 +29,11 @@
 
 _ORDER_INTERVAL: Millis = 200
 _SWEEP_INTERVAL: Millis = 500
-_APPLY_TIMEOUT: Millis = 1000
-# Time to send the last replies before connections close, in ms.
-_DRAIN_DELAY: Millis = 100
+# Longest interval between two notifications of the sessions, so that they also
+# learn of a new leader.
+_NOTIFY_INTERVAL: Millis = 1000
+# Time to send the last replies before connections are closed.
+_FLUSH_TIME: Millis = 100
 
 _log = get_logger('control')
 
@@ -94,7 +96,8 @@
         """Load the data folder, listen and join the group.
 
         ``sock`` is a bound socket to use instead of the address in the
-        settings. Raises StorageError if the data folder can't be trusted.
+        settings. Raises StorageError if the data folder is damaged or
+        unsuitable.
         """
         if sock is None:
             await self._server.start(self._listen.host, self._listen.port)
@@ -117,7 +120,7 @@
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        await asyncio.sleep(seconds(_DRAIN_DELAY))
+        await asyncio.sleep(seconds(_FLUSH_TIME))
         self._reporter.close()
         self._transport.close()
         self._server.close()
@@ -131,10 +134,10 @@
         return self.replica.status().failure
 
     async def _notify_sessions(self) -> None:
-        """Notify the sessions after each applied command."""
+        """Notify the sessions after each applied command and at intervals."""
         applied = 0
         while True:
-            applied = await self.replica.wait_applied(applied, _APPLY_TIMEOUT)
+            applied = await self.replica.wait_applied(applied, _NOTIFY_INTERVAL)
             self.sessions.wake(self.replica.status().leader_address)
 
     async def _sweep_while_leading(self) -> None:
@@ -162,7 +165,7 @@
             await asyncio.sleep(seconds(_ORDER_INTERVAL))
 
     async def _report_nodes(self) -> None:
-        """Report this process's sessions to the leader, each second."""
+        """Report this process's sessions to the leader, once a second."""
         while True:
             status = self.replica.status()
             if status.leader_address and not status.is_leader:
--- a/verbenathread/control/nodes.py
+++ b/verbenathread/control/nodes.py
@@ -13,7 +13,7 @@
 from verbenathread.types import Millis
 
 # A node is removed after this time without a report, in ms.
-NODE_RETENTION = 600_000
+NODE_RETENTION: Millis = 600_000
 MAX_UPSTREAMS = 16_384
 _STATES_BY_RANK = ('', 'ready', 'leaving', 'gone')
 
--- a/verbenathread/control/operator_calls.py
+++ b/verbenathread/control/operator_calls.py
@@ -20,11 +20,11 @@
 )
 from verbenathread.schema import commands_pb2, control_pb2
 from verbenathread.settings.node import parse_address
-from verbenathread.types import Peer
+from verbenathread.types import Millis, Peer
 
 _MAX_RECORDS = 1000
 _DEFAULT_RECORDS = 50
-_MEMBER_TIMEOUT = 30_000
+_MEMBER_TIMEOUT: Millis = 30_000
 
 OrderStates = Callable[[], Sequence[control_pb2.OrderStatus]]
 _OperatorRequest = (
--- a/verbenathread/control/order_http.py
+++ b/verbenathread/control/order_http.py
@@ -155,6 +155,6 @@
 
 def _unavailable(address: str, error: Exception) -> UnavailableError:
     return UnavailableError(
-        f'the upstream at {address} did not answer an order: {error}; '
+        f'the upstream at {address} did not answer a request: {error}; '
         + 'check that it is running and serves /v1/orders'
     )
--- a/verbenathread/control/orders.py
+++ b/verbenathread/control/orders.py
@@ -116,9 +116,9 @@
         """Stop sending and wait for the orders in flight."""
         self._stopped = True
         self._term = 0
-        await self.idle()
+        await self.wait_idle()
 
-    async def idle(self) -> None:
+    async def wait_idle(self) -> None:
         """Wait until no order is in flight; bounded by the order timeout."""
         if self._task_by_upstream:
             await asyncio.wait(self._task_by_upstream.values())
--- a/verbenathread/control/proposals.py
+++ b/verbenathread/control/proposals.py
@@ -18,8 +18,8 @@
 from verbenathread.schema import commands_pb2, control_pb2
 from verbenathread.types import Millis
 
-CHANGE_TIMEOUT = 5000
-CLAIM_TIMEOUT = 3000
+CHANGE_TIMEOUT: Millis = 5000
+CLAIM_TIMEOUT: Millis = 3000
 _MAX_ID_CHARS = 128
 _MAX_COMMENT_CHARS = 1000
 _MAX_DENIALS = 20
@@ -212,11 +212,11 @@
         return self._available >= 0
 
 
-def _length_problem(operation_id: str, comment: str) -> str:
+def _length_problem(operation_id: str, text: str) -> str:
     if not operation_id or len(operation_id) > _MAX_ID_CHARS:
         return (
             f'give an operation identifier of 1 to {_MAX_ID_CHARS} characters'
         )
-    if len(comment) > _MAX_COMMENT_CHARS:
-        return f'write at most {_MAX_COMMENT_CHARS} characters'
+    if len(text) > _MAX_COMMENT_CHARS:
+        return f'the comment or subject is over {_MAX_COMMENT_CHARS} characters'
     return ''
--- a/verbenathread/control/tree.py
+++ b/verbenathread/control/tree.py
@@ -1,6 +1,6 @@
 """The tree of branches with compare-and-set on each branch.
 
-The revision of a branch is the index on the log of the change that last
+The revision of a branch is the index in the log of the change that last
 touched it. A branch that never existed has revision 0; a removed branch keeps
 the revision of its removal, so that nodes at an older revision are notified.
 """
@@ -23,7 +23,7 @@
     """Branches by path; written only by the state machine."""
 
     def __init__(self) -> None:
-        """Start with no branch at revision 0."""
+        """Start at revision 0, without branches."""
         self._image_by_path: dict[str, commands_pb2.BranchImage] = {}
         self._revision = 0
         self._effective: EffectiveTree | None = None
--- a/verbenathread/control/wanted.py
+++ b/verbenathread/control/wanted.py
@@ -15,7 +15,10 @@
 
 
 def slot_of(action: str, subject: str) -> str:
-    """Return the slot that an order sets; its newest order applies."""
+    """Return the part of the wanted state that an order sets.
+
+    An order replaces the earlier ones for the same slot.
+    """
     if action in {'load', 'unload'}:
         return f'model:{subject}'
     return action
