--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -9,7 +9,7 @@
 from verbenathread.consensus.waiting import wait_event
 from verbenathread.rpc_channel import call_within
 
-LIMIT = 100
+LIMIT_MS = 100
 
 
 async def reply_after(delay, error):
@@ -46,7 +46,7 @@
         self.first = asyncio.get_running_loop().create_future()
 
     def wait(self):
-        return call_within(self._call(), 100 * LIMIT)
+        return call_within(self._call(), 100 * LIMIT_MS)
 
     async def _call(self):
         if self.first.done():
@@ -73,14 +73,14 @@
 class CallWithinTest(unittest.TestCase):
     def test_result_error_and_timeout(self):
         async def scenario():
-            reply = await call_within(reply_after(0.09, None), LIMIT)
+            reply = await call_within(reply_after(0.09, None), LIMIT_MS)
             self.assertEqual(reply, 'reply')
             with self.assertRaises(ConnectionResetError):
                 await call_within(
-                    reply_after(0.09, ConnectionResetError()), LIMIT
+                    reply_after(0.09, ConnectionResetError()), LIMIT_MS
                 )
             with self.assertRaises(TimeoutError):
-                await call_within(reply_after(0.11, None), LIMIT)
+                await call_within(reply_after(0.11, None), LIMIT_MS)
 
         run_virtual(scenario())
 
@@ -96,7 +96,7 @@
 
         async def scenario():
             with self.assertRaises(TimeoutError):
-                await call_within(slow_to_end(), LIMIT)
+                await call_within(slow_to_end(), LIMIT_MS)
             self.assertEqual(ended, [True])
 
         run_virtual(scenario())
@@ -124,7 +124,7 @@
         async def scenario(steps):
             event = asyncio.Event()
             return await ends_by_cancel(
-                lambda: wait_event(event, LIMIT), event.set, steps
+                lambda: wait_event(event, LIMIT_MS), event.set, steps
             )
 
         for steps in range(5):
--- a/tests/test_directory_cluster.py
+++ b/tests/test_directory_cluster.py
@@ -27,7 +27,7 @@
 from verbenathread.settings.node import load_node_settings
 from verbenathread.types import Address, Peer
 
-CONTROL_PORT = 18_460
+HTTP_PORT = 18_460
 PEER_PORT = 18_461
 SETTINGS = """
 [node]
@@ -36,7 +36,7 @@
 cluster = test
 node_key = secret
 [directory]
-listen = {host}:{control}
+listen = {host}:{http}
 peer_listen = {host}:{peer}
 seeds = {seeds}
 directory_port = {peer}
@@ -97,7 +97,7 @@
         if self.watching is not None:
             self.watching.cancel()
         for daemon in self.daemon_by_number.values():
-            await daemon.stop(hand_over=False)
+            await daemon.stop(transfer_leadership=False)
         shutil.rmtree(self.folder)
 
     def host(self, number):
@@ -105,7 +105,7 @@
 
     def seeds(self, numbers):
         return ','.join(
-            f'{self.host(number)}:{CONTROL_PORT}' for number in numbers
+            f'{self.host(number)}:{HTTP_PORT}' for number in numbers
         )
 
     async def start(self, number, *, bootstrap=False, seeds=(1, 2, 3)):
@@ -114,7 +114,7 @@
             SETTINGS.format(
                 number=number,
                 host=self.host(number),
-                control=CONTROL_PORT,
+                http=HTTP_PORT,
                 peer=PEER_PORT,
                 seeds=self.seeds(seeds),
                 folder=self.folder / f'log{number}',
@@ -132,7 +132,7 @@
         await self.put(body(1))
 
     async def kill(self, number, *, wipe=False):
-        await self.daemon_by_number.pop(number).stop(hand_over=False)
+        await self.daemon_by_number.pop(number).stop(transfer_leadership=False)
         if wipe:
             shutil.rmtree(self.folder / f'log{number}')
 
@@ -166,9 +166,7 @@
         host = self.host(number or min(self.daemon_by_number))
         for _ in range(3):
             try:
-                reader, writer = await asyncio.open_connection(
-                    host, CONTROL_PORT
-                )
+                reader, writer = await asyncio.open_connection(host, HTTP_PORT)
             except ConnectionRefusedError:
                 # A follower may redirect to a leader that has stopped.
                 return Response(503, {}, b'', complete=False)
--- a/verbenathread/admin/client.py
+++ b/verbenathread/admin/client.py
@@ -288,8 +288,8 @@
     def raise_failure(self) -> NoReturn:
         if self._outcome_unknown:
             raise UnknownOutcomeError(
-                f'no control process confirmed it ({self._last_message}); check '
-                + 'the audit trail before retrying'
+                f'no control process confirmed the call ({self._last_message}); '
+                + 'check the audit trail before retrying'
             )
         raise UnavailableError(
             f'no control process leads now ({self._last_message}); make sure '
--- a/verbenathread/clock.py
+++ b/verbenathread/clock.py
@@ -15,7 +15,7 @@
         """Return monotonic time in ms, for leases and deadlines."""
 
     def wall(self) -> int:
-        """Return time since the epoch in ms, for display."""
+        """Return time since the epoch in ms, for timestamps and incarnations."""
 
 
 class SystemClock:
--- a/verbenathread/commands.py
+++ b/verbenathread/commands.py
@@ -116,7 +116,8 @@
     ),
     Command(
         'control',
-        'Run a control process: store settings, claims, orders and the audit.',
+        'Run a control process: store settings, claims, orders and the audit '
+        'trail.',
         (_SETTINGS_ARGUMENT,),
         'verbenathread control --settings examples/tillery/control-1.ini',
         run_control,
--- a/verbenathread/directory/calls.py
+++ b/verbenathread/directory/calls.py
@@ -84,6 +84,7 @@
         """Record a worker's heartbeat; return once a change is committed."""
         registry = self._machine.registry
         if not self._log.status().is_leader:
+            # Raises UnavailableError unless this replica leads.
             await self._log.barrier(_CALL_TIMEOUT)
         held = registry.worker_by_id.get(worker.worker_id)
         if worker.state is WorkerState.GONE and held is not None:
--- a/verbenathread/directory/daemon.py
+++ b/verbenathread/directory/daemon.py
@@ -34,8 +34,8 @@
 _JOIN_INTERVAL: Millis = 700
 _JOIN_TIMEOUT: Millis = 600
 _REFRESH_INTERVAL: Millis = 2000
-# Log records hold whole configurations and a snapshot holds only one, so a short
-# log matters more than few snapshots on a disk of 128 MB.
+# Each configuration in the log is a whole one and a snapshot holds only the
+# latest, so frequent snapshots keep the log small enough for a disk of 128 MB.
 _SNAPSHOT_RECORDS = 100
 # Fits configurations of thousands of routes. Gateways have a lower limit.
 _MAX_BODY_BYTES = 0x1000000
@@ -43,6 +43,7 @@
 _FLUSH_TIME: Millis = 100
 
 _CallCounter = Callable[[str, int], None]
+# Called with the calls, the replica, the HTTP port and the call counter.
 HandlerFactory = Callable[[DirectoryCalls, Replica, int, _CallCounter], Handler]
 
 
@@ -126,10 +127,10 @@
             seeds=[str(address) for address in self._seeds.addresses],
         )
 
-    async def stop(self, *, hand_over: bool = True) -> None:
+    async def stop(self, *, transfer_leadership: bool = True) -> None:
         """Transfer leadership, finish calls in progress and shut down."""
         self._http_server.stopping = True
-        await self.replica.stop(transfer_leadership=hand_over)
+        await self.replica.stop(transfer_leadership=transfer_leadership)
         await cancel_all(self._tasks)
         await asyncio.sleep(seconds(_FLUSH_TIME))
         self._http_server.close()
--- a/verbenathread/directory/damage.py
+++ b/verbenathread/directory/damage.py
@@ -13,7 +13,7 @@
 
 
 def quarantine_folder(data_folder: str, error: StorageError) -> None:
-    """Move the files of a damaged folder away; reraise any other error."""
+    """Move the files of a damaged folder away, or raise any other error."""
     if not _is_data_damage(error):
         raise error
     folder = Path(data_folder)
@@ -31,6 +31,10 @@
 
 
 def _is_data_damage(error: StorageError) -> bool:
-    """Return whether the data is damaged, not the disk or the settings."""
+    """Return whether the error reports damaged data.
+
+    Other errors concern the disk or the settings. Relies on the texts of the
+    errors that ``verbenathread.consensus`` raises.
+    """
     text = str(error)
     return 'damaged' in text or 'missing' in text
--- a/verbenathread/directory/membership.py
+++ b/verbenathread/directory/membership.py
@@ -46,11 +46,13 @@
 class MembershipManager:
     """Adds, promotes and removes members while this replica leads."""
 
-    def __init__(self, group: ReplicaGroup, clock: Clock, voters: int) -> None:
-        """Maintain up to ``voters`` voting members."""
+    def __init__(
+        self, group: ReplicaGroup, clock: Clock, max_voters: int
+    ) -> None:
+        """Maintain up to ``max_voters`` voting members."""
         self._group = group
         self._clock = clock
-        self._voters = voters
+        self._max_voters = max_voters
         self._join_request_by_id: dict[NodeId, _JoinRequest] = {}
 
     def request_join(self, peer: Peer, store_id: str) -> bool:
@@ -97,7 +99,7 @@
         ]
         if replaceable:
             await self._change_member('remove', replaceable[0])
-        elif learners and voters < self._voters:
+        elif learners and voters < self._max_voters:
             await self._change_member('promote', learners[0])
 
     def _next_join_request(
--- a/verbenathread/directory/metrics.py
+++ b/verbenathread/directory/metrics.py
@@ -31,7 +31,7 @@
         )
         self.voters = Gauge(
             'verbenathread_directory_voters',
-            'Members of the log that vote.',
+            'Voting members of the replica group.',
             registry=self.registry,
         )
         self.config_version = Gauge(
@@ -46,7 +46,7 @@
         )
         self.gateways = Gauge(
             'verbenathread_directory_gateways',
-            'Gateways that this process feeds.',
+            'Gateways that watch this process.',
             registry=self.registry,
         )
         self.calls = Counter(
--- a/verbenathread/directory/service.py
+++ b/verbenathread/directory/service.py
@@ -30,9 +30,9 @@
 _BARRIER_TIMEOUT: Millis = 1000
 # How long a watch request waits for an election to finish. A gateway whose
 # request is refused polls all directory processes and takes CPU time from the
-# voters.
-# Must stay below 600 ms, after which a gateway treats a process as unresponsive.
-_ELECTION_TIMEOUT: Millis = 400
+# voters. Must stay below 600 ms, after which a gateway treats a process as
+# unresponsive.
+_LEADER_TIMEOUT: Millis = 400
 
 
 class _SentState(NamedTuple):
@@ -95,7 +95,7 @@
         request = await stream.recv_message()
         if request is None:
             return
-        await self._replica.wait_leader(_ELECTION_TIMEOUT)
+        await self._replica.wait_leader(_LEADER_TIMEOUT)
         try:
             await self._replica.barrier(_BARRIER_TIMEOUT)
         except UnavailableError:
--- a/verbenathread/rpc_channel.py
+++ b/verbenathread/rpc_channel.py
@@ -14,6 +14,7 @@
 _Result = TypeVar('_Result')
 
 # The peer may still have executed a call that failed with one of these.
+# OSError includes the TimeoutError of call_within.
 RPC_ERRORS = (GRPCError, ProtocolError, StreamTerminatedError, OSError)
 
 
