--- a/tests/test_consensus_disk.py
+++ b/tests/test_consensus_disk.py
@@ -31,14 +31,14 @@
             files = DiskFiles(folder)
             files.lock()
             files.append('segment', b'record')
-            with patch('os.fsync', side_effect=note):
+            with patch('os.fsync', side_effect=record_sync):
                 await files.sync('segment')
                 await files.sync_folder()
             files.close()
 
         seen = []
 
-        def note(descriptor):
+        def record_sync(descriptor):
             found = os.fstat(descriptor)
             seen.append((found.st_ino, found.st_size))
 
@@ -210,12 +210,12 @@
         self.assert_refused('belongs to node n1', node_id='n2')
 
     def test_two_processes_on_one_folder(self):
-        async def intrude(_):
+        async def load_again(_):
             second = FileStorage(self.folder)
             with self.assertRaisesRegex(StorageError, 'in use'):
                 await second.load('c', 'n1')
 
-        self.use(intrude)
+        self.use(load_again)
 
     def assert_refused(self, words, **names):
         with self.assertRaisesRegex(StorageError, f'(?s){words}'):
--- a/tests/test_consensus_replica.py
+++ b/tests/test_consensus_replica.py
@@ -55,9 +55,9 @@
                 leader = next(one for one in group.replicas if one != leader)
             await group.propose_all([f'a{number}' for number in range(10)])
             await group.crash(leader)
-            killed = loop_time()
+            crashed_at = loop_time()
             await group.propose_all(['b'])
-            gap = loop_time() - killed
+            gap = loop_time() - crashed_at
             await group.start(leader)
             await group.wait_applied(await group.propose_all(['c']))
             return gap, [group.texts(node_id) for node_id in group.replicas]
@@ -278,15 +278,15 @@
             old._elections._check_quorum = lambda: None
             group.network.isolate(leader)
             await asyncio.sleep(20 * ELECTION_TIMEOUT_S)
-            frozen = old._state.leadership is not None
+            still_leads = old._state.leadership is not None
             calls = (old.propose(b'late', 500), old.barrier(500))
-            woken = loop_time()
+            resumed_at = loop_time()
             errors = await asyncio.gather(*map(self.outcome, calls))
-            at_once = loop_time() == woken
-            return frozen and at_once, old.status().is_leader, errors
+            at_once = loop_time() == resumed_at
+            return still_leads and at_once, old.status().is_leader, errors
 
-        frozen, leads, errors = self.run_scenario(scenario)
-        self.assertTrue(frozen)
+        led_and_refused_at_once, leads, errors = self.run_scenario(scenario)
+        self.assertTrue(led_and_refused_at_once)
         self.assertFalse(leads)
         self.assertEqual(errors, [UnavailableError, UnavailableError])
 
--- a/verbenathread/admin/commands.py
+++ b/verbenathread/admin/commands.py
@@ -115,7 +115,7 @@
     yield _command('config status', fleet.run_config_status, '')
 
 
-def _entity_commands() -> Iterator[Command]:
+def _account_and_service_commands() -> Iterator[Command]:
     yield _command('account list', config.run_account_list, '')
     yield _command(
         'account add',
@@ -194,6 +194,6 @@
 
 COMMANDS: tuple[Command, ...] = (
     *_config_commands(),
-    *_entity_commands(),
+    *_account_and_service_commands(),
     *_fleet_commands(),
 )
--- a/verbenathread/control/orders.py
+++ b/verbenathread/control/orders.py
@@ -267,7 +267,7 @@
 
 def newest_fencing(wanted: commands_pb2.WantedImage) -> int:
     """Return the fencing number that is valid for the whole wanted state."""
-    return max((entry.fencing for entry in wanted.items), default=0)
+    return max((item.fencing for item in wanted.items), default=0)
 
 
 def satisfies(
