--- a/verbenathread/control/proposals.py
+++ b/verbenathread/control/proposals.py
@@ -218,5 +218,8 @@
             f'give an operation identifier of 1 to {_MAX_ID_CHARS} characters'
         )
     if len(text) > _MAX_COMMENT_CHARS:
-        return f'the comment or subject is over {_MAX_COMMENT_CHARS} characters'
+        return (
+            f'the comment or subject is over {_MAX_COMMENT_CHARS} characters; '
+            'shorten it'
+        )
     return ''
