--- a/verbenathread/control/orders.py
+++ b/verbenathread/control/orders.py
@@ -116,9 +116,9 @@
         """Stop sending and wait for the orders in flight."""
         self._stopped = True
         self._term = 0
-        await self.idle()
+        await self.wait_idle()
 
-    async def idle(self) -> None:
+    async def wait_idle(self) -> None:
         """Wait until no order is in flight; bounded by the order timeout."""
         if self._task_by_upstream:
             await asyncio.wait(self._task_by_upstream.values())
@@ -267,7 +267,7 @@
 
 def newest_fencing(wanted: commands_pb2.WantedImage) -> int:
     """Return the fencing number that is valid for the whole wanted state."""
-    return max((entry.fencing for entry in wanted.items), default=0)
+    return max((item.fencing for item in wanted.items), default=0)
 
 
 def satisfies(
