--- a/tests/test_consensus_replica.py
+++ b/tests/test_consensus_replica.py
@@ -86,7 +86,7 @@
         for seed in range(100):
             with self.subTest(seed=seed):
                 took = self.run_scenario(scenario, seed=seed)
-                # docs/design/consensus.md states 1.84 s after a leader crash.
+                # docs/design/consensus.md: at most 1.84 timeouts after a crash.
                 self.assertLess(took, 2 * ELECTION_TIMEOUT_S)
 
     def test_returning_voter_does_not_depose_the_leader(self):
--- a/verbenathread/directory/metrics.py
+++ b/verbenathread/directory/metrics.py
@@ -31,7 +31,7 @@
         )
         self.voters = Gauge(
             'verbenathread_directory_voters',
-            'Voting members of the replica group.',
+            'Members of the log that vote.',
             registry=self.registry,
         )
         self.config_version = Gauge(
@@ -46,7 +46,7 @@
         )
         self.gateways = Gauge(
             'verbenathread_directory_gateways',
-            'Gateways that watch this process.',
+            'Gateways that this process feeds.',
             registry=self.registry,
         )
         self.calls = Counter(
