--- a/verbenathread/scheduling/admission.py
+++ b/verbenathread/scheduling/admission.py
@@ -90,7 +90,8 @@
         if size < 1 or size > len(records):
             return Refusal(
                 RefusalReason.TOO_LONG,
-                'The prompt is longer than all engines together; split it.',
+                'The prompt and its maximum output do not fit in the memory of'
+                ' all engines; shorten them.',
                 0,
             )
         return None
--- a/verbenathread/scheduling/ledger.py
+++ b/verbenathread/scheduling/ledger.py
@@ -267,7 +267,8 @@
         if request.memory_tokens > self._max_memory(queued.length):
             return Refusal(
                 RefusalReason.TOO_LONG,
-                'The prompt is longer than the engine; split it.',
+                'The prompt and its maximum output do not fit in the memory of'
+                ' one engine; shorten them.',
                 0,
             )
         if request.admitted:
--- a/verbenathread/scheduling/retries.py
+++ b/verbenathread/scheduling/retries.py
@@ -56,14 +56,16 @@
         may be.
         """
         if outcome is Outcome.UNKNOWN and not repeatable:
-            return _refused('The outcome is unknown; look before repeating.')
+            return _refused(
+                'The outcome is unknown; check it before repeating.'
+            )
         if attempts >= self.policy.attempts:
             return _refused('Every attempt failed; retry later.')
         delay = self.backoff(attempts)
         if now + delay >= deadline:
             return _refused('No time is left for another attempt.')
         if self._budget < 1:
-            return _refused('Too many retries are in progress; retry later.')
+            return _refused('The retry budget is used up; retry later.')
         self._budget -= 1
         return Retry(delay)
 
