--- a/verbenathread/scheduling/candidates.py
+++ b/verbenathread/scheduling/candidates.py
@@ -1,4 +1,4 @@
-"""The order in which a request tries the owners of its candidates."""
+"""The order in which a request tries the owners of candidate engines."""
 
 from collections.abc import Sequence
 
--- a/verbenathread/scheduling/estimates.py
+++ b/verbenathread/scheduling/estimates.py
@@ -13,21 +13,23 @@
 _SQUARE_UNIT = 1e6
 _INITIAL_MS_PER_TOKEN = 0.05
 _INITIAL_MS_PER_SQUARE = 0.01
-_INITIAL_OUTPUT_MS = 30.0
+_INITIAL_MS_PER_OUTPUT_TOKEN = 30.0
 # Weight that older samples keep when one is added.
 _DECAY = 0.98
 # The prior of the prefill time counts as this many samples of each of two
 # prompts, one ten times as long as the other.
 _PRIOR_SAMPLES = 20.0
 _PRIOR_PROMPT_TOKENS = 8000.0
+# Step of the quantile estimate, in the natural logarithm of the length.
 _QUANTILE_STEP = 0.05
 _INITIAL_OUTPUT_TOKENS = 256.0
 
 
 class PrefillCost:
-    """Time to prefill a prompt, linear and quadratic in its tokens.
+    """Expected times of prefill and of generation on one engine.
 
-    Least squares over busy periods of the engine: ``busy = a * tokens + b *
+    The time to prefill a prompt is linear and quadratic in its tokens, fitted
+    by least squares over busy periods of the engine: ``busy = a * tokens + b *
     tokens ** 2``; the quadratic term models attention over the whole prompt.
     """
 
@@ -35,7 +37,7 @@
         """Start from a prior that the first hundred prompts outweigh."""
         self._linear = _INITIAL_MS_PER_TOKEN
         self._quadratic = _INITIAL_MS_PER_SQUARE
-        self._output_ms = _INITIAL_OUTPUT_MS
+        self._ms_per_output_token = _INITIAL_MS_PER_OUTPUT_TOKEN
         self._sums = _NormalEquations()
         base = _PRIOR_PROMPT_TOKENS
         squares = base * base / _SQUARE_UNIT
@@ -55,7 +57,7 @@
 
     def output(self, tokens: float) -> float:
         """Return expected ms to generate ``tokens``."""
-        return tokens * self._output_ms
+        return tokens * self._ms_per_output_token
 
     def observe_busy_period(self, busy: Millis, prompts: list[int]) -> None:
         """Add a busy period in which ``prompts`` were prefilled."""
@@ -75,7 +77,9 @@
         """Add a sample of ``tokens`` generated in ``duration`` ms."""
         if tokens > 0:
             observed = duration / tokens
-            self._output_ms += (observed - self._output_ms) * (1 - _DECAY)
+            self._ms_per_output_token += (
+                observed - self._ms_per_output_token
+            ) * (1 - _DECAY)
 
     def _uncached(self, tokens: float) -> float:
         squares = tokens * tokens / _SQUARE_UNIT
--- a/verbenathread/scheduling/granting.py
+++ b/verbenathread/scheduling/granting.py
@@ -1,11 +1,11 @@
 """Decides which queued requests are granted memory of an engine now.
 
 The most urgent go first. The oldest request above the short class is
-protected: a later one of those may overtake it only if it is expected to end
-before the protected one can start, or if its memory fits beside it (EASY
-backfilling, Lifka 1995). Short prompts may always overtake it. So a long
-prompt waits for the current holds and for short prompts, not for everything
-that arrives after it.
+protected: a later request above that class may overtake it only if it is
+expected to end before the protected one can start, or if its memory fits
+beside it (EASY backfilling, Lifka 1995). Short prompts may always overtake it.
+So a long prompt waits for the current holds and for short prompts, not for
+everything that arrives after it.
 """
 
 from collections.abc import Iterable
--- a/verbenathread/scheduling/groups.py
+++ b/verbenathread/scheduling/groups.py
@@ -56,7 +56,7 @@
         *,
         admitted: bool = False,
     ) -> None:
-        """Request an even share of the memory on each member.
+        """Prepare to request an even share of the memory on each member.
 
         ``group_timestamp`` is the wall clock at the arrival of the request.
         """
--- a/verbenathread/scheduling/holds.py
+++ b/verbenathread/scheduling/holds.py
@@ -131,7 +131,7 @@
 
 
 class MemoryForecast(NamedTuple):
-    """Expected ms until memory is free, and what is then free beyond it."""
+    """Expected ms until enough memory is free, and the tokens left over."""
 
     wait: float
     # Negative if all holds together don't free enough.
--- a/verbenathread/scheduling/ledger.py
+++ b/verbenathread/scheduling/ledger.py
@@ -54,7 +54,8 @@
 # Interval between passes over the queue while no event triggers one.
 TICK_INTERVAL: Millis = 250
 _US_PER_MS = 1000
-_SAMPLE_TOKENS = 1000
+# Tokens whose prefill time a load report states.
+_REPORTED_PREFILL_TOKENS = 1000
 
 
 class EngineLedger:
@@ -179,7 +180,6 @@
         """Grant what can be granted; return all grants since the last call."""
         now = self._clock.now()
         for expired in self._holds.expired(now):
-            # Its start deadline has passed.
             self._remove_hold(expired)
         self._grant_queued(now)
         granted = self._granted
@@ -258,7 +258,9 @@
             queued=len(self._queue),
             backlog_by_class=backlog,
             granted_by_class=self._prefill_usage.granted_by_class(),
-            prefill_us=int(self.cost.prefill(_SAMPLE_TOKENS) * _US_PER_MS),
+            prefill_us=int(
+                self.cost.prefill(_REPORTED_PREFILL_TOKENS) * _US_PER_MS
+            ),
             output_us=int(self.cost.output(1) * _US_PER_MS),
         )
 
--- a/verbenathread/scheduling/limits.py
+++ b/verbenathread/scheduling/limits.py
@@ -36,6 +36,7 @@
     account: str
     requests: float
     tokens: float
+    # Long prompts in progress.
     long_running: int
 
 
@@ -202,7 +203,7 @@
         self._usage_received_at = now
         last_by_account = self._usage_by_entry.get(entry_id)
         if last_by_account is None:
-            # When the totals of a first report were admitted is not known, so
+            # A first report does not say when its totals were admitted, so
             # they are only the baseline for the next one.
             last_by_account = {usage.account: usage for usage in usages}
             self._usage_by_entry[entry_id] = last_by_account
--- a/verbenathread/scheduling/outliers.py
+++ b/verbenathread/scheduling/outliers.py
@@ -68,7 +68,7 @@
         self._health_by_id[upstream_id] = health
 
     def eject(self, upstream_id: UpstreamId, now: Millis) -> None:
-        """Eject an engine at a peer's request, for the base time."""
+        """Eject an engine for the base time, however few its failures."""
         health = self._health_by_id.get(upstream_id, _HEALTHY)
         until = max(health.ejected_until or 0, now + BASE_EJECTION)
         self._health_by_id[upstream_id] = health._replace(
--- a/verbenathread/scheduling/prefill_usage.py
+++ b/verbenathread/scheduling/prefill_usage.py
@@ -31,6 +31,7 @@
         """Return the share of time used by more urgent levels, at most 0.9."""
         self._decay(now)
         more_urgent = sum(self._decayed[:level])
+        # With continuous use the sum converges to half-life / ln 2.
         return min(_MAX_SHARE, more_urgent * math.log(2) / _HALF_LIFE_MS)
 
     def granted_by_class(self) -> tuple[Millis, Millis, Millis]:
@@ -71,8 +72,8 @@
         if hold.started_at is None:
             return
         if hold.request.group or not hold.request.work.service:
-            # The engine prefills only a part of a group's prompt. One that
-            # was restored at a takeover had started before.
+            # The engine prefills only a part of a group's prompt. An attempt
+            # without a service was restored at a takeover and started earlier.
             self._is_valid = False
         self._prompts.append(hold.request.work.prompt_tokens)
         self._finish_one(now)
--- a/verbenathread/scheduling/prefixes.py
+++ b/verbenathread/scheduling/prefixes.py
@@ -48,8 +48,8 @@
     def apply(self, upstream_id: UpstreamId, event: CacheEvent) -> bool:
         """Apply an event; return False if a snapshot is needed.
 
-        After a gap in the sequence numbers the engine has no entries until
-        its next snapshot.
+        After a gap in the sequence numbers the index holds nothing of the
+        engine until its next snapshot.
         """
         current = self._cached_by_id.get(upstream_id)
         if event.is_snapshot:
@@ -70,7 +70,7 @@
         return True
 
     def forget(self, upstream_id: UpstreamId) -> None:
-        """Remove the entries of an engine, as when it restarts."""
+        """Remove the hashes of an engine, as when it restarts."""
         if upstream_id in self._cached_by_id:
             self._replace(upstream_id, 0, frozenset())
             self._cached_by_id.pop(upstream_id)
--- a/verbenathread/scheduling/queueing.py
+++ b/verbenathread/scheduling/queueing.py
@@ -16,11 +16,12 @@
 
     request: ReservationRequest
     length: LengthClass
-    # Expected times of prefill and of generation.
+    # Expected time of prefill.
     prefill_ms: float
     queued_at: Millis
     # Priority level; lower is more urgent, here and at the engine.
     level: int = 0
+    # Expected time of generation.
     output_ms: float = 0
     # Virtual finish time in fair queueing; lower goes first.
     virtual_finish: float = 0
@@ -33,7 +34,7 @@
     tuning: Tuning,
     now: Millis,
 ) -> QueuedRequest:
-    """Return the queue entry of a request that arrives now."""
+    """Return the queued form of a request that arrives now."""
     prefill = cost.prefill(request.work.prompt_tokens)
     if request.group:
         prefill /= len(request.group)
@@ -85,7 +86,7 @@
         return self._by_attempt.get(attempt_id)
 
     def with_virtual_finish(self, queued: QueuedRequest) -> QueuedRequest:
-        """Return the request with the virtual finish it would get now."""
+        """Return the request with the virtual finish time it would get now."""
         if not self._tuning.fair_queueing:
             return queued
         account = queued.request.work.account
@@ -94,7 +95,7 @@
         return queued._replace(virtual_finish=finish)
 
     def add(self, queued: QueuedRequest) -> None:
-        """Add a request whose virtual finish is set."""
+        """Add a request whose virtual finish time is set."""
         account = queued.request.work.account
         self._finish_by_account[account] = queued.virtual_finish
         self._by_attempt[queued.request.attempt_id] = queued
--- a/verbenathread/scheduling/router.py
+++ b/verbenathread/scheduling/router.py
@@ -23,7 +23,8 @@
 _US_PER_MS = 1000
 # Prefill time of 1,000 tokens that is assumed before the first report.
 _DEFAULT_PREFILL_US = 50000
-_TOKENS_PER_SAMPLE = 1000
+# Tokens whose prefill time a load report states.
+_REPORTED_PREFILL_TOKENS = 1000
 # Wait for memory at an engine with none free; less in proportion to the share
 # of the required memory that is free.
 _MEMORY_WAIT_PENALTY: Millis = 2000
@@ -214,10 +215,10 @@
         return sample
 
     def _prefill(self, state: _EngineState, tokens: int) -> float:
-        sample_us = _DEFAULT_PREFILL_US
+        reported_us = _DEFAULT_PREFILL_US
         if state.report is not None:
-            sample_us = state.report.prefill_us
-        return tokens * sample_us / _TOKENS_PER_SAMPLE / _US_PER_MS
+            reported_us = state.report.prefill_us
+        return tokens * reported_us / _REPORTED_PREFILL_TOKENS / _US_PER_MS
 
 
 def _upstream_id(record: UpstreamRecord) -> UpstreamId:
--- a/verbenathread/scheduling/tuning.py
+++ b/verbenathread/scheduling/tuning.py
@@ -42,7 +42,7 @@
     wait_threshold: Millis = 0
 
 
-# The first policy, kept as a baseline for replays.
+# Baseline for replays.
 PREVIOUS = Tuning()
 _WAIT_THRESHOLD: Millis = 50
 _REROUTE_FACTOR = 1.5
--- a/verbenathread/scheduling/weight_loads.py
+++ b/verbenathread/scheduling/weight_loads.py
@@ -1,4 +1,4 @@
-"""Queue of weight loads across the fleet, within the limit of the store."""
+"""Queue of loads of model weights, limited to protect the weight store."""
 
 from typing import NamedTuple
 
