--- a/verbenathread/gateway/exchange.py
+++ b/verbenathread/gateway/exchange.py
@@ -30,7 +30,7 @@
 _UNAVAILABLE = 503
 _TIMED_OUT = 504
 _SERVER_FAULT = 500
-# Workers that may fail to connect or to reserve memory before the request
+# Failures to connect to a worker or to reserve memory after which the request
 # fails.
 _MAX_CONNECT_FAILURES = 4
 _MS_PER_SECOND = 1000
@@ -91,7 +91,7 @@
         reply.on_backpressure = self._on_backpressure
 
     async def run(self) -> None:
-        """Try workers until the request is answered or its caller leaves."""
+        """Try workers until the request is answered or abandoned."""
         while not self._reply.done and not self._reply.is_disconnected:
             left = self._routed.deadline - self._context.clock.now()
             if left <= 0:
@@ -125,7 +125,7 @@
 
     async def _send_recorded(self, selection: Selection) -> None:
         # Announced before connecting: other gateways would pick the same slot
-        # until they have received this send.
+        # until they receive the notice.
         record = self._selector.record_send(selection)
         with contextlib.ExitStack() as stack:
             stack.callback(self._selector.record_end, selection, record)
@@ -138,7 +138,7 @@
             if self._connect_failures >= _MAX_CONNECT_FAILURES:
                 self._fail(
                     _UNAVAILABLE,
-                    'no worker takes connections',
+                    'no worker accepts connections',
                     _SHORT_RETRY_AFTER,
                 )
             return
@@ -147,7 +147,9 @@
             return
         if self._sends and not self._try_acquire_retry():
             self._context.pool.release(selection.worker, connection)
-            self._fail(_UNAVAILABLE, 'no repeat is left', _MS_PER_SECOND)
+            self._fail(
+                _UNAVAILABLE, 'the retry budget is used up', _MS_PER_SECOND
+            )
             return
         result = await self._send(selection, connection)
         self._handle_result(selection.worker, result)
@@ -199,7 +201,7 @@
         context.metrics.sends.labels(result.verdict.value).inc()
         if result.verdict in {Verdict.COMPLETE, Verdict.NOT_RUN}:
             context.pool.release(selection.worker, connection)
-        self._record_send(selection, attempt, result, started)
+        self._record_send_end(selection, attempt, result, started)
         return result
 
     def _record_first_event(
@@ -381,7 +383,7 @@
             free_in=None if refusal is None else refusal.free_in,
         )
 
-    def _record_send(
+    def _record_send_end(
         self,
         selection: Selection,
         attempt: Attempt,
