--- a/verbenathread/gateway/attempt.py
+++ b/verbenathread/gateway/attempt.py
@@ -18,7 +18,7 @@
 
 
 class Verdict(enum.Enum):
-    """How a send ended; all but the first two may have run the request."""
+    """How a send ended; only the first two tell whether the request ran."""
 
     COMPLETE = 'complete'
     # The worker states that it has not run the request.
@@ -42,7 +42,7 @@
 
 
 class Relay:
-    """The caller's response to a stream, across all sends that feed it."""
+    """The event stream to the caller, across all sends that feed it."""
 
     def __init__(
         self, reply: ResponseWriter, dialect: Dialect, last_event_id: int | None
@@ -155,7 +155,7 @@
         self._connection.set_reading_paused(paused)
 
     def accepts(self, head: ResponseHead) -> bool:
-        """Return whether this head belongs to the response awaited."""
+        """Return whether this head belongs to the awaited response."""
         response = self._dialect.parse_response(head)
         if response.attempt_id == self._attempt_id:
             return True
--- a/verbenathread/gateway/context.py
+++ b/verbenathread/gateway/context.py
@@ -19,8 +19,9 @@
 from verbenathread.serving.retry_budget import RetryBudget
 from verbenathread.types import Peer
 
-# Share of the longest time that memory may stay reserved unused. The rest
-# covers the delivery of the last renewal, after which a lease still runs.
+# Lease of reserved memory, as a share of the longest time that it may stay
+# reserved unused. A lease runs from the arrival of the last renewal; the rest
+# covers its delivery.
 _LEASE_SHARE = 0.8
 
 
--- a/verbenathread/gateway/daemon.py
+++ b/verbenathread/gateway/daemon.py
@@ -23,7 +23,7 @@
 _MAINTENANCE_INTERVAL: Millis = 2000
 # The load balancer checks readiness once a second and stops sending new
 # connections after two failures.
-_SHUTDOWN_NOTICE: Millis = 2600
+_SHUTDOWN_DELAY: Millis = 2600
 # Part of the stop limit left for closing and for interpreter shutdown.
 _STOP_MARGIN: Millis = 700
 
@@ -89,8 +89,8 @@
         until = self._clock.now() + self._section.stop_limit - _STOP_MARGIN
         self.server.stopping = True
         _log.info('Gateway stopping.', busy=self.server.busy_count())
-        notice = min(_SHUTDOWN_NOTICE, self._section.stop_limit)
-        await asyncio.sleep(seconds(notice))
+        delay = min(_SHUTDOWN_DELAY, self._section.stop_limit)
+        await asyncio.sleep(seconds(delay))
         await self.server.drain(until)
         await self.context.reservations.close()
         await cancel_all(self._tasks)
@@ -119,12 +119,14 @@
         self.context.metrics.config_version.set(config.version)
 
     def _retain_workers(self, worker_ids: frozenset[str]) -> None:
-        parts = self.context
-        parts.pool.retain(worker_ids)
-        parts.fleet.retain(worker_ids)
-        parts.retry_budget.gateway_count = max(1, len(self.view.notice_targets))
-        parts.metrics.workers.set(len(worker_ids))
-        parts.queue.wake()
+        context = self.context
+        context.pool.retain(worker_ids)
+        context.fleet.retain(worker_ids)
+        context.retry_budget.gateway_count = max(
+            1, len(self.view.notice_targets)
+        )
+        context.metrics.workers.set(len(worker_ids))
+        context.queue.wake()
 
     async def _maintain(self) -> None:
         while True:
--- a/verbenathread/gateway/handler.py
+++ b/verbenathread/gateway/handler.py
@@ -28,7 +28,7 @@
 # A starting gateway receives its configuration within a second unless the
 # directory is unavailable, so requests that arrive earlier wait for it.
 _CONFIG_WAIT: Millis = 2000
-# The wait is limited to this fraction of the caller's time, which leaves time
+# The wait is limited to the caller's time divided by this, which leaves time
 # for a retry.
 _WAIT_DIVISOR = 4
 _POLL_INTERVAL: Millis = 20
--- a/verbenathread/gateway/notices.py
+++ b/verbenathread/gateway/notices.py
@@ -1,4 +1,4 @@
-"""Datagrams by which gateways notify each other of sends to engines.
+"""Datagrams by which gateways notify each other of sends and slow engines.
 
 A lost datagram only makes a placement worse, so none is retransmitted.
 """
@@ -17,6 +17,7 @@
 from verbenathread.types import Millis, Peer
 
 _log = get_logger('gateway')
+# Notices carry the pace in hundredths.
 _PACE_SCALE = 100
 
 
--- a/verbenathread/gateway/reservations.py
+++ b/verbenathread/gateway/reservations.py
@@ -27,7 +27,7 @@
 _CALL_TIMEOUT: Millis = 400
 # Renewals per lease: two may be lost in a row.
 _RENEWALS_PER_LEASE = 3
-# Calls without a response were executed up to 12 s later, so the release is
+# A call without a response may be executed up to 12 s later, so the release is
 # repeated for longer than that.
 _RELEASE_PERIOD: Millis = 13_000
 _RELEASE_INTERVAL: Millis = 1000
--- a/verbenathread/gateway/selection.py
+++ b/verbenathread/gateway/selection.py
@@ -228,7 +228,7 @@
             self._prompt(),
             max(0, self._due - now),
             self._route.target_pause,
-            self._first_event_timeout(now),
+            self._max_first_event_in(now),
             context.data_centre,
         )
         return place(
@@ -283,7 +283,7 @@
     def _reservation_id(self) -> str:
         return f'{self._caller.attempt_id}-{self._sends}'
 
-    def _first_event_timeout(self, now: Millis) -> Millis:
+    def _max_first_event_in(self, now: Millis) -> Millis:
         """Return the longest acceptable forecast time to the first event."""
         route = self._route
         timeout = max(
--- a/verbenathread/gateway/view.py
+++ b/verbenathread/gateway/view.py
@@ -103,7 +103,7 @@
         self.expire_unlisted(now)
 
     def expire_unlisted(self, now: Millis) -> None:
-        """Stop notifying gateways that have not been listed for long."""
+        """Stop notifying gateways that were last listed too long ago."""
         for peer, listed_at in tuple(self._listed_at_by_peer.items()):
             if (
                 peer not in self.gateways
--- a/verbenathread/gateway/watch.py
+++ b/verbenathread/gateway/watch.py
@@ -1,4 +1,4 @@
-"""Keeps the cluster view updated by the leader of the directory."""
+"""Keeps the cluster view up to date from the leader of the directory."""
 
 import asyncio
 import zlib
@@ -27,8 +27,8 @@
 # A VM that is down or partitioned never accepts a connection.
 _CONNECT_TIMEOUT: Millis = 400
 _FIRST_UPDATE_TIMEOUT: Millis = 600
-# Delay between two rounds over all known processes. Each time-out adds this
-# many delays, up to a maximum number of time-outs.
+# Delay between two rounds over all known processes. Each timeout adds this
+# many delays, up to a maximum number of timeouts.
 _ROUND_DELAY: Millis = 100
 _BACKOFF_FACTOR = 4
 _MAX_TIMEOUTS = 5
@@ -54,7 +54,7 @@
         self._running = False
         # Processes that did not answer the last time they were tried.
         self._unresponsive: set[Address] = set()
-        # Time-outs since the last update by a leader.
+        # Timeouts since the last update by a leader.
         self._timeouts = 0
         self._random = Random()
 
@@ -74,8 +74,8 @@
     def _backoff(self) -> Millis:
         """Return how long to wait before the next round.
 
-        Time-outs suggest that the directory is busy with as many other
-        gateways. Each of them would double its load by retrying at once.
+        Timeouts suggest that many gateways search for the leader at the same
+        time. They would double the directory's load by retrying at once.
         """
         delay = _ROUND_DELAY * (1 + _BACKOFF_FACTOR * self._timeouts)
         return self._random.randint(delay // 2, delay + delay // 2)
@@ -96,8 +96,8 @@
             known[address] = None
         # Gateways that search at the same time start with different processes.
         ordered = self._random.sample(list(known), len(known))
-        # Unresponsive processes are tried after all others, unless one of
-        # those points to it as the leader.
+        # Unresponsive processes are tried after all others, except for one that
+        # another process names as the leader.
         ordered.sort(key=self._unresponsive.__contains__)
         if hint is not None:
             ordered = [hint, *(other for other in ordered if other != hint)]
--- a/verbenathread/serving/dialect.py
+++ b/verbenathread/serving/dialect.py
@@ -76,7 +76,7 @@
 
     # The memory is reserved or released, as requested.
     done: bool
-    # The worker did nothing. If neither is set, it may have.
+    # The worker did not execute the call. If neither is set, it may have.
     refused: bool
 
 
--- a/verbenathread/serving/engine_time.py
+++ b/verbenathread/serving/engine_time.py
@@ -6,8 +6,10 @@
 
 from verbenathread.serving.types import EngineModel
 
+# EngineModel.attention_ms is per this many pairs of tokens, and context_ms
+# per this many tokens.
 _PAIRS_PER_UNIT = 1_000_000
-_CONTEXT_UNIT = 1000
+_TOKENS_PER_UNIT = 1000
 
 
 def prefill_ms(engine: EngineModel, tokens: int, parts: int = 1) -> float:
@@ -24,7 +26,7 @@
     step = (
         engine.step_ms
         + engine.sequence_ms * batch_size
-        + engine.context_ms * context_tokens / _CONTEXT_UNIT
+        + engine.context_ms * context_tokens / _TOKENS_PER_UNIT
     )
     return engine.stride * step
 
--- a/verbenathread/serving/estimates.py
+++ b/verbenathread/serving/estimates.py
@@ -35,8 +35,8 @@
 _CONCURRENCY_COST = 0.0005
 # Engines reserved for short prompts while none is in progress.
 _MIN_SHORT_POOL = 2
-# Slots reserved for short prompts, as a multiple of those in progress: the
-# ones that arrive during the prefill of a long prompt elsewhere need slots.
+# Slots reserved for short prompts, as a multiple of those in progress: more
+# arrive while other engines prefill a long prompt, and need slots.
 _SHORT_POOL_HEADROOM = 1.5
 # Typical duration of a short prompt's answer, ms: 32 events of 60 ms.
 _SHORT_ANSWER_TIME = 2000
@@ -62,7 +62,7 @@
 # another engine.
 _MIN_LATENESS_SCALE: Millis = 250
 # Share of the target latency beyond which a forecast counts as late; forecasts
-# of the first event were off by 20 % and more.
+# of the first event can be off by 20 % and more.
 _ON_TIME_SHARE = 0.8
 # Wait in ms that costs a helper as much as one unit of value.
 _WAIT_MS_PER_VALUE = 1000
@@ -76,7 +76,8 @@
     # events that is still in time.
     target_latency: Millis
     target_pause: Millis
-    # The caller disconnects if no event arrives within this time.
+    # Longest acceptable forecast time to the first event, since the caller
+    # disconnects if none arrives in time.
     first_event_timeout: Millis
     data_centre: str
 
@@ -90,7 +91,7 @@
     """Forecast and cost of running one part of a prompt on an engine."""
 
     worker: Worker
-    # Memory not needed by known requests; 0 or less if no slot is free.
+    # Memory not needed by known requests; 0 if no slot is free.
     free_tokens: int
     # It prefills parts of fewer prompts than it has slots.
     can_help: bool
--- a/verbenathread/serving/fleet_load.py
+++ b/verbenathread/serving/fleet_load.py
@@ -130,7 +130,7 @@
             self._unreported_delay = current // 2
 
     def unreported_delay(self, now: Millis) -> Millis:
-        """Return the estimated delay by load that was not reported."""
+        """Return the estimated delay caused by load that was not reported."""
         if not self._unreported_delay:
             return 0
         age = now - self._unreported_at
--- a/verbenathread/serving/registry.py
+++ b/verbenathread/serving/registry.py
@@ -59,7 +59,7 @@
         return worker.started_at > self.worker_by_id[other_id].started_at
 
     def drop(self, worker_id: str, started_at: int) -> bool:
-        """Remove a worker without heartbeats; return whether it changed.
+        """Drop a worker without heartbeats; return False if none changes.
 
         A draining worker is marked as gone. A ready one is removed and may
         register again.
