--- a/verbenathread/http1/response.py
+++ b/verbenathread/http1/response.py
@@ -37,7 +37,7 @@
         chunked: bool,
         omit_body: bool,
     ) -> None:
-        """Write to ``transport``; without chunks, its end ends the body."""
+        """Write to ``transport``; without chunks, its close ends the body."""
         self._owner = owner
         self._transport = transport
         # HTTP/1.0 clients do not support chunked encoding.
--- a/verbenathread/http1/server.py
+++ b/verbenathread/http1/server.py
@@ -208,6 +208,7 @@
         """Store a header; trailers are dropped."""
         if not self._partial.head_complete:
             self._partial.headers.append((name, text))
+            # The name and value are separated by ': ' and end with CRLF.
             self._partial.head_bytes += len(name) + len(text) + 4
 
     def on_headers_complete(self) -> None:
--- a/verbenathread/platform/bodies.py
+++ b/verbenathread/platform/bodies.py
@@ -49,7 +49,7 @@
         config = _decode_config(document)
     except MALFORMED_BODY_ERRORS as error:
         raise InvalidBodyError(
-            f'the configuration has a missing or mistyped field: {error!r}'
+            f'the configuration has a missing or invalid field: {error!r}'
         )
     _check_routes(config)
     return config
--- a/verbenathread/platform/directory_handler.py
+++ b/verbenathread/platform/directory_handler.py
@@ -109,7 +109,7 @@
         version = self._calls.config_version()
         if not version:
             raise UnavailableError(
-                'There is no configuration yet; send it again.'
+                'There is no configuration yet; send the heartbeat again.'
             )
         if version != self._services_version:
             config = bodies.decode_config(self._calls.config_body())
--- a/verbenathread/platform/headers.py
+++ b/verbenathread/platform/headers.py
@@ -206,10 +206,12 @@
     sizes = values.get(_TOKEN_USAGE)
     if sizes is None:
         return None
-    tokens, _, most_output = sizes.partition(b',')
-    most = int(most_output)
+    tokens, _, output_limit = sizes.partition(b',')
+    max_output = int(output_limit)
     expected = _parse_number(values.get(_LENGTH_HINT))
-    return Prompt(int(tokens), most, most if expected is None else expected)
+    return Prompt(
+        int(tokens), max_output, max_output if expected is None else expected
+    )
 
 
 def _encode_helpers(context: ForwardContext) -> bytes:
--- a/verbenathread/platform/heartbeats.py
+++ b/verbenathread/platform/heartbeats.py
@@ -52,7 +52,7 @@
 ) -> Worker:
     born = read_integer(fields.get('born', 0) if leaving else fields['born'])
     if not worker_id or not 0 <= born < _MAX_BORN:
-        raise ValueError('born')
+        raise ValueError('the worker id is empty or born is out of range')
     if leaving:
         return Worker(
             worker_id=worker_id,
