--- a/tests/standins/platform_worker.py
+++ b/tests/standins/platform_worker.py
@@ -101,7 +101,7 @@
     status: str = '200 OK',
     extra: str = '',
 ) -> bytes:
-    """Return a signed response with a Content-Length."""
+    """Return a response with a response stamp and a Content-Length."""
     head = (
         f'HTTP/1.1 {status}\r\nAttempt-Id: {request.attempt_id}\r\n'
         f'Response-Stamp: stamp-{request.attempt_id}\r\n{extra}'
@@ -116,7 +116,7 @@
 
 
 def unsigned_response(body: bytes) -> bytes:
-    """Return a response without attempt identifier and signature."""
+    """Return a response without attempt identifier and response stamp."""
     return b'HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b' % (
         len(body),
         body,
--- a/tests/test_gateway_relay.py
+++ b/tests/test_gateway_relay.py
@@ -56,8 +56,8 @@
     writer.write(b'\x00\x01\x02 no answer\r\n\r\n')
 
 
-async def respond_unsigned(received, writer):
-    """Respond with success, but without a worker's signature."""
+async def respond_unstamped(received, writer):
+    """Respond with success, but without a response stamp."""
     writer.write(
         signed_response(received, b'booked').replace(
             b'Response-Stamp', b'Other-Header'
@@ -174,7 +174,7 @@
             (reset_before_response, 502, b'broken\n', 1),
             (reset_in_body, 502, b'broken\n', 1),
             (send_garbage, 502, b'broken\n', 1),
-            (respond_unsigned, 502, b'broken\n', 1),
+            (respond_unstamped, 502, b'broken\n', 1),
             (respond_twice, 200, b'booked', 1),
             (respond_late_answer_first, 200, b'booked', 1),
             (respond_without_length, 200, b'booked', 1),
@@ -188,8 +188,8 @@
                 self.assertEqual(response.status, status)
                 self.assertEqual(response.body, body)
                 self.assertEqual(self.run_count(), sends)
-                signed = 'response-stamp' in response.header_by_name
-                self.assertEqual(signed, status in {200, 500})
+                has_stamp = 'response-stamp' in response.header_by_name
+                self.assertEqual(has_stamp, status in {200, 500})
                 await self.harness.stop()
 
     async def test_idempotent_request_is_retried(self):
@@ -199,7 +199,7 @@
             reset_before_response,
             reset_in_body,
             send_garbage,
-            respond_unsigned,
+            respond_unstamped,
         ):
             with self.subTest(script=script.__name__):
                 self.harness = GatewayHarness()
--- a/tests/test_gateway_reservations.py
+++ b/tests/test_gateway_reservations.py
@@ -35,16 +35,16 @@
         # Tokens and end of the lease, by worker and reservation id.
         self.reserved: dict[tuple[str, str], tuple[int, int]] = {}
         self.full: set[str] = set()
-        # Workers that answer nothing, and the delay in ms with which they
+        # Workers that do not respond, and the delay in ms with which they
         # execute calls.
-        self.unanswering: set[str] = set()
+        self.unresponsive: set[str] = set()
         self.delay = 0
         self.last_seen = 0
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def call(self, target, call, limit):
         body = json.loads(call.body)
-        if target.worker_id in self.unanswering:
+        if target.worker_id in self.unresponsive:
             task = asyncio.create_task(self.execute_late(target, body))
             self.tasks.add(task)
             await asyncio.sleep(limit / 1000)
@@ -124,11 +124,11 @@
 
     def test_late_reservation_is_released(self):
         async def scenario(workers, manager):
-            workers.unanswering.add('w1')
+            workers.unresponsive.add('w1')
             workers.delay = 7000
             failed_worker = await manager.reserve('r1', self.shares(3))
             self.assertEqual(failed_worker, WORKERS[1])
-            workers.unanswering.clear()
+            workers.unresponsive.clear()
             reserved_ms = 0
             for _ in range(200):
                 await asyncio.sleep(0.1)
@@ -143,9 +143,9 @@
             reservation = await manager.reserve('r1', self.shares(2))
             self.assertIsInstance(reservation, Reservation)
             workers.delay = 20_000
-            workers.unanswering.add('w1')
+            workers.unresponsive.add('w1')
             await asyncio.sleep(1.5)
-            workers.unanswering.clear()
+            workers.unresponsive.clear()
             for _ in range(50):
                 await asyncio.sleep(0.1)
                 self.assertEqual(workers.reserving(), {'w0', 'w1'})
--- a/tests/test_scheduling_ledger.py
+++ b/tests/test_scheduling_ledger.py
@@ -57,8 +57,8 @@
         self.clock.advance(tokens)
 
     def drop(self, name, tokens):
-        for late in self.ledger.drop_entry('n1'):
-            self.ledger.release(late.reservation_id, 0)
+        for started in self.ledger.drop_entry('n1'):
+            self.ledger.release(started.reservation_id, 0)
 
     def start(self, name, tokens):
         self.ledger.mark_started(f'e1/{name}')
--- a/tests/test_scheduling_limits.py
+++ b/tests/test_scheduling_limits.py
@@ -65,8 +65,8 @@
                     # Usage is sent every second and takes 2 s to arrive.
                     lag = _LAG + 1000
                     extra = BURST + LOCAL_SHARE_FACTOR * (BURST + lag)
-                    most = _RATE * (window + extra) / 1000 + _ENTRIES
-                    self.assertLessEqual(admitted, most)
+                    bound = _RATE * (window + extra) / 1000 + _ENTRIES
+                    self.assertLessEqual(admitted, bound)
 
     def test_debt_keeps_the_long_term_rate_at_the_limit(self):
         long = flood(make_limits(), 330000, entries=9, exchange_usage=True)
@@ -94,8 +94,8 @@
             exchange_usage=True,
             is_long=True,
         )
-        own_most = -(-8 * LOCAL_SHARE_FACTOR // _ENTRIES)
-        self.assertLessEqual(admitted, own_most * _ENTRIES)
+        max_per_entry = -(-8 * LOCAL_SHARE_FACTOR // _ENTRIES)
+        self.assertLessEqual(admitted, max_per_entry * _ENTRIES)
 
     def test_retry_after_is_long_enough(self):
         limiter = AccountLimiter(1, 0)
