--- a/tests/test_http1_server.py
+++ b/tests/test_http1_server.py
@@ -11,7 +11,7 @@
 
 GOOD = b'POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc'
 LIMITS = Limits(
-    header_bytes=1000, body_bytes=2000, header_timeout=300, idle_timeout=900
+    header_bytes=1000, body_bytes=2000, header_timeout=700, idle_timeout=900
 )
 
 
@@ -62,17 +62,21 @@
         return await asyncio.open_connection(host, port)
 
     async def statuses(self, *pieces):
-        """Send the pieces in turn; return the statuses until the close."""
+        """Send the pieces in turn; return the statuses until the close.
+
+        The server closes each connection: after an error at once, else after
+        the idle timeout. A connection that stays open fails the test.
+        """
         reader, writer = await self.connect()
         for piece in pieces:
             writer.write(piece)
-            await asyncio.sleep(0.01)
+            await asyncio.sleep(0.001)
         statuses = []
         try:
             while True:
-                response = await asyncio.wait_for(read_response(reader), 0.7)
+                response = await asyncio.wait_for(read_response(reader), 5)
                 statuses.append(response.status)
-        except (asyncio.IncompleteReadError, TimeoutError, ConnectionError):
+        except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
         return statuses
 
--- a/verbenathread/gateway/metrics.py
+++ b/verbenathread/gateway/metrics.py
@@ -19,7 +19,7 @@
         )
         self.sends = Counter(
             'verbenathread_gateway_sends',
-            'Sends to workers, by how they ended.',
+            'Sends to workers, by what came of them.',
             ('verdict',),
             registry=self.registry,
         )
@@ -32,13 +32,13 @@
         )
         self.answer = Histogram(
             'verbenathread_gateway_answer_seconds',
-            'Time to the complete answer of a plain service.',
+            'Time to the whole answer of a plain service.',
             buckets=_BUCKETS_S,
             registry=self.registry,
         )
         self.waiting = Gauge(
             'verbenathread_gateway_waiting',
-            'Generations that wait for a slot on an engine.',
+            'Generations that wait for a place at an engine.',
             registry=self.registry,
         )
         self.config_version = Gauge(
