--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -21,11 +21,11 @@
 _ROOT = Path(__file__).resolve().parent.parent
 _KNOWN_RED = _ROOT / 'KNOWN-RED.txt'
 _TEST_KEY = 'test:'
-# Limit of one test with all of its subtests, in seconds.
-_TEST_LIMIT = 240
+# Limit of one test with all of its subtests.
+TEST_LIMIT_SECONDS = 240
 
 
-class _TimeLimitedResult(unittest.TextTestResult):
+class TimeLimitedResult(unittest.TextTestResult):
     """Ends the process if a test hangs, instead of waiting for ever."""
 
     def __init__(self, stream: Any, descriptions: bool, verbosity: int) -> None:
@@ -33,20 +33,22 @@
         self._timer: threading.Timer | None = None
 
     def startTest(self, test: unittest.TestCase) -> None:  # noqa: N802
+        """Start the time limit of ``test``."""
         super().startTest(test)
-        self._timer = threading.Timer(_TEST_LIMIT, _end_run, (test.id(),))
+        self._timer = threading.Timer(TEST_LIMIT_SECONDS, end_run, (test.id(),))
         self._timer.daemon = True
         self._timer.start()
 
     def stopTest(self, test: unittest.TestCase) -> None:  # noqa: N802
+        """Cancel the time limit of ``test``."""
         if self._timer is not None:
             self._timer.cancel()
         super().stopTest(test)
 
 
-def _end_run(test_id: str) -> None:
+def end_run(test_id: str) -> None:
     """Report a test that hangs and end the process."""
-    sys.stderr.write(f'{test_id} exceeded {_TEST_LIMIT} s:\n')
+    sys.stderr.write(f'{test_id} exceeded {TEST_LIMIT_SECONDS} s:\n')
     sys.stderr.flush()
     faulthandler.dump_traceback()
     os._exit(1)
@@ -85,7 +87,7 @@
         suite = loader.discover('tests', top_level_dir=str(_ROOT))
     logs.configure('critical', 'text')
     runner = unittest.TextTestRunner(verbosity=2 if options.verbose else 1)
-    runner.resultclass = _TimeLimitedResult
+    runner.resultclass = TimeLimitedResult
     outcome = runner.run(suite)
     expected = known_failures(_KNOWN_RED)
     failed = failed_names(outcome)
